--- a/internal/place/order/carry.go
+++ b/internal/place/order/carry.go
@@ -225,7 +225,7 @@
 			return
 		}
 		// Why: a grant dies unused, and it began to live at the earliest when it was asked for.
-		by = pace.GrantLife - (c.d.Clock.Since() - asked) - leastOrderTime
+		by = pace.GrantTTL - (c.d.Clock.Since() - asked) - leastOrderTime
 		if by < leastOrderTime {
 			return // it came too late to be used; the load goes on waiting for another
 		}
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -63,7 +63,7 @@
 			e.RetryS, e.Why = int(cfg.Limits.PassEvery/time.Second)/4+1, "what it would drive out is wanted more now"
 			// Why: the store may have time to spare again well before the next pass is due.
 			if cfg.Limits.PassSlack > 0 {
-				e.RetryS = min(e.RetryS, int(pace.UseSpan/time.Second)/3)
+				e.RetryS = min(e.RetryS, int(pace.UtilizationSpan/time.Second)/3)
 			}
 		}
 	}
