--- a/internal/place/pace/pace.go
+++ b/internal/place/pace/pace.go
@@ -1,5 +1,6 @@
-// Package pace keeps loads within what the weight store bears: at most a
-// number of starts in any 5 s, whoever grants them; the dearest miss goes first.
+// Package pace is the rate limiter of the weight store: it bounds the number of
+// load starts in any window (5 s by default), also across limiters that succeed each other, and
+// grants the waiter with the highest priority first.
 package pace
 
 import (
@@ -8,197 +9,200 @@
 	"github.com/gammazero/deque"
 )
 
-// Window is the span over which a store counts where a deployment says nothing else.
+// Window is the default span over which the store counts load starts.
 const Window = 5 * time.Second
 
-// GrantLife is how long a grant may wait before its load starts.
+// GrantTTL is how long a grant is valid: its load must start within this time.
 const GrantTTL = 500 * time.Millisecond
 
-// patience is how long one that asked keeps its place without asking again.
+// waiterTTL is how long a waiter keeps its place in the queue without asking again.
 const waiterTTL = 1500 * time.Millisecond
 
-// UseSpan is the span over which the store's use is told.
+// UtilizationSpan is the span over which Utilization is computed.
 const UtilizationSpan = 30 * time.Second
 
-// maxWaiters bounds those who wait; a replica's controller asks again and again.
+// maxWaiters bounds the waiters and, separately, the outstanding starts. A controller whose
+// request is not recorded keeps asking.
 const maxWaiters = 10_000
 
+// waiter is a load that asked for a grant and did not get one yet.
 type waiter struct {
 	priority   float64
 	firstAsked time.Duration
 	lastAsked  time.Duration
 }
 
-// float is since when a start may still come, and when that was last told.
+// outstandingStart is a load that was ordered and may still start: since when, and when that was last reported.
 type outstandingStart struct{ since, reportedAt time.Duration }
 
-// grant is leave for one load start.
+// grant is the permission for one load start.
 type grant struct {
 	grantedAt time.Duration
-	startID   string // the load start that it is for; empty for one that a keeper before gave
+	startID   string // the load start that it is for; empty if a previous limiter gave the grant
 }
 
-// Keeper grants load starts; one actor owns it.
+// Limiter grants load starts. It is not safe for concurrent use: one actor owns it.
 type Limiter struct {
-	notBefore    time.Duration               // no grants before
-	outstanding  map[string]outstandingStart // starts that may still come, whenever
-	grants       deque.Deque[grant]
-	recentGrants deque.Deque[grant] // of a use span
-	waiters      map[string]waiter
-	window       time.Duration // the span over which the store counts
+	notBefore    time.Duration               // no grants are given before this time
+	outstanding  map[string]outstandingStart // ordered loads that may still start at any time, by load ID
+	grants       deque.Deque[grant]          // grants that still count against the limit, the oldest first
+	recentGrants deque.Deque[grant]          // grants within the last UtilizationSpan
+	waiters      map[string]waiter           // by load ID
+	window       time.Duration               // the span over which the store counts load starts
 }
 
-// NewKeeper is a keeper that took over at an instant. Unless it is the first
-// ever, it waits out whatever the one before it may have granted.
+// NewLimiter returns a limiter that takes over at time now. Unless it is the first
+// one ever, it waits until every grant that its predecessor may have given has expired.
 func NewLimiter(now, window time.Duration, first bool) *Limiter {
-	k := &Limiter{waiters: map[string]waiter{}, outstanding: map[string]outstandingStart{}, window: window}
+	l := &Limiter{waiters: map[string]waiter{}, outstanding: map[string]outstandingStart{}, window: window}
 	if !first {
-		k.notBefore = now + k.window + GrantTTL
+		l.notBefore = now + l.window + GrantTTL
 	}
-	return k
+	return l
 }
 
-// settle is how long a keeper that took over waits to be told of loads that may
+// takeoverDelay is how long a resumed limiter waits for controllers to report loads that may
 // still start.
 const takeoverDelay = 1100 * time.Millisecond
 
-// Resume is a keeper that took over at an instant from one that wrote down its
-// grants: before is how long ago each of them was given at the least, the oldest first. Why: a grant
-// that is older than that counts for less long, so each counts as if it were no older.
-func Resume(now, window time.Duration, before []time.Duration) *Limiter {
-	k := NewLimiter(now, window, true)
-	k.notBefore = now + takeoverDelay
-	for _, age := range before {
+// Resume returns a limiter that takes over at time now from one that stored its grants.
+// ages holds the least age of each grant, the oldest first. A grant may be older than that, but
+// then counts for a shorter time, so using the least age never exceeds the limit.
+func Resume(now, window time.Duration, ages []time.Duration) *Limiter {
+	l := NewLimiter(now, window, true)
+	l.notBefore = now + takeoverDelay
+	for _, age := range ages {
 		if age <= window+GrantTTL {
-			k.grants.PushBack(grant{grantedAt: now - age})
-			k.recentGrants.PushBack(grant{grantedAt: now - age})
+			l.grants.PushBack(grant{grantedAt: now - age})
+			l.recentGrants.PushBack(grant{grantedAt: now - age})
 		}
 	}
-	return k
+	return l
 }
 
-// Ages is how long ago each grant was given that still counts, the oldest first.
-func (k *Limiter) GrantAges(now time.Duration) []time.Duration {
-	k.dropExpired(now)
+// GrantAges returns the age of each grant that still counts against the limit, the oldest first.
+func (l *Limiter) GrantAges(now time.Duration) []time.Duration {
+	l.dropExpired(now)
 	var out []time.Duration
-	for i := range k.grants.Len() {
-		out = append(out, now-k.grants.At(i).grantedAt)
+	for i := range l.grants.Len() {
+		out = append(out, now-l.grants.At(i).grantedAt)
 	}
 	return out
 }
 
-// floatLife is how long a start that may still come counts after it was last
-// told of: it may have come just then, and counts for a window from there.
-func (k *Limiter) outstandingTTL() time.Duration { return k.window + GrantTTL + time.Second }
+// outstandingTTL is how long an outstanding start counts after its last report:
+// the load may have started right after the report, and counts for a window from then on.
+func (l *Limiter) outstandingTTL() time.Duration { return l.window + GrantTTL + time.Second }
 
-// Afloat notes a load that was ordered and may not have arrived: a replica that
-// stands still reads it when it wakes. Why: it takes a place of the pace until it is
-// known to have come or not, or those that wake together would exceed it.
-func (k *Limiter) NoteOutstanding(now time.Duration, who string) {
-	f, known := k.outstanding[who]
+// NoteOutstanding records a load that was ordered and may not have reached the replica yet: a frozen
+// replica reads the order when it resumes. The load counts against the limit until it is
+// known to have started or not; otherwise replicas that resume together would exceed the limit.
+func (l *Limiter) NoteOutstanding(now time.Duration, loadID string) {
+	f, known := l.outstanding[loadID]
 	if !known {
 		f.since = now
 	}
-	if f.reportedAt = now; known || len(k.outstanding) < maxWaiters {
-		k.outstanding[who] = f
+	if f.reportedAt = now; known || len(l.outstanding) < maxWaiters {
+		l.outstanding[loadID] = f
 	}
 }
 
-// Floats tells which starts may still come, and for how long that has been so.
-func (k *Limiter) Outstanding(now time.Duration) map[string]time.Duration {
+// Outstanding returns the loads that were ordered and may still start, each with the time since it was first reported.
+func (l *Limiter) Outstanding(now time.Duration) map[string]time.Duration {
 	out := map[string]time.Duration{}
-	for who, f := range k.outstanding {
-		if now-f.reportedAt <= k.outstandingTTL() {
-			out[who] = now - f.since
+	for loadID, f := range l.outstanding {
+		if now-f.reportedAt <= l.outstandingTTL() {
+			out[loadID] = now - f.since
 		}
 	}
 	return out
 }
 
-// forget drops the grants that count no more. Why: a start comes up to a life
-// after its grant, so grants are counted over the window and a life.
-func (k *Limiter) dropExpired(now time.Duration) {
-	for k.grants.Len() > 0 && now-k.grants.Front().grantedAt > k.window+GrantTTL {
-		k.grants.PopFront()
+// dropExpired drops the grants that no longer count. A load may start up to GrantTTL after its
+// grant, so a grant counts for the window plus GrantTTL.
+func (l *Limiter) dropExpired(now time.Duration) {
+	for l.grants.Len() > 0 && now-l.grants.Front().grantedAt > l.window+GrantTTL {
+		l.grants.PopFront()
 	}
 }
 
-// Request asks for leave to start a load.
+// Request asks for permission to start a load.
 type Request struct {
-	LoadID   string  // the replica and item it is for
-	StartID  string  // names the start: who asks again under a name has not begun it; empty if it has none
-	Priority float64 // the dearest goes first
+	LoadID   string  // the replica and the item
+	StartID  string  // identifies the start: a repeated request with the same ID means that the load has not started; empty if unknown
+	Priority float64 // the highest is granted first
 }
 
-// takeBack removes the grant for a load start that has not begun. Why: its answer came too late; counted on, it
-// would keep another load out for a whole window.
-func revokeGrant(grants *deque.Deque[grant], start string) {
-	if at := grants.RIndex(func(g grant) bool { return g.startID == start }); start != "" && at >= 0 {
+// revokeGrant removes the grant for a load start that did not happen because the answer came too late. If the grant
+// still counted, it would keep another load out for a whole window.
+func revokeGrant(grants *deque.Deque[grant], startID string) {
+	if at := grants.RIndex(func(g grant) bool { return g.startID == startID }); startID != "" && at >= 0 {
 		grants.Remove(at)
 	}
 }
 
-// Grant allows a load start now, or says how long it will probably take.
-func (k *Limiter) Grant(now time.Duration, loads int, r Request) (wait time.Duration, ok bool) {
-	k.dropExpired(now)
-	revokeGrant(&k.grants, r.StartID)
-	revokeGrant(&k.recentGrants, r.StartID)
-	for name, f := range k.outstanding {
-		if now-f.reportedAt > k.outstandingTTL() {
-			delete(k.outstanding, name)
+// Grant allows a load start now, or returns the estimated wait. The limit is loads starts in a window.
+func (l *Limiter) Grant(now time.Duration, loads int, r Request) (wait time.Duration, ok bool) {
+	l.dropExpired(now)
+	revokeGrant(&l.grants, r.StartID)
+	revokeGrant(&l.recentGrants, r.StartID)
+	for name, f := range l.outstanding {
+		if now-f.reportedAt > l.outstandingTTL() {
+			delete(l.outstanding, name)
 		}
 	}
-	taken := k.grants.Len() + len(k.outstanding)
+	taken := l.grants.Len() + len(l.outstanding)
 	w := waiter{priority: r.Priority, firstAsked: now, lastAsked: now}
-	if old, found := k.waiters[r.LoadID]; found {
+	if old, found := l.waiters[r.LoadID]; found {
 		w.firstAsked = old.firstAsked
-	} else if len(k.waiters) >= maxWaiters {
-		return k.window, false
+	} else if len(l.waiters) >= maxWaiters {
+		return l.window, false
 	}
-	k.waiters[r.LoadID] = w
+	l.waiters[r.LoadID] = w
 	ahead := 0
-	for name, o := range k.waiters {
+	for name, o := range l.waiters {
 		switch {
 		case now-o.lastAsked > waiterTTL:
-			delete(k.waiters, name)
+			delete(l.waiters, name)
 		case name != r.LoadID && (o.priority > r.Priority || o.priority == r.Priority && (o.firstAsked < w.firstAsked || o.firstAsked == w.firstAsked && name < r.LoadID)):
 			ahead++
 		}
 	}
-	if now < k.notBefore {
-		return k.notBefore - now + time.Duration(ahead/max(loads, 1))*(k.window+GrantTTL), false
+	if now < l.notBefore {
+		return l.notBefore - now + time.Duration(ahead/max(loads, 1))*(l.window+GrantTTL), false
 	}
 	if taken+ahead < loads {
-		k.grants.PushBack(grant{now, r.StartID})
-		k.recentGrants.PushBack(grant{now, r.StartID})
-		delete(k.waiters, r.LoadID)
+		l.grants.PushBack(grant{now, r.StartID})
+		l.recentGrants.PushBack(grant{now, r.StartID})
+		delete(l.waiters, r.LoadID)
 		return 0, true
 	}
-	// Why: the place that gets free for it is the one of the grant that many places back.
+	// The request gets the place that becomes free when the grant n places behind the oldest expires;
+	// each full round of places adds a window.
 	n := taken + ahead - loads
 	rounds := n / max(loads, 1)
 	at := now
-	if k.grants.Len() > 0 {
-		at = k.grants.At(min(n%max(loads, 1), k.grants.Len()-1)).grantedAt
+	if l.grants.Len() > 0 {
+		at = l.grants.At(min(n%max(loads, 1), l.grants.Len()-1)).grantedAt
 	}
-	return time.Duration(rounds)*(k.window+GrantTTL) + max(0, at+k.window+GrantTTL-now) + time.Millisecond, false
+	return time.Duration(rounds)*(l.window+GrantTTL) + max(0, at+l.window+GrantTTL-now) + time.Millisecond, false
 }
 
-// Use is the share of the loads the store may start in a use span that were
-// granted in the last one or still wait. One that waits for its predecessor's
-// grants to pass counts as full.
-func (k *Limiter) Utilization(now time.Duration, loads int) float64 {
-	for k.recentGrants.Len() > 0 && now-k.recentGrants.Front().grantedAt > UtilizationSpan {
-		k.recentGrants.PopFront()
+// Utilization returns the grants of the last UtilizationSpan and the waiters as a share of the
+// starts that the store allows in such a span. It is 1 while the limiter waits for its
+// predecessor's grants to expire.
+func (l *Limiter) Utilization(now time.Duration, loads int) float64 {
+	for l.recentGrants.Len() > 0 && now-l.recentGrants.Front().grantedAt > UtilizationSpan {
+		l.recentGrants.PopFront()
 	}
-	if now < k.notBefore {
+	if now < l.notBefore {
 		return 1
 	}
 	waiting := 0
-	for _, w := range k.waiters {
+	for _, w := range l.waiters {
 		if now-w.lastAsked <= waiterTTL {
 			waiting++
 		}
 	}
-	return float64(k.recentGrants.Len()+waiting) / (float64(max(loads, 1)) * UtilizationSpan.Seconds() / (k.window + GrantTTL).Seconds())
+	return float64(l.recentGrants.Len()+waiting) / (float64(max(loads, 1)) * UtilizationSpan.Seconds() / (l.window + GrantTTL).Seconds())
 }
--- a/internal/place/pace/pace_test.go
+++ b/internal/place/pace/pace_test.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Whoever asks, however often, again for what came too late, and through a change of keepers: no more starts
-// than the pace in any window, even if each start comes as late as it may.
+// With any order of requests, repeated requests after late answers, and takeovers by new limiters, no window
+// has more starts than the limit, even if each load starts as late as its grant allows.
 func TestGrantsNeverExceedRate(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		loads := 1 + rnd.IntN(5)
-		k := NewLimiter(0, Window, true)
-		var starts, written []time.Duration
-		begun := map[string]int{}
+		l := NewLimiter(0, Window, true)
+		var starts, stored []time.Duration
+		startCount := map[string]int{}
 		for now := time.Duration(0); now < 2*time.Minute; now += time.Duration(rnd.IntN(300)) * time.Millisecond {
 			switch rnd.IntN(400) {
 			case 0:
-				k = NewLimiter(now, Window, false)
+				l = NewLimiter(now, Window, false)
 			case 1:
-				// What the keeper before wrote down may be as old as its last grant.
-				k = Resume(now, Window, written)
+				// What the previous limiter stored dates from its last grant.
+				l = Resume(now, Window, stored)
 			}
-			who := fmt.Sprint(rnd.IntN(20))
-			_, ok := k.Grant(now, loads, Request{LoadID: who, StartID: fmt.Sprint(who, " ", begun[who]), Priority: rnd.Float64()})
+			loadID := fmt.Sprint(rnd.IntN(20))
+			_, ok := l.Grant(now, loads, Request{LoadID: loadID, StartID: fmt.Sprint(loadID, " ", startCount[loadID]), Priority: rnd.Float64()})
 			if ok {
-				written = k.GrantAges(now)
+				stored = l.GrantAges(now)
 			}
 			if ok && rnd.IntN(3) > 0 {
-				begun[who]++
+				startCount[loadID]++
 				starts = append(starts, now+time.Duration(rnd.Int64N(int64(GrantTTL))))
 			}
 		}
@@ -42,109 +42,108 @@
 				}
 			}
 			if n > loads {
-				t.Fatalf("seed %d: %d starts within the window, pace %d", seed, n, loads)
+				t.Fatalf("seed %d: %d starts within the window, limit %d", seed, n, loads)
 			}
 		}
 		if len(starts) == 0 {
-			t.Fatalf("seed %d: nothing was ever granted", seed)
+			t.Fatalf("seed %d: no load was granted", seed)
 		}
 	}
 }
 
 func TestHighestPriorityIsGrantedFirst(t *testing.T) {
-	k := NewLimiter(0, Window, true)
-	if _, ok := k.Grant(0, 1, Request{LoadID: "a", Priority: 1}); !ok {
-		t.Fatal("an idle store refuses")
+	l := NewLimiter(0, Window, true)
+	if _, ok := l.Grant(0, 1, Request{LoadID: "a", Priority: 1}); !ok {
+		t.Fatal("an idle store refuses a load")
 	}
 	for now := time.Second; now <= Window; now += time.Second {
-		k.Grant(now, 1, Request{LoadID: "cheap", Priority: 1})
-		if wait, ok := k.Grant(now, 1, Request{LoadID: "dear", Priority: 9}); ok || now+wait < Window || now+wait > Window+GrantTTL+2*time.Millisecond {
+		l.Grant(now, 1, Request{LoadID: "cheap", Priority: 1})
+		if wait, ok := l.Grant(now, 1, Request{LoadID: "dear", Priority: 9}); ok || now+wait < Window || now+wait > Window+GrantTTL+2*time.Millisecond {
 			t.Fatalf("at %v: ok=%v wait=%v", now, ok, wait)
 		}
 	}
 	free := Window + GrantTTL + time.Millisecond
-	if wait, ok := k.Grant(free, 1, Request{LoadID: "cheap", Priority: 1}); ok || wait < Window {
-		t.Fatalf("the cheap one overtook: ok=%v wait=%v", ok, wait)
+	if wait, ok := l.Grant(free, 1, Request{LoadID: "cheap", Priority: 1}); ok || wait < Window {
+		t.Fatalf("the low priority overtook the high one: ok=%v wait=%v", ok, wait)
 	}
-	if _, ok := k.Grant(free, 1, Request{LoadID: "dear", Priority: 9}); !ok {
-		t.Fatal("the dear one is not granted")
+	if _, ok := l.Grant(free, 1, Request{LoadID: "dear", Priority: 9}); !ok {
+		t.Fatal("the high priority is not granted")
 	}
 }
 
-// What the keeper says of the store's use follows its grants and those who
-// wait, forgets them, and a new keeper has nothing to spare until it may grant.
+// The utilization follows grants and waiters, drops both in time, and is 1 in a new limiter until it may grant.
 func TestUtilizationFollowsGrantsAndWaiters(t *testing.T) {
-	k := NewLimiter(0, Window, false)
-	if got := k.Utilization(time.Second, 4); got != 1 {
-		t.Errorf("a keeper that may not grant yet says %v", got)
+	l := NewLimiter(0, Window, false)
+	if got := l.Utilization(time.Second, 4); got != 1 {
+		t.Errorf("utilization of a limiter that may not grant yet is %v", got)
 	}
-	k = NewLimiter(0, Window, true)
-	if got := k.Utilization(0, 4); got != 0 {
-		t.Errorf("an idle store is said to be used by %v", got)
+	l = NewLimiter(0, Window, true)
+	if got := l.Utilization(0, 4); got != 0 {
+		t.Errorf("utilization of an idle store is %v", got)
 	}
 	before := 0.0
 	for now := time.Duration(0); now < UtilizationSpan; now += 100 * time.Millisecond {
-		k.Grant(now, 4, Request{LoadID: fmt.Sprint(now), Priority: 1})
-		// Why: one that waits counts too, and drops out when it does not ask again.
-		if got := k.Utilization(now, 4); got < before-0.1 {
-			t.Fatalf("at %v the use fell from %v to %v while all asked", now, before, got)
+		l.Grant(now, 4, Request{LoadID: fmt.Sprint(now), Priority: 1})
+		// A waiter counts too, and is dropped when it does not ask again.
+		if got := l.Utilization(now, 4); got < before-0.1 {
+			t.Fatalf("at %v the utilization fell from %v to %v while all loads asked", now, before, got)
 		} else {
 			before = got
 		}
 	}
 	if before < 0.9 {
-		t.Errorf("a store asked for all it may is said to be used by %v", before)
+		t.Errorf("utilization of a fully requested store is %v", before)
 	}
-	if got := k.Utilization(UtilizationSpan+10*time.Second, 4); got >= before {
-		t.Errorf("10 s later the use is still %v", got)
+	if got := l.Utilization(UtilizationSpan+10*time.Second, 4); got >= before {
+		t.Errorf("10 s later the utilization is still %v", got)
 	}
-	if got := k.Utilization(2*UtilizationSpan+time.Second, 4); got != 0 {
-		t.Errorf("a span later it is still %v", got)
+	if got := l.Utilization(2*UtilizationSpan+time.Second, 4); got != 0 {
+		t.Errorf("one span later the utilization is still %v", got)
 	}
 }
 
-// A start that may still come takes a place for as long as it is told of, and a
+// An outstanding start counts against the limit for as long as it is reported, and for a
 // window longer.
 func TestOutstandingStartTakesAPermit(t *testing.T) {
-	k := NewLimiter(0, Window, true)
+	l := NewLimiter(0, Window, true)
 	now := time.Duration(0)
 	for ; now < time.Minute; now += time.Second {
-		k.NoteOutstanding(now, "m-1 x")
-		k.NoteOutstanding(now, "m-2 y")
+		l.NoteOutstanding(now, "m-1 x")
+		l.NoteOutstanding(now, "m-2 y")
 	}
 	granted := 0
 	for range 4 {
-		if _, ok := k.Grant(now, 3, Request{LoadID: fmt.Sprint(granted), Priority: 1}); ok {
+		if _, ok := l.Grant(now, 3, Request{LoadID: fmt.Sprint(granted), Priority: 1}); ok {
 			granted++
 		}
 	}
-	if fs := k.Outstanding(now); len(fs) != 2 || fs["m-1 x"] != time.Minute {
-		t.Errorf("told to be afloat: %v", fs)
+	if fs := l.Outstanding(now); len(fs) != 2 || fs["m-1 x"] != time.Minute {
+		t.Errorf("reported as outstanding: %v", fs)
 	}
 	if granted != 1 {
-		t.Errorf("%d granted of 3 places with two afloat", granted)
+		t.Errorf("%d of 3 granted with two outstanding", granted)
 	}
-	if _, ok := k.Grant(now+Window, 3, Request{LoadID: "a", Priority: 1}); ok {
-		t.Error("granted while one that came just after it was last told of may count")
+	if _, ok := l.Grant(now+Window, 3, Request{LoadID: "a", Priority: 1}); ok {
+		t.Error("granted while a load that started just after its last report may still count")
 	}
-	if _, ok := k.Grant(now+k.outstandingTTL(), 3, Request{LoadID: "a", Priority: 1}); !ok {
-		t.Error("not granted when nothing is afloat any more")
+	if _, ok := l.Grant(now+l.outstandingTTL(), 3, Request{LoadID: "a", Priority: 1}); !ok {
+		t.Error("not granted when no start is outstanding any more")
 	}
 }
 
-// Leave that came too late to be used kept other loads out for a whole window.
+// Repeated requests for one start replace its unused grant. Each unused grant would keep another load out for a whole window.
 func TestRepeatedGrantForOneStartCountsOnce(t *testing.T) {
-	k := NewLimiter(0, Window, true)
+	l := NewLimiter(0, Window, true)
 	for try := range 5 {
 		now := time.Duration(try) * 100 * time.Millisecond
-		if _, ok := k.Grant(now, 2, Request{LoadID: "late", StartID: "late 1", Priority: 1}); !ok {
-			t.Fatalf("try %d is refused", try)
+		if _, ok := l.Grant(now, 2, Request{LoadID: "late", StartID: "late 1", Priority: 1}); !ok {
+			t.Fatalf("try %d is denied", try)
 		}
 	}
-	if _, ok := k.Grant(time.Second, 2, Request{LoadID: "other", StartID: "other 1", Priority: 1}); !ok {
-		t.Error("the other load is kept out")
+	if _, ok := l.Grant(time.Second, 2, Request{LoadID: "other", StartID: "other 1", Priority: 1}); !ok {
+		t.Error("the other load is not granted")
 	}
-	if _, ok := k.Grant(time.Second, 2, Request{LoadID: "late", StartID: "late 2", Priority: 1}); ok {
+	if _, ok := l.Grant(time.Second, 2, Request{LoadID: "late", StartID: "late 2", Priority: 1}); ok {
 		t.Error("three loads may start in one window, two at most")
 	}
 }
