--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -79,11 +79,11 @@
 	Reports           *report.Table
 	Conf              func() conf.Effective
 	PredictedRequests func(item string) float64 // predicted over the horizon
-	Statuses          func() Statuses
+	Others            func() Statuses
 	LiveAgents        func() map[string]bool // agents thought alive
 	PlatformAge       func() time.Duration   // how long ago the platform was heard
 	Grant             func(ctx context.Context, l GrantRequest) (wait time.Duration, ok bool)
-	ReportOutstanding func(ctx context.Context, who string) // tells the store's keeper of a load that may still start
+	Afloat            func(ctx context.Context, who string) // tells the store's keeper of a load that may still start
 }
 
 type entry struct {
--- a/internal/place/order/execute.go
+++ b/internal/place/order/execute.go
@@ -219,7 +219,7 @@
 		asked := c.d.Clock.Since()
 		ctx, cancel := context.WithTimeout(c.d.Group.Context(), orderTimeout)
 		defer cancel()
-		wait, ok := c.d.Grant(ctx, GrantRequest{LoadID: c.loadID(what), StartID: c.startID(t), Penalty: t.penalty})
+		wait, ok := c.d.Grant(ctx, GrantRequest{Who: c.loadID(what), StartID: c.startID(t), Penalty: t.penalty})
 		t.storeWait = wait
 		if !ok {
 			return
@@ -265,7 +265,7 @@
 		if l.State == backend.Loading && l.orderedAt >= c.reportAt && now-l.orderedAt > outstandingInterval {
 			c.outstandingReportedAt = now
 			ctx, cancel := context.WithTimeout(c.d.Group.Context(), callTimeout)
-			c.d.ReportOutstanding(ctx, c.loadID(item))
+			c.d.Afloat(ctx, c.loadID(item))
 			cancel()
 		}
 	}
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -95,8 +95,8 @@
 				}
 				conn := backend.NewNative(out)
 				ctl := NewController(g, Deps{Clock: clk, Log: log, Self: "a", Boot: "b", Cadence: bounds.DefaultCadence(), Replicas: conn, Owner: own, Gossip: gossip.NewTable(), Reports: report.NewTable(),
-					Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Statuses: func() Statuses { return Statuses{} },
-					LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 }, ReportOutstanding: func(context.Context, string) {},
+					Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Others: func() Statuses { return Statuses{} },
+					LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 }, Afloat: func(context.Context, string) {},
 					Grant: func(context.Context, GrantRequest) (time.Duration, bool) {
 						time.Sleep(200 * time.Millisecond) // the keeper is far off
 						return 0, true
--- a/internal/place/order/messages.go
+++ b/internal/place/order/messages.go
@@ -66,7 +66,7 @@
 
 // Leave is what a controller asks the store's keeper for: that a load may start.
 type GrantRequest struct {
-	LoadID  string  // the replica and item it is for
+	Who     string  // the replica and item it is for
 	StartID string  // names this start of it, and no other
 	Penalty float64 // penalty of the miss
 }
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -17,7 +17,7 @@
 // not pinned by a claim; and sums up those that may but for being used.
 func (c *Controller) idleItems(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.Idle, used int) {
 	now := c.d.Clock.Since()
-	others := c.d.Statuses()
+	others := c.d.Others()
 	facts := map[string]judge.Idle{}
 	for item, l := range c.entries {
 		if (item.Adapter != "") != adapters || l.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
