--- a/internal/place/order/adapter_test.go
+++ b/internal/place/order/adapter_test.go
@@ -9,6 +9,7 @@
 	"drumstall.example/internal/kernel/bounds"
 )
 
+// adapterController returns the controller of a replica with model m loaded and model n configured.
 func adapterController(c *fakeClock) *Controller {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{"m": {LoadFor: 2 * time.Second, SizeMib: 100}, "n": {LoadFor: 2 * time.Second, SizeMib: 100}}
@@ -19,41 +20,41 @@
 	return ctl
 }
 
-// An adapter whose model is there was once told to take as long as a model, and
-// refused while model loads waited, so that its requests were turned away at once.
+// The load of an adapter whose model is loaded is estimated by its own load time and accepted while model loads
+// are pending. Otherwise the requests for the adapter would be rejected at once.
 func TestAdapterLoadIsNotLimitedLikeModelLoad(t *testing.T) {
 	c := &fakeClock{time.Minute}
 	ctl := adapterController(c)
-	m, adapter, far := conf.Item{Model: "m"}, conf.Item{Model: "m", Adapter: "a"}, conf.Item{Model: "n", Adapter: "a"}
+	m, adapter, unloadedBase := conf.Item{Model: "m"}, conf.Item{Model: "m", Adapter: "a"}, conf.Item{Model: "n", Adapter: "a"}
 	model := ctl.d.Conf().Models["m"]
 	if got := ctl.readyMs(model, adapter); got != defaultAdapterMs+adapterMarginMs {
-		t.Errorf("an adapter is expected in %d ms, want %d", got, defaultAdapterMs+adapterMarginMs)
+		t.Errorf("the adapter is estimated at %d ms, want %d", got, defaultAdapterMs+adapterMarginMs)
 	}
-	if got := ctl.readyMs(model, far); got < 2000+defaultAdapterMs {
-		t.Errorf("an adapter without its model is expected in %d ms", got)
+	if got := ctl.readyMs(model, unloadedBase); got < 2000+defaultAdapterMs {
+		t.Errorf("an adapter without its model is estimated at %d ms", got)
 	}
 	for range 2 {
 		ctl.tasks.PushBack(&task{item: conf.Item{Model: "n"}})
 	}
 	if ctl.queued(ctl.adapterOnly(m)) < ctl.maxTasks(m) {
-		t.Error("a model would be taken on beyond the bound")
+		t.Error("a model load is accepted beyond the limit")
 	}
 	if ctl.queued(ctl.adapterOnly(adapter)) >= ctl.maxTasks(adapter) {
-		t.Error("an adapter is refused because models wait")
+		t.Error("an adapter load is refused because model loads are pending")
 	}
 	ctl.tasks.Front().phase, ctl.tasks.Front().phaseSince = phaseAwaitLoaded, c.now-500*time.Millisecond
 	if got, want := ctl.readyMs(model, adapter), defaultAdapterMs+adapterMarginMs+1500; got != want {
-		t.Errorf("behind a load under way it is expected in %d ms, want %d", got, want)
+		t.Errorf("behind a load in progress the adapter is estimated at %d ms, want %d", got, want)
 	}
 	for range maxAdapterTasks {
 		ctl.tasks.PushBack(&task{item: adapter})
 	}
 	if ctl.queued(ctl.adapterOnly(adapter)) < ctl.maxTasks(adapter) {
-		t.Error("adapters are taken on without bound")
+		t.Error("adapter loads are accepted without limit")
 	}
 }
 
-// What takes little time goes first, by what it is worth in that time.
+// Tasks are ordered by penalty per load time, so a short load may run before one with a higher penalty.
 func TestTaskPriorityAccountsForLoadTime(t *testing.T) {
 	ctl := adapterController(&fakeClock{time.Minute})
 	adapter := conf.Item{Model: "m", Adapter: "a"}
@@ -63,6 +64,6 @@
 	ctl.tasks.PushBack(&task{item: adapter, penalty: 1, acceptedAt: time.Minute})
 	ctl.prioritize(time.Minute)
 	if got := ctl.tasks.Front().item; got != adapter {
-		t.Errorf("%v goes first", got)
+		t.Errorf("%v is first", got)
 	}
 }
--- a/internal/place/order/consider.go
+++ b/internal/place/order/consider.go
@@ -10,12 +10,12 @@
 	"drumstall.example/internal/place/penalty"
 )
 
-// Consider runs the paper's test for an item on this replica, and takes the
-// load on if it passes.
+// Consider runs the penalty test of the paper for an item on this replica, and accepts the
+// load if the test passes.
 func (c *Controller) Consider(ctx context.Context, q ConsiderRequest) (ConsiderResponse, error) {
 	var a ConsiderResponse
 	err := c.actor.Ask(ctx, func() {
-		// Why: who asked has gone on without the answer, and may have asked another.
+		// The caller no longer waits for the answer and may have asked another controller.
 		if ctx.Err() != nil {
 			return
 		}
@@ -28,28 +28,28 @@
 	item := conf.ParseItem(q.Item)
 	cfg := c.d.Conf()
 	model, known := cfg.Models[item.Model]
-	_, _, may := c.d.Owner.MayOrder(Key(c.listed.ID))
+	_, _, mayOrder := c.d.Owner.MayOrder(Key(c.listed.ID))
 	switch {
 	case !known || item.Adapter != "" && !model.Adapters[item.Adapter]:
-		return ConsiderResponse{Why: "not in the configuration"}
-	case !may:
-		return ConsiderResponse{Why: "the hold does not allow orders yet", Temporary: true}
+		return ConsiderResponse{Why: "the item is not in the configuration"}
+	case !mayOrder:
+		return ConsiderResponse{Why: "the lease does not allow orders yet", Temporary: true}
 	case !c.reportFresh():
 		return ConsiderResponse{Why: "no fresh report from the replica"}
 	case c.leaving():
 		return ConsiderResponse{Why: "the replica is leaving"}
 	case c.queued(c.adapterOnly(item)) >= c.maxTasks(item):
-		return ConsiderResponse{Why: "enough orders wait already", Temporary: true}
+		return ConsiderResponse{Why: "too many loads are pending", Temporary: true}
 	}
-	if l := c.entries[item]; l != nil && l.State != Withdrawn && l.State != backend.Unloading {
-		return ConsiderResponse{Accepted: true, Why: "on its way or there already", ReadyMs: c.readyMs(model, item)}
+	if e := c.entries[item]; e != nil && e.State != Withdrawn && e.State != backend.Unloading {
+		return ConsiderResponse{Accepted: true, Why: "already loaded or pending", ReadyMs: c.readyMs(model, item)}
 	}
 	for i := range c.tasks.Len() {
 		if c.tasks.At(i).item == item {
-			return ConsiderResponse{Accepted: true, Why: "on its way already", ReadyMs: c.readyMs(model, item)}
+			return ConsiderResponse{Accepted: true, Why: "already pending", ReadyMs: c.readyMs(model, item)}
 		}
 		if c.tasks.At(i).item.Model == item.Model && !(c.adapterOnly(item) && c.adapterOnly(c.tasks.At(i).item)) {
-			return ConsiderResponse{Why: "another order about the model waits", Temporary: true}
+			return ConsiderResponse{Why: "another task of the model is pending", Temporary: true}
 		}
 	}
 	base := c.entries[conf.Item{Model: item.Model}]
@@ -58,45 +58,45 @@
 	}
 	mib, places := c.plannedUse()
 	needMib, needPlaces := 0, 0
-	added := 0
+	addedMib := 0
 	if base == nil {
-		added += model.SizeMib
+		addedMib += model.SizeMib
 	}
 	if item.Adapter != "" {
-		added += model.AdapterMib
+		addedMib += model.AdapterMib
 	}
-	if added > 0 {
-		needMib = mib + added - c.report.CapacityMib
-		if added > c.report.CapacityMib {
-			return ConsiderResponse{Why: "can never hold it"}
+	if addedMib > 0 {
+		needMib = mib + addedMib - c.report.CapacityMib
+		if addedMib > c.report.CapacityMib {
+			return ConsiderResponse{Why: "the item exceeds the capacity of the replica"}
 		}
 	}
 	if item.Adapter != "" {
 		if c.report.AdapterPlaces == 0 {
-			return ConsiderResponse{Why: "no places for adapters"}
+			return ConsiderResponse{Why: "the replica has no adapter places"}
 		}
 		needPlaces = places + 1 - c.report.AdapterPlaces
 	}
-	alone := q.SkipTest || q.Claim
+	skipTest := q.SkipTest || q.Claim
 	out := ConsiderResponse{NeedMib: needMib, Starts: 1}
 	if base == nil && item.Adapter != "" {
 		out.Starts = 2
 	}
 	var victims []conf.Item
-	wanted := q.Penalty
+	wantedPenalty := q.Penalty
 	if needMib > 0 {
-		order, idle, used := c.idleItems(cfg, item, false)
+		order, idle, usedSize := c.idleItems(cfg, item, false)
 		out.IdleModels = idle
-		v := penalty.Test(needMib, wanted, cfg.Limits.Csf, alone, order)
+		v := penalty.Test(needMib, wantedPenalty, cfg.Limits.Csf, skipTest, order)
 		out.Why, out.VictimPenalty = v.Why, v.Sum
 		if !v.Load {
-			out.Temporary = blockedByUse(needMib, used, order)
+			out.Temporary = blockedByUse(needMib, usedSize, order)
 			return out
 		}
-		for _, x := range v.Victims {
-			it := conf.ParseItem(x.Item)
+		for _, victim := range v.Victims {
+			it := conf.ParseItem(victim.Item)
 			victims = append(victims, it)
-			// Why: adapters go with their model, so their places get free too.
+			// Adapters are unloaded with their model, so their places become free too.
 			for other := range c.entries {
 				if other.Model == it.Model && other.Adapter != "" {
 					needPlaces--
@@ -105,32 +105,32 @@
 		}
 	}
 	if needPlaces > 0 {
-		order, idle, used := c.idleItems(cfg, item, true)
+		order, idle, usedSize := c.idleItems(cfg, item, true)
 		out.IdleAdapters = idle
 		rest := order[:0:0]
-		for _, x := range order {
-			if !slices.Contains(victims, conf.Item{Model: conf.ParseItem(x.Item).Model}) {
-				rest = append(rest, x)
+		for _, victim := range order {
+			if !slices.Contains(victims, conf.Item{Model: conf.ParseItem(victim.Item).Model}) {
+				rest = append(rest, victim)
 			}
 		}
-		v := penalty.Test(needPlaces, wanted-out.VictimPenalty*cfg.Limits.Csf, cfg.Limits.Csf, alone, rest)
+		v := penalty.Test(needPlaces, wantedPenalty-out.VictimPenalty*cfg.Limits.Csf, cfg.Limits.Csf, skipTest, rest)
 		out.Why = v.Why
 		if !v.Load {
-			out.Temporary = blockedByUse(needPlaces, used, rest)
+			out.Temporary = blockedByUse(needPlaces, usedSize, rest)
 			return out
 		}
 		out.VictimPenalty += v.Sum
-		for _, x := range v.Victims {
-			victims = append(victims, conf.ParseItem(x.Item))
+		for _, victim := range v.Victims {
+			victims = append(victims, conf.ParseItem(victim.Item))
 		}
 	}
 	if needMib <= 0 && needPlaces <= 0 {
-		// Why: nothing has to go, so the sum of penalties is 0 and any demand is above it.
-		if !alone && wanted <= 0 {
+		// No victim is required, so the sum of penalties is 0 and any demand exceeds it.
+		if !skipTest && wantedPenalty <= 0 {
 			out.Why = "no demand is expected"
 			return out
 		}
-		out.Why = "there is room"
+		out.Why = "enough room is free"
 	}
 	for _, v := range victims {
 		out.Victims = append(out.Victims, v.String())
@@ -140,7 +140,7 @@
 		return out
 	}
 	t := &task{item: item, victims: victims, phaseSince: c.d.Clock.Since(), acceptedAt: c.d.Clock.Since(), penalty: q.Penalty, requestCost: time.Duration(q.CostMs) * time.Millisecond}
-	// Why: room is kept from this moment, so two loads can never count on the same place.
+	// Room is reserved from this moment, so that two loads can never count on the same room.
 	if base == nil {
 		c.reserve(conf.Item{Model: item.Model}, model.SizeMib)
 	}
@@ -152,7 +152,7 @@
 	}
 	if !c.persist() {
 		c.rollBack(t)
-		out.Why = "the control state did not keep it"
+		out.Why = "the control state did not store the reservation"
 		return out
 	}
 	c.tasks.PushBack(t)
@@ -162,7 +162,7 @@
 	return out
 }
 
-// soon says that the idle items do not make the room, and those in use will.
+// blockedByUse reports whether the idle items do not free enough room, but would together with the items in use.
 func blockedByUse(need, used int, idle []penalty.Victim) bool {
 	for _, v := range idle {
 		need -= v.Size
--- a/internal/place/order/contents.go
+++ b/internal/place/order/contents.go
@@ -10,81 +10,84 @@
 	"drumstall.example/internal/state"
 )
 
-// planned is what will be used once all tasks are done: everything but what
-// is about to go.
+// plannedUse returns what will be used once all tasks are done: everything but the
+// items that are being withdrawn or unloaded.
 func (c *Controller) plannedUse() (mib, places int) {
-	return c.sumUse(func(l *entry) bool { return l.State != Withdrawn && l.State != backend.Unloading })
+	return c.sumUse(func(e *entry) bool { return e.State != Withdrawn && e.State != backend.Unloading })
 }
 
-// there is what may be on the replica at this moment, known or suspected; room
-// kept for later loads is not, unless an owner before us may have ordered it.
+// currentUse returns what may be on the replica at this moment. Room that is reserved for later loads
+// does not count, unless a previous lease holder may have ordered the load.
 func (c *Controller) currentUse() (mib, places int) {
-	return c.sumUse(func(l *entry) bool { return l.State != Reserved || l.inherited })
+	return c.sumUse(func(e *entry) bool { return e.State != Reserved || e.inherited })
 }
 
+// sumUse adds up the memory and the adapter places of the entries that counts selects.
 func (c *Controller) sumUse(counts func(*entry) bool) (mib, places int) {
-	for item, l := range c.entries {
+	for item, e := range c.entries {
 		switch {
-		case !counts(l):
+		case !counts(e):
 		case item.Adapter == "":
-			mib += l.SizeMib
+			mib += e.SizeMib
 		default:
-			mib += l.SizeMib
+			mib += e.SizeMib
 			places++
 		}
 	}
 	return mib, places
 }
 
+// reserve adds an entry that keeps room for an item, unless the item has one.
 func (c *Controller) reserve(item conf.Item, size int) {
 	if c.entries[item] == nil {
 		c.entries[item] = &entry{Entry: Entry{State: Reserved, SizeMib: size}, lastUsed: c.d.Clock.Since()}
 	}
 }
 
+// withdrawItem marks a loaded item, and the loaded adapters on it, as withdrawn.
 func (c *Controller) withdrawItem(item conf.Item) {
-	for other, l := range c.entries {
+	for other, e := range c.entries {
 		if item.Covers(other) {
-			if l.State == backend.Loaded {
-				l.State = Withdrawn
+			if e.State == backend.Loaded {
+				e.State = Withdrawn
 			}
 		}
 	}
 }
 
-// undo puts back what a task that will not be carried out had claimed.
+// rollBack releases the room that a cancelled task reserved and takes the withdrawal of its victims back.
 func (c *Controller) rollBack(t *task) {
 	for _, item := range []conf.Item{{Model: t.item.Model}, t.item} {
-		if l := c.entries[item]; l != nil && l.State == Reserved {
+		if e := c.entries[item]; e != nil && e.State == Reserved {
 			delete(c.entries, item)
 		}
 	}
 	for _, v := range t.victims {
-		for other, l := range c.entries {
-			if v.Covers(other) && l.State == Withdrawn {
-				l.State = backend.Loaded
+		for other, e := range c.entries {
+			if v.Covers(other) && e.State == Withdrawn {
+				e.State = backend.Loaded
 			}
 		}
 	}
 }
 
-// keep writes the book to the control state; orders only follow from what is kept.
+// persist writes the contents to the control state. Orders are sent only for stored contents.
 func (c *Controller) persist() bool {
 	b := Contents{Incarnation: c.report.Incarnation, Entries: map[string]Entry{}}
-	for item, l := range c.entries {
-		b.Entries[item.String()] = l.Entry
+	for item, e := range c.entries {
+		b.Entries[item.String()] = e.Entry
 	}
 	ctx, cancel := context.WithTimeout(c.d.Group.Context(), 2*time.Second)
 	defer cancel()
 	_, err := c.d.Owner.Update(ctx, Key(c.listed.ID), func(state.Record, bool) ([]byte, error) { return wire.Pack(b), nil })
 	if err != nil {
-		c.d.Log.Info("book not kept", "replica", c.listed.ID, "error", err)
+		c.d.Log.Info("replica contents not stored", "replica", c.listed.ID, "error", err)
 		return false
 	}
 	return true
 }
 
-// taken says whether a task wants the item gone.
+// isVictim reports whether a task is going to unload the item.
 func (c *Controller) isVictim(item conf.Item) bool {
 	for i := range c.tasks.Len() {
 		for _, v := range c.tasks.At(i).victims {
@@ -96,6 +99,7 @@
 	return false
 }
 
+// hasTaskFor reports whether a task loads the item or an adapter on it.
 func (c *Controller) hasTaskFor(item conf.Item) bool {
 	for i := range c.tasks.Len() {
 		t := c.tasks.At(i)
--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -1,6 +1,6 @@
-// Package order is the controller of one replica: it keeps the book of what
-// the replica holds, decides with the paper's test which idle items may go,
-// and alone sends it orders, under the lease of the replica's key.
+// Package order is the controller of one replica. It tracks what the replica holds, selects
+// idle items as victims with the penalty test of the paper, and is the only sender of load and
+// unload orders to the replica, under the lease of the replica's key.
 package order
 
 import (
@@ -23,49 +23,49 @@
 )
 
 const (
-	// justNow is how old a report may be when a load is ordered. Why: a replica that has just stopped answering
-	// may read the order when it wakes, much later.
+	// maxReportAge is how old the last report may be when a load is ordered. A replica that has just stopped answering
+	// may read the order much later, when it resumes.
 	maxReportAge = 400 * time.Millisecond
 	callTimeout  = 400 * time.Millisecond
 	orderTimeout = 900 * time.Millisecond
-	// leastOrderTime is the least time that an order is given to be sent and answered.
+	// minOrderTime is the minimum time that an order gets to be sent and answered.
 	minOrderTime        = 20 * time.Millisecond
-	ackTimeout          = 3 * time.Second  // fence for proxies that do not acknowledge
-	idleTimeout         = 10 * time.Second // victims that do not get idle are let be
+	ackTimeout          = 3 * time.Second  // a proxy that has not acknowledged a withdrawal by then is regarded as fenced
+	idleTimeout         = 10 * time.Second // the task is dropped if its victims stay in use for this long
 	unloadTimeout       = 20 * time.Second
 	waitTimeout         = 60 * time.Second
 	outstandingInterval = time.Second
-	etaTolerance        = 500 * time.Millisecond // by how much an estimate may be off before another is told
-	// doubt is how long an order with no known outcome counts as carried out, and doubtMargin what is added to a
-	// report's age where reports tell of orders that are being carried out.
+	etaTolerance        = 500 * time.Millisecond // an estimate is republished only if it changes by at least this much
+	// outcomeTimeout is how long an order with an unknown outcome counts as carried out. outcomeMargin is added to
+	// the report lag instead where reports show orders that are being carried out.
 	outcomeTimeout = 3 * time.Second
 	outcomeMargin  = 150 * time.Millisecond
 )
 
-// Key of a replica in the control state and in the gossip.
+// Key returns the key of a replica in the control state and in gossip.
 func Key(id string) string { return "replica/" + id }
 
-// Line states in the book, besides those a replica reports.
+// Entry states besides those that a replica reports.
 const (
-	Reserved  = "reserved" // room is kept for it
-	Withdrawn = "withdrawn"
+	Reserved  = "reserved"  // room is kept for a pending load
+	Withdrawn = "withdrawn" // routes must not use the item any more; it is about to be unloaded
 )
 
-// Line is what the book says of one item.
+// Entry is the stored state of one item of a replica.
 type Entry struct {
 	State   string `cbor:"1,keyasint"`
 	SizeMib int    `cbor:"2,keyasint"`
-	// Guessed says that nobody has told the size, and that it counts as the largest known.
+	// SizeGuessed says that the size is not known, and that the largest known size is assumed.
 	SizeGuessed bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Book is kept in the control state before orders follow from it.
+// Contents is what a replica holds, or will hold. It is stored in the control state before any order based on it is sent.
 type Contents struct {
 	Incarnation string           `cbor:"1,keyasint"`
 	Entries     map[string]Entry `cbor:"2,keyasint"`
 }
 
-// Deps is what a controller needs from the core.
+// Deps holds the dependencies of a controller.
 type Deps struct {
 	Group             *run.Group
 	Clock             tick.Clock
@@ -78,49 +78,50 @@
 	Gossip            *gossip.Table
 	Reports           *report.Table
 	Conf              func() conf.Effective
-	PredictedRequests func(item string) float64 // predicted over the horizon
+	PredictedRequests func(item string) float64 // predicted requests for an item over the horizon
 	Others            func() Statuses
-	LiveAgents        func() map[string]bool // agents thought alive
-	PlatformAge       func() time.Duration   // how long ago the platform was heard
-	Grant             func(ctx context.Context, l GrantRequest) (wait time.Duration, ok bool)
-	Afloat            func(ctx context.Context, who string) // tells the store's keeper of a load that may still start
+	LiveAgents        func() map[string]bool // agents that are considered alive
+	PlatformAge       func() time.Duration   // time since the last contact with the platform
+	Grant             func(ctx context.Context, r GrantRequest) (wait time.Duration, ok bool)
+	Afloat            func(ctx context.Context, loadID string) // reports a load that may still start to the rate limiter of the store
 }
 
+// entry is an Entry with the facts that are not stored.
 type entry struct {
 	Entry
-	orderedAt time.Duration // when a load of it was last ordered
+	orderedAt time.Duration // when its load was last ordered
 	lastUsed  time.Duration
-	loadedAt  time.Duration // when a load of it was first seen to have ended; 0 where none was
+	loadedAt  time.Duration // when its load was first seen to have completed; 0 if none was
 	inflight  int
-	// inherited: an owner before us may have ordered it.
+	// inherited says that a previous lease holder may have ordered its load.
 	inherited bool
-	// unsure: its load was ordered and not answered.
+	// unanswered says that its load was ordered and that the order got no answer.
 	unanswered bool
 }
 
-// Controller controls one replica.
+// Controller controls one replica. Its state is owned by its actor.
 type Controller struct {
 	d                     Deps
 	listed                inventory.Listed
 	actor                 *run.Actor
 	report                backend.Report
-	reportAt              time.Duration // when the report we have was asked for
-	reportsSince          time.Duration // since when reports have come without a long silence
-	hasReport             bool          // a report came since we took over
+	reportAt              time.Duration // when the last report was requested
+	reportsSince          time.Duration // since when reports have arrived without a long gap
+	hasReport             bool          // a report has arrived since the takeover
 	entries               map[conf.Item]*entry
 	tasks                 deque.Deque[*task]
 	epoch                 uint64
-	published             []byte                   // what was published, with etas for what is on its way
-	outstandingReportedAt time.Duration            // when the store\'s keeper was last told of a load that may still start
-	etas                  map[string]time.Duration // what is on its way: when it will probably be there, as published
+	published             []byte                   // the encoded status that was last published, with etas
+	outstandingReportedAt time.Duration            // when a load that may still start was last reported to the rate limiter of the store
+	etas                  map[string]time.Duration // published estimate of when a pending item will be loaded, by item
 	version               uint64
 	orderCount            uint64
-	startCount            int // load starts that the store's leave was asked for
+	startCount            int // load starts for which a grant was requested
 	stayingSince          time.Duration
 	closed                bool
-	msPerMib              float64       // observed ms per MiB loaded; 0 unknown
-	adapterLoadTime       time.Duration // how long an adapter takes to load, on average of late; 0 until one was loaded
-	// perMibAgain is the same for models that the replica has held before, and held which they are.
+	msPerMib              float64       // observed load time in ms per MiB; 0 if unknown
+	adapterLoadTime       time.Duration // moving average of the load time of an adapter; 0 until one was loaded
+	// msPerMibReload is the same for models that the replica has held before; heldBefore names those models.
 	msPerMibReload float64
 	heldBefore     map[string]bool
 	failedReports  int
@@ -131,7 +132,7 @@
 	delay          reportDelay
 }
 
-// NewController starts to control a replica.
+// NewController starts a controller of a replica.
 func NewController(g *run.Group, d Deps, l inventory.Listed) *Controller {
 	d.Group = g
 	c := &Controller{d: d, listed: l, entries: map[conf.Item]*entry{}, reportAt: -1 << 62, polledAt: -1 << 62, stayingSince: -1, heldBefore: map[string]bool{}, traits: d.Replicas.Traits()}
@@ -142,14 +143,15 @@
 	return c
 }
 
-// Listed tells the controller what the platform says now.
+// SetListed passes the current listing of the replica by the platform to the controller.
 func (c *Controller) SetListed(l inventory.Listed) { _ = c.actor.Tell(func() { c.listed = l }) }
 
+// leaving reports whether the replica is leaving, by its listing, its report, a mark in gossip or a configured drain.
 func (c *Controller) leaving() bool {
 	return c.listed.Leaving || c.report.Leaving || inventory.Marked(c.d.Gossip, c.listed.ID) || c.d.Conf().Drained(c.listed.Labels, c.listed.Zone)
 }
 
-// work looks at the replica and carries on with what is to be done there.
+// reconcile polls the replica, advances the tasks and publishes the status.
 func (c *Controller) reconcile() {
 	key := Key(c.listed.ID)
 	if c.closed {
@@ -171,7 +173,7 @@
 	c.publish()
 }
 
-// takeOver starts from the book the owner before us kept.
+// takeOver starts from the contents that the previous lease holder stored.
 func (c *Controller) takeOver(epoch uint64) {
 	ctx, cancel := context.WithTimeout(c.d.Group.Context(), time.Second)
 	defer cancel()
@@ -185,14 +187,14 @@
 	now := c.d.Clock.Since()
 	var b Contents
 	if found && wire.Unpack(rec.Value, &b) == nil {
-		for item, l := range b.Entries {
-			// Why: what may have been ordered counts until the replica's own report says otherwise.
-			c.entries[conf.ParseItem(item)] = &entry{Entry: l, orderedAt: now, lastUsed: now, inherited: true}
+		for item, e := range b.Entries {
+			// A load that may have been ordered counts until the replica's own report shows otherwise.
+			c.entries[conf.ParseItem(item)] = &entry{Entry: e, orderedAt: now, lastUsed: now, inherited: true}
 		}
 	}
 }
 
-// Close ends control; the platform no longer lists the replica, or another core holds it.
+// Close stops the controller. gone says that the platform no longer lists the replica; otherwise another core holds its lease.
 func (c *Controller) Close(ctx context.Context, gone bool) {
 	_ = c.actor.Ask(ctx, func() {
 		c.closed = true
--- a/internal/place/order/estimate.go
+++ b/internal/place/order/estimate.go
@@ -11,8 +11,8 @@
 	"drumstall.example/internal/state"
 )
 
-// loadMs is how long a load takes here, as seen before or else as configured. A
-// model that the replica has held comes from its own disk.
+// loadMs returns the expected load time of a model on this replica, as observed or else as configured.
+// A model that the replica has held before is loaded from its own disk.
 func (c *Controller) loadMs(m conf.Model, name string) int {
 	switch {
 	case c.heldBefore[name] && c.msPerMibReload > 0:
@@ -23,7 +23,7 @@
 	return int(m.LoadFor.Milliseconds())
 }
 
-// readyMs is when an item that is taken on now will probably be there.
+// readyMs returns the estimated time until an item is loaded if its load is accepted now.
 func (c *Controller) readyMs(m conf.Model, item conf.Item) int {
 	if c.adapterOnly(item) && c.traits.AdaptersUnpaced {
 		return c.taskMs(m, item) + adapterMarginMs + c.remainingMs()
@@ -32,34 +32,34 @@
 }
 
 const (
-	// slowMargin, in ms, is what making room and the store's leave take on top of a load of a model.
+	// modelMarginMs is the time that freeing room and the grant of the weight store add to the load of a model.
 	modelMarginMs = 1500
-	// quickMargin, in ms, is what an adapter takes on top of its load where its model is.
+	// adapterMarginMs is the time that an adapter takes in addition to its load where its model is loaded.
 	adapterMarginMs = 200
-	// adapterMs is how long an adapter takes to load, until it has been seen.
+	// defaultAdapterMs is the assumed load time of an adapter until one was observed.
 	defaultAdapterMs = 300
-	// quickTasks is how many loads of adapters may wait at one replica.
+	// maxAdapterTasks is how many adapter loads may be pending at one replica.
 	maxAdapterTasks = 8
 )
 
-// quick says that a load takes no model from the store: it is an adapter's whose model is there.
+// adapterOnly reports whether a load needs only an adapter, because its model is loaded.
 func (c *Controller) adapterOnly(item conf.Item) bool {
 	base := c.entries[conf.Item{Model: item.Model}]
 	return item.Adapter != "" && base != nil && base.State == backend.Loaded
 }
 
-// queued counts the tasks that are quick, or those that are not.
-func (c *Controller) queued(quick bool) int {
+// queued counts the tasks that load only an adapter, or the other tasks.
+func (c *Controller) queued(adapterOnly bool) int {
 	n := 0
 	for i := range c.tasks.Len() {
-		if c.adapterOnly(c.tasks.At(i).item) == quick {
+		if c.adapterOnly(c.tasks.At(i).item) == adapterOnly {
 			n++
 		}
 	}
 	return n
 }
 
-// mostTasks is how many tasks of the same kind may wait for an item to be taken on.
+// maxTasks returns the number of pending tasks of the item's kind from which its load is refused.
 func (c *Controller) maxTasks(item conf.Item) int {
 	if c.adapterOnly(item) {
 		return maxAdapterTasks
@@ -67,22 +67,22 @@
 	return c.d.Cadence.Tasks
 }
 
-// taskMs is how long the loads of an item take, its model's included where that is not there.
+// taskMs returns the expected time of the loads of an item, including that of its model unless it is loaded.
 func (c *Controller) taskMs(m conf.Model, item conf.Item) int {
 	if item.Adapter == "" {
 		return c.loadMs(m, item.Model)
 	}
-	own := defaultAdapterMs
+	adapterMs := defaultAdapterMs
 	if c.adapterLoadTime > 0 {
-		own = int(c.adapterLoadTime.Milliseconds())
+		adapterMs = int(c.adapterLoadTime.Milliseconds())
 	}
 	if c.adapterOnly(item) {
-		return own
+		return adapterMs
 	}
-	return own + c.loadMs(m, item.Model)
+	return adapterMs + c.loadMs(m, item.Model)
 }
 
-// busyMs is how long the load that is under way still takes.
+// remainingMs returns the expected rest of the load that is in progress.
 func (c *Controller) remainingMs() int {
 	if c.tasks.Len() == 0 || c.tasks.Front().phase != phaseAwaitLoaded {
 		return 0
@@ -91,6 +91,7 @@
 	return max(0, c.taskMs(c.d.Conf().Models[t.item.Model], t.item)-int((c.d.Clock.Since()-t.phaseSince).Milliseconds()))
 }
 
+// observeLoad updates the observed load times after a load has completed.
 func (c *Controller) observeLoad(t *task, now time.Duration) {
 	m := c.d.Conf().Models[t.item.Model]
 	c.d.Log.Info("loaded", "replica", c.listed.ID, "item", t.item.String(), "tookMs", (now - t.phaseSince).Milliseconds(), "again", c.heldBefore[t.item.Model])
@@ -106,22 +107,23 @@
 	if m.SizeMib == 0 {
 		return
 	}
-	seen := &c.msPerMib
+	average := &c.msPerMib
 	if c.heldBefore[t.item.Model] && c.traits.KeepsOnDisk {
-		seen = &c.msPerMibReload
+		average = &c.msPerMibReload
 	}
 	took := float64((now - t.phaseSince).Milliseconds()) / float64(m.SizeMib)
-	if *seen == 0 {
-		*seen = took
+	if *average == 0 {
+		*average = took
 	}
-	*seen = 0.7**seen + 0.3*took
+	*average = 0.7**average + 0.3*took
 }
 
+// currentStamp returns the stamp of the last published status.
 func (c *Controller) currentStamp() state.Stamp {
 	return state.Stamp{Epoch: c.epoch, Version: c.version}
 }
 
-// publish tells the others what has changed.
+// publish puts the status of the replica into gossip if it has changed.
 func (c *Controller) publish() {
 	if c.epoch == 0 {
 		return
@@ -129,53 +131,53 @@
 	mib, places := c.plannedUse()
 	listed := c.listed
 	listed.Leaving = c.leaving()
-	n := Status{Listed: listed, Controller: c.d.Self, Items: map[string]string{}, CapacityMib: c.report.CapacityMib,
+	status := Status{Listed: listed, Controller: c.d.Self, Items: map[string]string{}, CapacityMib: c.report.CapacityMib,
 		FreeMib: c.report.CapacityMib - mib, AdapterPlaces: c.report.AdapterPlaces, AdapterFree: c.report.AdapterPlaces - places,
 		Slots: c.report.Slots, ServeMs: roundCoarse(int(c.report.ServeFor.Milliseconds())), Stale: !c.reportFresh()}
-	for item, l := range c.entries {
-		n.Items[item.String()] = l.State
+	for item, e := range c.entries {
+		status.Items[item.String()] = e.State
 	}
 	c.etas = c.estimateReady()
-	packed := wire.Pack([]any{n, c.etas})
+	packed := wire.Pack([]any{status, c.etas})
 	if c.version > 0 && bytes.Equal(packed, c.published) {
 		return
 	}
 	c.version++
 	c.published = packed
-	// Why: whoever reads it counts from when it came, so what is left is told anew with each status.
-	n.ReadyMs = map[string]int{}
+	// Receivers count from the arrival of the status, so the remaining times are computed for each status.
+	status.ReadyMs = map[string]int{}
 	for item, at := range c.etas {
-		n.ReadyMs[item] = int(max(0, at-c.d.Clock.Since()).Milliseconds())
+		status.ReadyMs[item] = int(max(0, at-c.d.Clock.Since()).Milliseconds())
 	}
-	c.d.Gossip.Put(gossip.Entry{Key: Key(c.listed.ID), Stamp: c.currentStamp(), Value: wire.Pack(n)})
+	c.d.Gossip.Put(gossip.Entry{Key: Key(c.listed.ID), Stamp: c.currentStamp(), Value: wire.Pack(status)})
 }
 
-// expect is when each item on its way will probably be there. What was said
-// before stands while it is about right, so that it makes no news.
+// estimateReady returns when each pending item is expected to be loaded. A published estimate is kept
+// while it differs by less than etaTolerance, so that small changes cause no new status.
 func (c *Controller) estimateReady() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	models := c.d.Conf().Models
-	now, sofar := c.d.Clock.Since(), time.Duration(0)
+	now, total := c.d.Clock.Since(), time.Duration(0)
 	for i := range c.tasks.Len() {
 		t := c.tasks.At(i)
 		if i > 0 {
-			sofar += 500 * time.Millisecond
+			total += 500 * time.Millisecond
 		}
 		load := time.Duration(c.taskMs(models[t.item.Model], t.item)) * time.Millisecond
 		if t.phase == phaseAwaitLoaded {
 			load = max(load-(now-t.phaseSince), 100*time.Millisecond)
 		}
-		sofar += t.storeWait + load
-		at := now + sofar
-		if was, said := c.etas[t.item.String()]; said && at-was < etaTolerance && was-at < etaTolerance {
-			at = was
+		total += t.storeWait + load
+		at := now + total
+		if previous, found := c.etas[t.item.String()]; found && at-previous < etaTolerance && previous-at < etaTolerance {
+			at = previous
 		}
 		out[t.item.String()] = at
 	}
 	return out
 }
 
-// coarse rounds so that small changes make no news.
+// roundCoarse rounds down so that small changes cause no new status.
 func roundCoarse(ms int) int {
 	for step := 10; ; step *= 2 {
 		if ms < step*10 {
--- a/internal/place/order/execute.go
+++ b/internal/place/order/execute.go
@@ -11,14 +11,14 @@
 	"drumstall.example/internal/state"
 )
 
-// order sends one order, if the lease allows it at this very moment.
-func (c *Controller) sendOrder(verb string, item conf.Item, size int, by time.Duration) error {
+// sendOrder sends one order if the lease allows it at this moment.
+func (c *Controller) sendOrder(verb string, item conf.Item, size int, timeout time.Duration) error {
 	c.orderCount++
 	ended := c.d.Owner.Ordering(Key(c.listed.ID))
 	defer ended()
 	epoch, left, ok := c.d.Owner.MayOrder(Key(c.listed.ID))
-	// Why: an order must be dead before the lease is, so it gets no more time than that.
-	left = min(left, by)
+	// An order must time out before the lease expires.
+	left = min(left, timeout)
 	if !ok || epoch != c.epoch || left < minOrderTime {
 		return backend.ErrRefused
 	}
@@ -30,7 +30,7 @@
 	return err
 }
 
-// advance takes the task in front as far as it goes now.
+// advance moves the front task through as many phases as it can pass now.
 func (c *Controller) advance() {
 	for range maxSteps {
 		if c.tasks.Len() == 0 {
@@ -49,9 +49,10 @@
 	}
 }
 
+// enter moves the task to a phase.
 func (t *task) enter(p phase, now time.Duration) { t.phase, t.phaseSince, t.polls = p, now, 0 }
 
-// step carries a task on by at most one phase.
+// stepTask advances a task by at most one phase.
 func (c *Controller) stepTask(t *task) {
 	now := c.d.Clock.Since()
 	if c.leaving() && t.phase < phaseAwaitUnloaded {
@@ -60,7 +61,7 @@
 	}
 	if !c.reportFresh() {
 		if now-t.acceptedAt > waitTimeout {
-			c.failFront("no report")
+			c.failFront("no fresh report")
 		}
 		return
 	}
@@ -73,7 +74,7 @@
 		case len(t.victims) == 0:
 			t.enter(phaseAwaitGrant, now)
 		case c.traits.WaitsForRuns:
-			// Why: the replica itself lets what runs end first and turns away what comes, so nobody need have heard.
+			// The replica itself waits for running requests and rejects new ones, so no acknowledgement is required.
 			c.unloadVictims(t, now)
 		default:
 			t.enter(phaseAwaitAcks, now)
@@ -87,7 +88,7 @@
 			return
 		}
 		if now-t.phaseSince > idleTimeout {
-			c.failFront("victims stay in use")
+			c.failFront("victims are still in use")
 			return
 		}
 		if !c.victimsInUse(t, now) {
@@ -102,11 +103,11 @@
 	}
 }
 
-// inUse says whether anybody still uses what is to go.
+// victimsInUse reports whether requests are in flight at any victim of the task.
 func (c *Controller) victimsInUse(t *task, now time.Duration) bool {
 	for _, v := range t.victims {
-		for item, l := range c.entries {
-			if v.Covers(item) && (l.inflight > 0 || c.d.Reports.Inflight(c.listed.ID, item.String(), now) > 0) {
+		for item, e := range c.entries {
+			if v.Covers(item) && (e.inflight > 0 || c.d.Reports.Inflight(c.listed.ID, item.String(), now) > 0) {
 				return true
 			}
 		}
@@ -114,12 +115,12 @@
 	return false
 }
 
-// unload orders the victims away, one at a time where a replica takes no more.
+// unloadVictims orders the unloads of the victims, one at a time where a replica accepts only one order.
 func (c *Controller) unloadVictims(t *task, now time.Duration) {
 	for t.unloadsOrdered < len(t.victims) {
 		v := t.victims[t.unloadsOrdered]
-		l := c.entries[v]
-		if l == nil {
+		e := c.entries[v]
+		if e == nil {
 			t.unloadsOrdered++
 			continue
 		}
@@ -127,9 +128,9 @@
 		if v.Adapter != "" {
 			verb = backend.UnloadAdapter
 		}
-		// Why: only a load may show later than it was ordered. What is reported gone is gone, and the load that
-		// waits for its room need not wait out a doubt.
-		if err := c.sendOrder(verb, v, l.SizeMib, orderTimeout); err != nil {
+		// Only the effect of a load may show later than its order. An item that is missing in a report is unloaded, so
+		// the load that waits for its room need not wait for outcomeTimeout.
+		if err := c.sendOrder(verb, v, e.SizeMib, orderTimeout); err != nil {
 			if !backend.IsBusy(err) {
 				c.failFront("unload: " + err.Error())
 			}
@@ -143,7 +144,7 @@
 	t.enter(phaseAwaitUnloaded, now)
 }
 
-// seeGone waits until a report no longer shows the victims.
+// awaitUnloaded waits until a report no longer shows the victims.
 func (c *Controller) awaitUnloaded(t *task, now time.Duration) {
 	left := 0
 	for _, v := range t.victims[:t.unloadsOrdered] {
@@ -153,7 +154,7 @@
 	}
 	switch {
 	case left > 0 && now-t.phaseSince > unloadTimeout:
-		c.failFront("victims do not go")
+		c.failFront("victims were not unloaded")
 	case left > 0:
 	case t.unloadsOrdered < len(t.victims):
 		c.unloadVictims(t, now)
@@ -162,78 +163,78 @@
 	}
 }
 
-// seeLoaded waits until a report shows what was ordered.
+// awaitLoaded waits until a report shows the ordered item as loaded.
 func (c *Controller) awaitLoaded(t *task, now time.Duration) {
-	l := c.entries[t.item]
+	e := c.entries[t.item]
 	base := c.entries[conf.Item{Model: t.item.Model}]
 	m := c.d.Conf().Models[t.item.Model]
 	switch {
-	case l != nil && l.State == backend.Loaded:
+	case e != nil && e.State == backend.Loaded:
 		c.observeLoad(t, now)
 		c.tasks.PopFront()
-	case t.item.Adapter != "" && base != nil && base.State == backend.Loaded && l != nil && l.State == Reserved:
+	case t.item.Adapter != "" && base != nil && base.State == backend.Loaded && e != nil && e.State == Reserved:
 		t.enter(phaseAwaitGrant, now)
 	case now-t.phaseSince > 5*m.LoadFor+30*time.Second:
-		c.failFront("load takes too long")
-	case l == nil || l.State == Reserved && now-t.phaseSince > outcomeTimeout && base == nil:
+		c.failFront("load timed out")
+	case e == nil || e.State == Reserved && now-t.phaseSince > outcomeTimeout && base == nil:
 		c.failFront("load did not start")
 	}
 }
 
-// load asks for the store's leave and orders the model, then the adapter.
+// startLoad requests a grant of the weight store and orders the load of the model, then of the adapter.
 func (c *Controller) startLoad(t *task, now time.Duration) {
 	if now-t.phaseSince > waitTimeout {
-		c.failFront("the store had no room")
+		c.failFront("timed out waiting for a grant of the weight store")
 		return
 	}
-	verb, what := backend.Load, conf.Item{Model: t.item.Model}
-	if base := c.entries[what]; t.item.Adapter != "" && base != nil && base.State != Reserved {
+	verb, target := backend.Load, conf.Item{Model: t.item.Model}
+	if base := c.entries[target]; t.item.Adapter != "" && base != nil && base.State != Reserved {
 		if base.State != backend.Loaded {
 			t.enter(phaseAwaitLoaded, now)
 			return
 		}
-		verb, what = backend.LoadAdapter, t.item
+		verb, target = backend.LoadAdapter, t.item
 	}
-	l := c.entries[what]
-	if l == nil {
-		c.failFront("its room was given up")
+	e := c.entries[target]
+	if e == nil {
+		c.failFront("its reservation was released")
 		return
 	}
 	if now-c.reportAt > maxReportAge {
 		return
 	}
-	// Why: what is being carried out may have been ordered by an owner before us, for room that looks free.
+	// The order that is being carried out may come from a previous lease holder and use room that looks free.
 	if c.report.Busy && c.traits.OneOrder {
 		return
 	}
 	mib, places := c.currentUse()
-	// Why: tasks that come later have their victims still there; what counts now is what is there now.
-	if mib+l.SizeMib > c.report.CapacityMib || verb == backend.LoadAdapter && places+1 > c.report.AdapterPlaces {
+	// The victims of later tasks are still loaded, so only the current use counts here.
+	if mib+e.SizeMib > c.report.CapacityMib || verb == backend.LoadAdapter && places+1 > c.report.AdapterPlaces {
 		if now-t.phaseSince > unloadTimeout {
-			c.failFront("it does not fit any more")
+			c.failFront("the item does not fit any more")
 		}
 		return
 	}
-	by := orderTimeout
+	timeout := orderTimeout
 	if verb == backend.Load || !c.traits.AdaptersUnpaced {
 		asked := c.d.Clock.Since()
 		ctx, cancel := context.WithTimeout(c.d.Group.Context(), orderTimeout)
 		defer cancel()
-		wait, ok := c.d.Grant(ctx, GrantRequest{Who: c.loadID(what), StartID: c.startID(t), Penalty: t.penalty})
+		wait, ok := c.d.Grant(ctx, GrantRequest{Who: c.loadID(target), StartID: c.startID(t), Penalty: t.penalty})
 		t.storeWait = wait
 		if !ok {
 			return
 		}
-		// Why: a grant dies unused, and it began to live at the earliest when it was asked for.
-		by = pace.GrantTTL - (c.d.Clock.Since() - asked) - minOrderTime
-		if by < minOrderTime {
-			return // it came too late to be used; the load goes on waiting for another
+		// An unused grant expires; its lifetime started no earlier than when it was requested.
+		timeout = pace.GrantTTL - (c.d.Clock.Since() - asked) - minOrderTime
+		if timeout < minOrderTime {
+			return // the grant came too late to be used; the task requests another one
 		}
 	}
-	l.orderedAt = c.d.Clock.Since()
-	switch err := c.sendOrder(verb, what, l.SizeMib, by); {
+	e.orderedAt = c.d.Clock.Since()
+	switch err := c.sendOrder(verb, target, e.SizeMib, timeout); {
 	case err == nil, backend.IsUnsure(err):
-		l.State, l.unanswered, t.startID = backend.Loading, err != nil, ""
+		e.State, e.unanswered, t.startID = backend.Loading, err != nil, ""
 		t.enter(phaseAwaitLoaded, now)
 	case backend.IsBusy(err):
 	default:
@@ -241,7 +242,7 @@
 	}
 }
 
-// startOf names the load start that a task is to order next.
+// startID returns the ID of the load start that a task orders next.
 func (c *Controller) startID(t *task) string {
 	if t.startID == "" {
 		c.startCount++
@@ -250,19 +251,19 @@
 	return t.startID
 }
 
-// who names a load to the store's keeper.
+// loadID identifies a load to the rate limiter of the store.
 func (c *Controller) loadID(item conf.Item) string { return c.listed.ID + " " + item.String() }
 
-// afloat keeps the store's keeper in mind of loads that were ordered and that no
-// report has told of since.
+// reportOutstanding reports the loads that were ordered and that no report has shown since to the
+// rate limiter of the store.
 func (c *Controller) reportOutstanding() {
 	now := c.d.Clock.Since()
 	if now-c.outstandingReportedAt < outstandingInterval {
 		return
 	}
-	// Why: a report follows an order at the next look; until then the grant itself counts.
-	for item, l := range c.entries {
-		if l.State == backend.Loading && l.orderedAt >= c.reportAt && now-l.orderedAt > outstandingInterval {
+	// A report follows an order at the next poll; until then the grant itself counts.
+	for item, e := range c.entries {
+		if e.State == backend.Loading && e.orderedAt >= c.reportAt && now-e.orderedAt > outstandingInterval {
 			c.outstandingReportedAt = now
 			ctx, cancel := context.WithTimeout(c.d.Group.Context(), callTimeout)
 			c.d.Afloat(ctx, c.loadID(item))
@@ -271,7 +272,7 @@
 	}
 }
 
-// acked says whether every live proxy has this replica's status in force.
+// acknowledged reports whether every live proxy has applied this status of the replica, or a newer one.
 func (c *Controller) acknowledged(s state.Stamp) bool {
 	for agent := range c.d.LiveAgents() {
 		if got := c.d.Reports.Of(agent).Acked[c.listed.ID]; s.Newer(got) {
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -30,13 +30,14 @@
 	"drumstall.example/internal/state/owner"
 )
 
-// noted is a network that notes when each order begins to leave.
+// recordingNet is a network that records when each order is sent.
 type recordingNet struct {
 	wire.Net
 	mu     sync.Mutex
 	sentAt []time.Time
 }
 
+// recordingConn is a connection of a recordingNet.
 type recordingConn struct {
 	net.Conn
 	net *recordingNet
@@ -59,12 +60,12 @@
 	return c.Conn.Write(b)
 }
 
-// A lease runs out while a look of the controller is under way: it has asked the replica
-// and the store's keeper, both far off, and the order it meant to give must not leave any more.
+// A lease expires while the controller waits for the answers of a distant replica and a distant rate limiter.
+// The order that it was going to send must not be sent any more.
 func TestNoOrderIsSentAfterLeaseExpires(t *testing.T) {
 	orders := 0
 	for try := range 40 {
-		// Why: a bubble that fails ends the test it runs in.
+		// A synctest bubble that fails ends the test that it runs in, so each try is a subtest.
 		t.Run(fmt.Sprint("try=", try), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fabric := simnet.New(uint64(try), func(string, string) time.Duration { return 60 * time.Millisecond })
@@ -98,28 +99,28 @@
 					Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Others: func() Statuses { return Statuses{} },
 					LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 }, Afloat: func(context.Context, string) {},
 					Grant: func(context.Context, GrantRequest) (time.Duration, bool) {
-						time.Sleep(200 * time.Millisecond) // the keeper is far off
+						time.Sleep(200 * time.Millisecond) // the rate limiter is distant
 						return 0, true
 					}}, inventory.Listed{ID: "r", Addr: "10.0.0.2:9000", Model: true})
-				for taken := 0; taken < bounds.DefaultCadence().Tasks; {
+				for accepted := 0; accepted < bounds.DefaultCadence().Tasks; {
 					time.Sleep(50 * time.Millisecond)
 					for i := range 12 {
 						if a, err := ctl.Consider(t.Context(), ConsiderRequest{Replica: "r", Item: fmt.Sprint("m", i), SkipTest: true}); err == nil && a.Accepted {
-							taken++
+							accepted++
 						}
 					}
 				}
 				time.Sleep(time.Duration(100+37*try) * time.Millisecond)
-				// From here on nothing renews the lease, and the controller goes on with what it has been given to do.
+				// From here on nothing renews the lease, and the controller continues with its tasks.
 				held.Freeze()
 				_, left, _ := own.MayOrder(Key("r"))
-				over := time.Now().Add(left)
+				expiry := time.Now().Add(left)
 				time.Sleep(8 * time.Second)
 				out.mu.Lock()
 				for _, at := range out.sentAt {
 					orders++
-					if at.After(over) {
-						t.Errorf("try %d: an order left %v after the lease ran out", try, at.Sub(over))
+					if at.After(expiry) {
+						t.Errorf("try %d: an order was sent %v after the lease expired", try, at.Sub(expiry))
 					}
 				}
 				out.mu.Unlock()
@@ -133,6 +134,6 @@
 		})
 	}
 	if orders < 40 {
-		t.Errorf("only %d orders were seen, too few to prove anything", orders)
+		t.Errorf("only %d orders were sent, want at least 40 for a meaningful test", orders)
 	}
 }
--- a/internal/place/order/poll.go
+++ b/internal/place/order/poll.go
@@ -9,14 +9,15 @@
 	"drumstall.example/internal/inventory"
 )
 
+// reportFresh reports whether the last report is recent enough to act on.
 func (c *Controller) reportFresh() bool {
 	return c.hasReport && c.d.Clock.Since()-c.reportAt < 2*time.Second
 }
 
-// reports says whether the replica can be asked for reports.
+// canReport reports whether the replica can be asked for reports.
 func (c *Controller) canReport() bool { return c.listed.Model || c.traits.ServicesReport }
 
-// complete adds what the report leaves to the configuration.
+// fillFromConfig fills in what a report omits from the configuration of the service.
 func (c *Controller) fillFromConfig(v *backend.Report) {
 	if s, found := c.d.Conf().ServiceOf(c.listed.Labels); found {
 		if v.CapacityMib == 0 {
@@ -31,12 +32,12 @@
 	}
 }
 
-// sizeOf is the size of an item that a replica holds, by what its report tells or else by what is known, and whether
-// it is guessed. Why: what is held takes room for as long as it is held, whatever the newest configuration says
-// of it, or nothing.
-func (c *Controller) itemSize(item conf.Item, told int, held Entry) (mib int, guessed bool) {
-	if told > 0 {
-		return told, false
+// itemSize returns the size of an item that a replica holds, from its report or else from the configuration and the
+// earlier entry, and whether the size is guessed. A loaded item uses memory for as long as it is loaded, even if the
+// newest configuration gives a smaller size or no longer contains the item.
+func (c *Controller) itemSize(item conf.Item, reported int, held Entry) (mib int, guessed bool) {
+	if reported > 0 {
+		return reported, false
 	}
 	models := c.d.Conf().Models
 	known := configuredSize(models[item.Model], item)
@@ -50,15 +51,15 @@
 	for _, m := range models {
 		largest = max(largest, configuredSize(m, item))
 	}
-	for other, l := range c.entries {
-		if (other.Adapter == "") == (item.Adapter == "") && !l.SizeGuessed {
-			largest = max(largest, l.SizeMib)
+	for other, e := range c.entries {
+		if (other.Adapter == "") == (item.Adapter == "") && !e.SizeGuessed {
+			largest = max(largest, e.SizeMib)
 		}
 	}
 	return largest, true
 }
 
-// sizeIn is the size of a model, or of an adapter on it.
+// configuredSize returns the configured size of a model, or of an adapter on it.
 func configuredSize(m conf.Model, item conf.Item) int {
 	if item.Adapter == "" {
 		return m.SizeMib
@@ -66,34 +67,34 @@
 	return m.AdapterMib
 }
 
-// doubtFor is for how long after its order a load that no report shows counts
+// outcomeUnknownFor returns how long after its order a load that no report shows counts
 // as carried out.
-func (c *Controller) outcomeUnknownFor(l *entry) time.Duration {
-	if c.traits.TellsBusy && !l.unanswered && !l.inherited {
+func (c *Controller) outcomeUnknownFor(e *entry) time.Duration {
+	if c.traits.TellsBusy && !e.unanswered && !e.inherited {
 		return c.traits.ReportLag + outcomeMargin
 	}
 	return outcomeTimeout
 }
 
-// longSilence is from when on an order to a replica that was not heard may be held up on the way.
+// longSilence is the time without reports after which an order to the replica may be delayed in the network.
 const longSilence = time.Second
 
-// mayBegin is from when on a load that no report shows would show if it was carried out. Why: what an owner before
-// us ordered, or we with no answer, may lie on a way that is cut, and arrives when the replica is heard again.
-func (c *Controller) visibleFrom(l *entry) time.Duration {
-	if l.inherited || l.unanswered {
-		return max(l.orderedAt, c.reportsSince)
+// visibleFrom returns the time from which reports would show a load if it was carried out. An order of a previous
+// lease holder, or one that got no answer, may be delayed by a partition and arrive when the replica is reachable again.
+func (c *Controller) visibleFrom(e *entry) time.Duration {
+	if e.inherited || e.unanswered {
+		return max(e.orderedAt, c.reportsSince)
 	}
-	return l.orderedAt
+	return e.orderedAt
 }
 
-// look asks the replica how it is and brings the book in line.
+// poll requests a report from the replica and updates the entries.
 func (c *Controller) poll() {
 	ctx, cancel := context.WithTimeout(c.d.Group.Context(), callTimeout)
 	defer cancel()
-	asked := c.d.Clock.Since()
+	requestedAt := c.d.Clock.Since()
 	if !c.canReport() {
-		c.report, c.reportAt, c.hasReport = backend.Report{ID: c.listed.ID, Incarnation: c.listed.ID, Slots: c.listed.Slots}, asked, true
+		c.report, c.reportAt, c.hasReport = backend.Report{ID: c.listed.ID, Incarnation: c.listed.ID, Slots: c.listed.Slots}, requestedAt, true
 		return
 	}
 	v, err := c.d.Replicas.Report(ctx, c.listed.Target())
@@ -103,11 +104,11 @@
 		}
 		return
 	}
-	silent := c.failedReports > 0 || asked-c.reportAt >= longSilence
+	silent := c.failedReports > 0 || requestedAt-c.reportAt >= longSilence
 	c.failedReports = 0
 	c.fillFromConfig(&v)
 	if c.hasReport && v.Incarnation != c.report.Incarnation {
-		c.d.Log.Info("replica started anew", "replica", c.listed.ID)
+		c.d.Log.Info("replica restarted", "replica", c.listed.ID)
 		c.tasks.Clear()
 		c.entries = map[conf.Item]*entry{}
 	}
@@ -115,52 +116,52 @@
 		inventory.Mark(c.d.Gossip, c.listed.ID)
 	}
 	if !c.hasReport || silent {
-		c.reportsSince = asked
+		c.reportsSince = requestedAt
 	}
-	c.report, c.reportAt, c.hasReport = v, asked, true
+	c.report, c.reportAt, c.hasReport = v, requestedAt, true
 	for item, seen := range v.Items {
-		l := c.entries[item]
-		if l == nil {
-			l = &entry{lastUsed: asked}
-			c.entries[item] = l
+		e := c.entries[item]
+		if e == nil {
+			e = &entry{lastUsed: requestedAt}
+			c.entries[item] = e
 		}
-		l.SizeMib, l.SizeGuessed = c.itemSize(item, seen.SizeMib, l.Entry)
-		l.unanswered = false
+		e.SizeMib, e.SizeGuessed = c.itemSize(item, seen.SizeMib, e.Entry)
+		e.unanswered = false
 		if seen.Inflight > 0 {
-			l.lastUsed = asked
+			e.lastUsed = requestedAt
 		}
-		l.inflight = seen.Inflight
+		e.inflight = seen.Inflight
 		switch {
 		case seen.State != backend.Loaded:
-			l.State = seen.State
-		case l.State != Withdrawn || !c.isVictim(item):
-			if l.State == backend.Loading {
-				l.loadedAt = asked
+			e.State = seen.State
+		case e.State != Withdrawn || !c.isVictim(item):
+			if e.State == backend.Loading {
+				e.loadedAt = requestedAt
 			}
-			l.State = backend.Loaded
+			e.State = backend.Loaded
 		}
 	}
-	for item, l := range c.entries {
-		if _, there := v.Items[item]; there || c.hasTaskFor(item) {
+	for item, e := range c.entries {
+		if _, present := v.Items[item]; present || c.hasTaskFor(item) {
 			continue
 		}
-		// Why: an order whose outcome is not known counts as carried out until a later report denies it.
-		// Why: what an owner before us may have ordered stands in the book as room kept, and may be loading just now.
-		if asked-c.visibleFrom(l) < c.outcomeUnknownFor(l) || v.Busy && (l.State == backend.Loading || l.inherited) {
+		// An order with an unknown outcome counts as carried out until a later report shows otherwise. A load that
+		// a previous lease holder may have ordered has a Reserved entry and may be running now.
+		if requestedAt-c.visibleFrom(e) < c.outcomeUnknownFor(e) || v.Busy && (e.State == backend.Loading || e.inherited) {
 			continue
 		}
-		if item.Adapter == "" && (l.State == Withdrawn || l.State == backend.Loaded) {
+		if item.Adapter == "" && (e.State == Withdrawn || e.State == backend.Loaded) {
 			c.heldBefore[item.Model] = true
 		}
 		delete(c.entries, item)
 	}
 }
 
-// unmark takes a leaving mark back after the replica has been listed as
-// staying, by a platform heard just now, for a while.
+// clearLeavingMark removes the leaving mark of a replica after a platform that was in contact
+// has listed it as staying for 5 s.
 func (c *Controller) clearLeavingMark() {
 	now := c.d.Clock.Since()
-	// Why: a platform not heard is not one that says the replica stays.
+	// A platform without recent contact does not confirm that the replica stays.
 	if c.d.PlatformAge() > 2*time.Second || c.listed.Leaving || !c.hasReport || c.report.Leaving || !inventory.Marked(c.d.Gossip, c.listed.ID) {
 		c.stayingSince = -1
 		return
--- a/internal/place/order/poll_test.go
+++ b/internal/place/order/poll_test.go
@@ -23,7 +23,7 @@
 	"drumstall.example/internal/state/owner"
 )
 
-// countedReplica holds nothing, and counts how often it is asked for its report.
+// countingReplica counts the requests for its report and the orders; it holds nothing until loaded is set.
 type countingReplica struct {
 	polls  atomic.Int64
 	orders atomic.Int64
@@ -48,61 +48,62 @@
 
 func (r *countingReplica) Traits() backend.Traits { return backend.Traits{} }
 
-// controlled plays a controller of a replica that waits for the store's leave as it is told.
-func runController(t *testing.T, replica backend.Client, grant func(context.Context, GrantRequest) (time.Duration, bool), play func(t *testing.T, ctl *Controller)) {
+// runController runs a test with the controller of a replica whose grants come from the given function.
+func runController(t *testing.T, replica backend.Client, grant func(context.Context, GrantRequest) (time.Duration, bool), test func(t *testing.T, ctl *Controller)) {
 	t.Helper()
 	simstate.Play(t, vfs.NewMem(), func(t *testing.T, g *run.Group, own *owner.Owner) {
 		cadence := bounds.DefaultCadence()
 		cadence.ReplicaIdle, cadence.ReplicaBusy = 700*time.Millisecond, 40*time.Millisecond
 		cfg := conf.Empty()
 		cfg.Models = map[string]conf.Model{"m": {SizeMib: 10, LoadFor: time.Second, ServeFor: time.Second}}
-		play(t, NewController(g, Deps{Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "a", Boot: "b", Cadence: cadence, Replicas: replica, Owner: own,
+		test(t, NewController(g, Deps{Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "a", Boot: "b", Cadence: cadence, Replicas: replica, Owner: own,
 			Gossip: gossip.NewTable(), Reports: report.NewTable(), Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 },
 			Others: func() Statuses { return Statuses{} }, LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 },
 			Afloat: func(context.Context, string) {}, Grant: grant}, inventory.Listed{ID: "r", Addr: "10.0.0.2:9000", Model: true}))
 	})
 }
 
-// atOnce is the store's leave, given at once.
+// grantAtOnce grants every load immediately.
 func grantAtOnce(context.Context, GrantRequest) (time.Duration, bool) { return 0, true }
 
-// A controller looks at an idle replica in the long interval, at different moments for different replicas, and in the
-// short one as soon as it carries something out.
+// A controller polls an idle replica at the long interval, with jitter, and at the short interval
+// while a task runs.
 func TestReplicaIsPolledOftenOnlyWhileTaskRuns(t *testing.T) {
 	replica := &countingReplica{}
 	runController(t, replica, grantAtOnce, func(t *testing.T, ctl *Controller) {
-		looksIn := func(while time.Duration) int64 {
+		pollsIn := func(duration time.Duration) int64 {
 			before := replica.polls.Load()
-			time.Sleep(while)
+			time.Sleep(duration)
 			return replica.polls.Load() - before
 		}
 		time.Sleep(time.Second)
-		if looks := looksIn(14 * time.Second); looks < 16 || looks > 24 {
-			t.Errorf("%d looks at an idle replica in 14 s, 20 are due", looks)
+		if polls := pollsIn(14 * time.Second); polls < 16 || polls > 24 {
+			t.Errorf("%d polls of an idle replica in 14 s, want about 20", polls)
 		}
 		a, err := ctl.Consider(t.Context(), ConsiderRequest{Replica: "r", Item: "m", SkipTest: true})
 		if err != nil || !a.Accepted {
 			t.Fatal(fmt.Sprintf("%+v", a), err)
 		}
-		if looks := looksIn(time.Second); looks < 20 || looks > 27 {
-			t.Errorf("%d looks in a second while a load is under way, 25 are due", looks)
+		if polls := pollsIn(time.Second); polls < 20 || polls > 27 {
+			t.Errorf("%d polls in a second during a load, want about 25", polls)
 		}
 		replica.loaded.Store(true)
 		time.Sleep(100 * time.Millisecond)
-		if looks := looksIn(7 * time.Second); looks < 8 || looks > 12 {
-			t.Errorf("%d looks in 7 s after the load, 10 are due", looks)
+		if polls := pollsIn(7 * time.Second); polls < 8 || polls > 12 {
+			t.Errorf("%d polls in 7 s after the load, want about 10", polls)
 		}
 	})
 }
 
-// A load whose leave came too late to be used was given up, with its victims gone, and had to be decided on anew.
+// A grant that arrives too late to be used must not drop the task: its victims are already unloaded, and the load would
+// have to be decided again.
 func TestLoadRetriesAfterLateGrant(t *testing.T) {
 	replica := &countingReplica{}
-	asked := 0
+	requests := 0
 	starts := map[string]bool{}
 	late := func(_ context.Context, l GrantRequest) (time.Duration, bool) {
 		starts[l.StartID] = true
-		if asked++; asked == 1 {
+		if requests++; requests == 1 {
 			time.Sleep(490 * time.Millisecond)
 		}
 		return 0, true
@@ -115,10 +116,10 @@
 		}
 		time.Sleep(time.Second)
 		if orders := replica.orders.Load(); orders != 1 {
-			t.Errorf("%d orders a second after the load was decided on, though leave was given twice", orders)
+			t.Errorf("%d orders a second after the load was accepted and a second grant was given, want 1", orders)
 		}
 		if len(starts) != 1 {
-			t.Errorf("leave for one start was asked for under %d names", len(starts))
+			t.Errorf("grants for one start were requested with %d IDs, want 1", len(starts))
 		}
 	})
 }
--- a/internal/place/order/pollschedule.go
+++ b/internal/place/order/pollschedule.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// surely is the part of the time that a load takes as a rule before which it is never done.
+// minLoadFraction is the fraction of the expected load time before which a load is assumed not to complete.
 const minLoadFraction = 0.9
 
-// lookPart is which part of the time since an order may pass from one look to the next. Why: what has taken long
-// already may be seen a little later; that costs it a small part of its time, and spares half of the looks at a load.
+// pollBackoffDivisor bounds the interval between polls to this part of the time since the order. A task that has taken
+// long may be seen to complete a little later: that costs a small part of its time and saves half of the polls during a load.
 const pollBackoffDivisor = 32
 
-// expects is when a report may next show that the task in front has got on. Why: a
-// report tells how things stood a while ago, and what it cannot show yet need not be asked for.
+// nextProgressAt returns when a report may next show progress of the front task. A report describes
+// the replica of a moment ago, so polling before that time is useless.
 func (c *Controller) nextProgressAt() time.Duration {
 	if c.tasks.Len() == 0 || !c.traits.TellsBusy {
 		return 0
 	}
 	t := c.tasks.Front()
-	first := time.Duration(0)
+	earliest := time.Duration(0)
 	switch {
 	case t.phase == phaseAwaitUnloaded, t.phase == phaseAwaitLoaded && c.adapterOnly(t.item):
-		first = t.phaseSince + c.delay.shortest
+		earliest = t.phaseSince + c.delay.shortest
 	case t.phase == phaseAwaitLoaded:
 		load := time.Duration(c.loadMs(c.d.Conf().Models[t.item.Model], t.item.Model)) * time.Millisecond
-		first = t.phaseSince + time.Duration(minLoadFraction*float64(load))
+		earliest = t.phaseSince + time.Duration(minLoadFraction*float64(load))
 	default:
 		return 0
 	}
 	if c.polledAt <= t.phaseSince {
-		return first
+		return earliest
 	}
-	return max(first, c.polledAt+(c.polledAt-t.phaseSince)/pollBackoffDivisor)
+	return max(earliest, c.polledAt+(c.polledAt-t.phaseSince)/pollBackoffDivisor)
 }
 
-// idleSpread is the part of the time between two looks at an idle replica by which it varies. Why: controllers that
-// begin together would go on asking all their replicas at the same moment.
+// idleJitterDivisor is the part of the interval between polls of an idle replica by which the interval varies. Without
+// jitter, controllers that start together would keep polling all their replicas at the same moment.
 const idleJitterDivisor = 8
 
-// leastGap is the least time between two looks, however long each takes.
+// minPollGap is the minimum time from the end of one poll to the next.
 const minPollGap = 10 * time.Millisecond
 
-// untilNextLook is when the replica is to be looked at next, from now. Why: a core of a large fleet controls many replicas
-// and most have nothing to do; a controller that woke up in each short interval took more time than its looks.
+// untilNextPoll returns the time from now until the next poll. A core of a large fleet controls many replicas, most of
+// them without tasks; waking every controller at the short interval took more processor time than the polls themselves.
 func (c *Controller) untilNextPoll() time.Duration {
 	now := c.d.Clock.Since()
 	soonest := c.polledAt + c.d.Cadence.ReplicaBusy
@@ -58,30 +58,31 @@
 	return max(minPollGap, min(latest, max(soonest, c.nextProgressAt()))-now)
 }
 
-// looked notes that a report which was asked for after the task's last order has come.
+// countPoll counts a report that was requested after the task's last order.
 func (c *Controller) countPoll(t *task) {
 	if (t.phase == phaseAwaitUnloaded || t.phase == phaseAwaitLoaded) && c.reportAt > t.phaseSince {
 		t.polls++
 	}
 }
 
-// learnDelay learns from a load of next to no time how late reports are.
+// observeReportDelay learns from an adapter load, which takes almost no time, how late reports are.
 func (c *Controller) observeReportDelay(t *task) {
 	c.delay.observe(t.polls, c.reportAt-t.phaseSince, c.d.Cadence.ReplicaBusy)
 }
 
-// reportDelay is after how long a replica's reports show what was done there at once,
-// at the earliest, as seen of late; 0 is not known.
+// reportDelay is the shortest recent delay until a replica's reports show a change that takes effect
+// at once; 0 if unknown.
 type reportDelay struct{ shortest time.Duration }
 
-// mostDelay bounds what is waited for without asking. Why: a load that took long once must not keep
-// the next one waiting.
+// maxReportDelay bounds the time without polls. One slow load must not delay the detection of
+// the next one.
 const maxReportDelay = 250 * time.Millisecond
 
-// learn takes that a report asked for after a time was the first to show it, by so many looks, one a step.
-// Why: what the first look showed may have been there earlier; what came at a later one was not there a step before.
-func (r *reportDelay) observe(looks int, after, step time.Duration) {
-	if looks <= 1 {
+// observe records that the first report to show a change was requested the time after its order, and was the result
+// of that many polls, one in each step. A change that the first poll shows may have been visible earlier, so the delay
+// is reduced; a change that a later poll shows was not visible one step before.
+func (r *reportDelay) observe(polls int, after, step time.Duration) {
+	if polls <= 1 {
 		r.shortest = r.shortest * 3 / 4
 		return
 	}
--- a/internal/place/order/priority_test.go
+++ b/internal/place/order/priority_test.go
@@ -10,8 +10,8 @@
 	"drumstall.example/internal/kernel/ring"
 )
 
-// fullController controls a replica of 100 MiB with the models that are loaded and
-// the tasks that wait, in their order; each task's model has its size reserved.
+// fullController returns the controller of a replica of 100 MiB with the given loaded models and
+// pending tasks, in their order; room is reserved for the model of each task.
 func fullController(now time.Duration, loaded map[string]int, tasks ...*task) *Controller {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{}
@@ -32,10 +32,11 @@
 	return ctl
 }
 
+// modelItem returns the item of a model.
 func modelItem(name string) conf.Item { return conf.Item{Model: name} }
 
-// A task was once overtaken by one that took the room it had counted on. It stood in front of the one whose
-// victim would make room again, and both waited until the front was given up.
+// A front task whose room was taken by a task that overtook it must yield to the task behind it whose victim
+// frees room again. Otherwise both wait until the front task is dropped.
 func TestBlockedFrontTaskYieldsToTaskThatFreesRoom(t *testing.T) {
 	const now = time.Minute
 	first := &task{item: modelItem("first"), phase: phaseAwaitGrant, acceptedAt: now, penalty: 9}
@@ -43,33 +44,33 @@
 	ctl := fullController(now, map[string]int{"busy": 50, "overtook": 10, "idle": 40}, first, second)
 	ctl.prioritize(now)
 	if got := ctl.tasks.Front(); got != second {
-		t.Errorf("%v is in front, which does not fit", got.item)
+		t.Errorf("front task is %v, which does not fit", got.item)
 	}
-	// Once the room is made, the room of the other is its own, and the dearer one waits for what it leaves over.
+	// The room that the second task has freed is reserved for it, and the task with the higher penalty waits for the rest.
 	delete(ctl.entries, modelItem("idle"))
 	second.phase = phaseAwaitGrant
 	ctl.prioritize(now)
 	if got := ctl.tasks.Front(); got != second {
-		t.Errorf("%v takes the room that another has made", got.item)
+		t.Errorf("%v takes the room that another task has freed", got.item)
 	}
 }
 
-// A front that does not fit keeps its place where nothing else does either.
+// A front task that does not fit keeps its place if no other task fits either.
 func TestFrontTaskStaysWhenNoTaskFits(t *testing.T) {
 	const now = time.Minute
 	first := &task{item: modelItem("first"), acceptedAt: now, penalty: 1}
 	ctl := fullController(now, map[string]int{"busy": 95}, first, &task{item: modelItem("second"), acceptedAt: now, penalty: 9})
 	ctl.prioritize(now)
 	if got := ctl.tasks.Front(); got != first {
-		t.Errorf("%v is in front", got.item)
+		t.Errorf("front task is %v", got.item)
 	}
 }
 
-// Giving up one that waited too long once took others along, and the controller went on counting
-// those that had been there before.
+// Dropping an expired task may drop other tasks too. The loop over the tasks must not keep counting the tasks
+// that were there before.
 func TestDropExpiredMayDropAllTasks(t *testing.T) {
 	const now = 2 * waitTimeout
-	// All count on the room of the last one's victim.
+	// All tasks count on the room of the last task's victim.
 	ctl := fullController(now, map[string]int{"busy": 40, "idle": 60},
 		&task{item: modelItem("first"), acceptedAt: now},
 		&task{item: modelItem("second")},
--- a/internal/place/order/room_test.go
+++ b/internal/place/order/room_test.go
@@ -15,14 +15,14 @@
 	"drumstall.example/internal/sim/simhost"
 )
 
-// looking is a controller that looks at a replica and orders nothing; cfg is the configuration in force.
+// newPollingController returns a controller that polls a replica and sends no orders; cfg is the current configuration.
 func newPollingController(t *testing.T, replica *fakeReplica, cfg *conf.Effective) *Controller {
 	return &Controller{d: Deps{Group: run.NewGroup(t.Context()), Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Replicas: replica,
 		Gossip: gossip.NewTable(), Conf: func() conf.Effective { return *cfg }}, listed: inventory.Listed{ID: "r", Addr: "10.0.0.1:1", Model: true},
 		entries: map[conf.Item]*entry{}, heldBefore: map[string]bool{}, traits: replica.Traits()}
 }
 
-// configured is a configuration with models of some sizes.
+// configWithSizes returns a configuration with models of the given sizes.
 func configWithSizes(sizes map[string]int) conf.Effective {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{}
@@ -32,7 +32,7 @@
 	return cfg
 }
 
-// A model leaves the configuration while a replica holds it.
+// A loaded model that is removed from the configuration, or configured with a smaller size, still uses its memory.
 func TestLoadedItemUsesMemoryAfterRemovalFromConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		both, one, smaller := configWithSizes(map[string]int{"a": 40, "b": 30}), configWithSizes(map[string]int{"b": 30}), configWithSizes(map[string]int{"a": 10, "b": 30})
@@ -43,24 +43,24 @@
 			t.Helper()
 			ctl.poll()
 			if mib, places := ctl.currentUse(); mib != wantMib || places != wantPlaces {
-				t.Errorf("%s: %d MiB and %d places count as taken, not %d and %d", when, mib, places, wantMib, wantPlaces)
+				t.Errorf("%s: %d MiB and %d places are in use, want %d and %d", when, mib, places, wantMib, wantPlaces)
 			}
 		}
 		expect("while it is configured", 44, 1)
 		cfg = one
-		expect("when it has left the configuration", 44, 1)
+		expect("after its removal from the configuration", 44, 1)
 		cfg = smaller
-		expect("when it is said to be smaller", 44, 1)
-		// Another controller, whose book says nothing of it, takes it for as large as the largest.
+		expect("when a smaller size is configured", 44, 1)
+		// A new controller without an entry for the model assumes the largest known size.
 		cfg = one
 		ctl = newPollingController(t, replica, &cfg)
-		expect("where nobody knows its size", 33, 1)
+		expect("while its size is unknown", 33, 1)
 		cfg = both
-		expect("when its size is told", 44, 1)
+		expect("when its size is configured again", 44, 1)
 	})
 }
 
-// An order of the owner before lies on a way that is cut; it arrives when the replica is heard again,
+// An order of the previous lease holder is delayed by a partition. It arrives when the replica is reachable again,
 // and shows in reports some time after that.
 func TestOrderDelayedByPartitionKeepsItsMemory(t *testing.T) {
 	for _, cut := range []time.Duration{0, time.Second, 3 * time.Second, 5 * time.Second, 30 * time.Second} {
@@ -77,7 +77,7 @@
 				for range 25 {
 					ctl.poll()
 					if mib, _ := ctl.currentUse(); mib != 40 {
-						t.Fatalf("cut %v, inherited %v: %d MiB count as taken", cut, inherited, mib)
+						t.Fatalf("cut %v, inherited %v: %d MiB are in use, want 40", cut, inherited, mib)
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
@@ -86,7 +86,7 @@
 					ctl.poll()
 				}
 				if mib, _ := ctl.currentUse(); mib != 0 {
-					t.Errorf("cut %v, inherited %v: %d MiB count as taken though nothing came of the order", cut, inherited, mib)
+					t.Errorf("cut %v, inherited %v: %d MiB are in use though the order was never carried out", cut, inherited, mib)
 				}
 			})
 		}
--- a/internal/place/order/schedule_test.go
+++ b/internal/place/order/schedule_test.go
@@ -12,13 +12,14 @@
 	"drumstall.example/internal/state/owner"
 )
 
+// fakeClock is a clock that the test sets.
 type fakeClock struct{ now time.Duration }
 
 func (c *fakeClock) Since() time.Duration { return c.now }
 func (c *fakeClock) Wall() time.Time      { return time.Time{} }
 
-// What is told of a load on its way stays where it is in time. It was once told
-// as so many ms from whenever the status came, and moved on with every status.
+// The estimated completion time of a pending load stays constant while nothing changes. An estimate
+// relative to the arrival of each status would move later with every status.
 func TestReadyEstimateStaysStable(t *testing.T) {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{"m": {LoadFor: 2 * time.Second}, "n": {LoadFor: 3 * time.Second}}
@@ -30,41 +31,41 @@
 	first := ctl.estimateReady()
 	ctl.etas = first
 	want := map[string]time.Duration{"m": time.Minute + 6*time.Second, "n": time.Minute + 9500*time.Millisecond}
-	same := func(when string) {
+	expectSame := func(when string) {
 		t.Helper()
 		ctl.etas = ctl.estimateReady()
 		for item, at := range want {
 			if ctl.etas[item] != at {
-				t.Errorf("%s: %s is expected at %v, want %v", when, item, ctl.etas[item], at)
+				t.Errorf("%s: %s is estimated for %v, want %v", when, item, ctl.etas[item], at)
 			}
 		}
 	}
-	same("at once")
-	// The store's keeper counts down, give or take a little.
+	expectSame("at once")
+	// The wait for the grant counts down.
 	for range 20 {
 		c.now += 200 * time.Millisecond
 		front.storeWait = max(0, front.storeWait-200*time.Millisecond)
-		same("while it waits")
+		expectSame("while it waits")
 	}
 	front.phase, front.phaseSince = phaseAwaitLoaded, c.now
 	for range 8 {
 		c.now += 200 * time.Millisecond
-		same("while it is loaded")
+		expectSame("while it is loaded")
 	}
-	// Somebody dearer came first.
+	// A load with a higher penalty is granted first.
 	front.phase, front.storeWait = phaseAwaitGrant, 5*time.Second
 	ctl.etas = ctl.estimateReady()
-	if later := ctl.etas["m"]; later != c.now+7*time.Second {
-		t.Errorf("it is expected at %v, want %v", later, c.now+7*time.Second)
+	if eta := ctl.etas["m"]; eta != c.now+7*time.Second {
+		t.Errorf("the item is estimated for %v, want %v", eta, c.now+7*time.Second)
 	}
 }
 
-// The dearest load goes first, unless what is in front has begun, or it needs the
-// room that another's victims will leave over; and what it is worth follows who asks.
+// The task with the highest penalty runs first, unless the front task has orders in progress or the
+// task needs room that another task's victims will free. Penalties follow the predicted requests.
 func TestTaskWithHighestPenaltyRunsFirst(t *testing.T) {
 	c := &fakeClock{time.Minute}
-	asked := map[string]float64{"m": 10, "n": 1, "o": 40}
-	ctl := &Controller{d: Deps{Clock: c, Conf: conf.Empty, PredictedRequests: func(it string) float64 { return asked[it] }}, entries: map[conf.Item]*entry{}}
+	requests := map[string]float64{"m": 10, "n": 1, "o": 40}
+	ctl := &Controller{d: Deps{Clock: c, Conf: conf.Empty, PredictedRequests: func(it string) float64 { return requests[it] }}, entries: map[conf.Item]*entry{}}
 	ctl.report.CapacityMib = 100
 	put := func(item, state string, mib int) {
 		ctl.entries[conf.Item{Model: item}] = &entry{Entry: Entry{State: state, SizeMib: mib}}
@@ -73,38 +74,38 @@
 	put("n", Reserved, 30)
 	put("m", Reserved, 20)
 	put("o", Reserved, 40)
-	// n's victim leaves room over for o; m fits as it is.
+	// n's victim also frees the room for o; m fits without it.
 	ctl.tasks.PushBack(&task{item: conf.Item{Model: "n"}, requestCost: time.Second, acceptedAt: c.now, victims: []conf.Item{{Model: "old"}}})
 	ctl.tasks.PushBack(&task{item: conf.Item{Model: "o"}, requestCost: time.Second, acceptedAt: c.now})
 	ctl.tasks.PushBack(&task{item: conf.Item{Model: "m"}, requestCost: time.Second, acceptedAt: c.now})
-	first := func(want string) {
+	expectFirst := func(want string) {
 		t.Helper()
 		ctl.prioritize(c.now)
 		if got := ctl.tasks.Front().item.Model; got != want {
-			t.Errorf("%s goes first, want %s", got, want)
+			t.Errorf("task %s is first, want %s", got, want)
 		}
 	}
-	first("m")
-	asked["m"], asked["n"] = 1, 30 // others have begun to ask
-	first("n")
-	ctl.tasks.Front().phase = phaseAwaitUnloaded // it moves things
-	asked["m"] = 90
-	first("n")
+	expectFirst("m")
+	requests["m"], requests["n"] = 1, 30 // requests for n arrive
+	expectFirst("n")
+	ctl.tasks.Front().phase = phaseAwaitUnloaded // its orders are in progress
+	requests["m"] = 90
+	expectFirst("n")
 	delete(ctl.entries, conf.Item{Model: "old"})
 	ctl.tasks.Front().phase = phaseAwaitGrant
-	first("m")
-	asked["m"] = 20 // o is worth more and there is room now
-	first("o")
-	asked["m"] = 45 // not by enough to change
-	first("o")
-	// n's room is made; m would take it, and the room that m and o count on is not there yet. Nor does o hold n up.
+	expectFirst("m")
+	requests["m"] = 20 // o has a higher penalty and there is room now
+	expectFirst("o")
+	requests["m"] = 45 // not enough of a difference to overtake
+	expectFirst("o")
+	// The room for n is free and m would take it; the room that m and o count on is not free yet. o does not block n either.
 	put("older", Withdrawn, 60)
-	asked["m"] = 400
-	first("n")
+	requests["m"] = 400
+	expectFirst("n")
 }
 
-// A load is given up whose victims would have left room for another: that one goes
-// with it, and those that have their own room stay.
+// When a task is dropped whose victims would also have freed the room for another task, that task is dropped
+// too, and tasks with room of their own stay.
 func TestTaskIsDroppedWithTheTaskWhoseRoomItNeeds(t *testing.T) {
 	g := run.NewGroup(t.Context())
 	g.Stop()
@@ -121,53 +122,53 @@
 	ctl.tasks.PushBack(&task{item: conf.Item{Model: "m"}, victims: []conf.Item{{Model: "old"}}})
 	ctl.tasks.PushBack(&task{item: conf.Item{Model: "n"}})
 	ctl.tasks.PushBack(&task{item: conf.Item{Model: "o"}})
-	ctl.abandon(0, "the store had no room")
+	ctl.abandon(0, "timed out waiting for a grant of the weight store")
 	if ctl.tasks.Len() != 1 || ctl.tasks.Front().item.Model != "n" || ctl.entries[conf.Item{Model: "o"}] != nil || ctl.entries[conf.Item{Model: "old"}].State != backend.Loaded {
-		t.Errorf("%d loads are left, the first for %v", ctl.tasks.Len(), ctl.tasks.Front().item)
+		t.Errorf("%d tasks are left, the first for %v", ctl.tasks.Len(), ctl.tasks.Front().item)
 	}
 }
 
-// What a report cannot show yet is not asked for. An adapter whose model has to be
-// loaded first was once asked about all the while.
+// No report is requested before it can show progress. The load of an adapter whose model has to be loaded
+// first must not be polled during the load of the model.
 func TestNextPollWaitsUntilReportCanShowProgress(t *testing.T) {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{"m": {LoadFor: 2 * time.Second}}
 	model, adapter := conf.Item{Model: "m"}, conf.Item{Model: "m", Adapter: "a"}
-	const late = 100 * time.Millisecond
+	const delay = 100 * time.Millisecond
 	for name, c := range map[string]struct {
-		item  conf.Item
-		phase phase
-		there bool // the model is
-		after time.Duration
+		item        conf.Item
+		phase       phase
+		modelLoaded bool
+		after       time.Duration
 	}{
-		"a model's load":            {model, phaseAwaitLoaded, false, 1800 * time.Millisecond},
-		"an adapter's, model there": {adapter, phaseAwaitLoaded, true, late},
-		"an adapter's, model first": {adapter, phaseAwaitLoaded, false, 1800 * time.Millisecond},
-		"an unload":                 {model, phaseAwaitUnloaded, false, late},
-		"leave of the store":        {model, phaseAwaitGrant, false, -time.Minute},
+		"a model's load":             {model, phaseAwaitLoaded, false, 1800 * time.Millisecond},
+		"an adapter's, model loaded": {adapter, phaseAwaitLoaded, true, delay},
+		"an adapter's, model first":  {adapter, phaseAwaitLoaded, false, 1800 * time.Millisecond},
+		"an unload":                  {model, phaseAwaitUnloaded, false, delay},
+		"a grant of the store":       {model, phaseAwaitGrant, false, -time.Minute},
 	} {
 		ctl := &Controller{d: Deps{Clock: &fakeClock{time.Minute}, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{},
-			traits: backend.Traits{TellsBusy: true}, delay: reportDelay{shortest: late}}
-		if c.there {
+			traits: backend.Traits{TellsBusy: true}, delay: reportDelay{shortest: delay}}
+		if c.modelLoaded {
 			ctl.entries[model] = &entry{Entry: Entry{State: backend.Loaded}}
 		}
 		ctl.tasks.PushBack(&task{item: c.item, phase: c.phase, phaseSince: time.Minute})
 		if got := ctl.nextProgressAt() - time.Minute; got != c.after {
-			t.Errorf("%s: after %v, want %v", name, got, c.after)
+			t.Errorf("%s: next poll after %v, want %v", name, got, c.after)
 		}
 	}
 }
 
-// What takes long is looked at less often the longer it has taken, and is never seen later than by a small part of
-// that. A load was once looked at 25 times a second from when it might be done.
+// The poll interval grows with the time that a task has taken, and completion is detected late by at most a small
+// part of that time. Polling at a fixed interval would mean 25 polls a second from when the load may be complete.
 func TestPollIntervalGrowsWithTaskDuration(t *testing.T) {
 	const step = 40 * time.Millisecond
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{"m": {LoadFor: 2 * time.Second}}
 	for name, c := range map[string]struct {
-		phase phase
-		took  time.Duration
-		most  int // looks
+		phase    phase
+		took     time.Duration
+		maxPolls int
 	}{
 		"a load that is done in time": {phaseAwaitLoaded, 2 * time.Second, 4},
 		"a load that takes longer":    {phaseAwaitLoaded, 4 * time.Second, 30},
@@ -175,53 +176,53 @@
 		"an unload at once":           {phaseAwaitUnloaded, 50 * time.Millisecond, 3},
 		"an unload that takes longer": {phaseAwaitUnloaded, 4 * time.Second, 75},
 	} {
-		clk := &fakeClock{time.Minute}
-		ctl := &Controller{d: Deps{Clock: clk, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{}, traits: backend.Traits{TellsBusy: true}}
-		ctl.tasks.PushBack(&task{item: modelItem("m"), phase: c.phase, phaseSince: clk.now})
-		looks, seen := 0, time.Duration(0)
-		for ; seen < c.took; clk.now += step {
-			if ctl.nextProgressAt() > clk.now {
+		clock := &fakeClock{time.Minute}
+		ctl := &Controller{d: Deps{Clock: clock, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{}, traits: backend.Traits{TellsBusy: true}}
+		ctl.tasks.PushBack(&task{item: modelItem("m"), phase: c.phase, phaseSince: clock.now})
+		polls, seen := 0, time.Duration(0)
+		for ; seen < c.took; clock.now += step {
+			if ctl.nextProgressAt() > clock.now {
 				continue
 			}
-			ctl.polledAt, seen = clk.now, clk.now-time.Minute
-			looks++
+			ctl.polledAt, seen = clock.now, clock.now-time.Minute
+			polls++
 		}
 		if late := seen - c.took; late > step+c.took/pollBackoffDivisor {
-			t.Errorf("%s: seen %v late", name, late)
+			t.Errorf("%s: detected %v late", name, late)
 		}
-		if looks > c.most {
-			t.Errorf("%s: looked at %d times, want at most %d", name, looks, c.most)
+		if polls > c.maxPolls {
+			t.Errorf("%s: polled %d times, want at most %d", name, polls, c.maxPolls)
 		}
 	}
 }
 
-// With reports that are so late, few looks are in vain, and none is put off by more
-// than a step; what took long once does not keep the next one waiting.
+// With a constant report delay, few polls are useless and none is postponed by more than two
+// steps; one slow load does not delay the detection of the next one.
 func TestReportDelayIsLearned(t *testing.T) {
 	const step = 40 * time.Millisecond
 	for _, late := range []time.Duration{0, 30 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond} {
 		var r reportDelay
-		vain := 0
+		useless := 0
 		for n := range 60 {
-			at, looks := r.shortest, 1
+			at, polls := r.shortest, 1
 			for ; at < late; at += step {
-				looks++
+				polls++
 			}
 			if n >= 20 {
-				vain += looks - 1
+				useless += polls - 1
 				if at-late > 2*step {
-					t.Errorf("reports late by %v: seen after %v", late, at)
+					t.Errorf("report delay %v: detected after %v", late, at)
 				}
 			}
-			r.observe(looks, at, step)
+			r.observe(polls, at, step)
 		}
-		if vain > 50 {
-			t.Errorf("reports late by %v: %d looks in vain in 40 loads", late, vain)
+		if useless > 50 {
+			t.Errorf("report delay %v: %d useless polls in 40 loads", late, useless)
 		}
 	}
 	r := reportDelay{shortest: 100 * time.Millisecond}
 	r.observe(50, 2*time.Second, step)
 	if r.shortest > 100*time.Millisecond+step {
-		t.Errorf("after a long one it is %v", r.shortest)
+		t.Errorf("after a slow load the delay is %v", r.shortest)
 	}
 }
--- a/internal/place/order/statuses.go
+++ b/internal/place/order/statuses.go
@@ -9,23 +9,23 @@
 	"drumstall.example/internal/backend"
 )
 
-// Statuses is all replicas' newest status, by name. Nobody changes it.
+// Statuses holds the newest status of each replica, sorted by replica ID. It is immutable.
 type Statuses struct {
 	All   []Status
 	index *itemIndex
 }
 
-// itemIndex is which replicas have each item in any state, by their places; it is made when it is first asked for.
+// itemIndex maps each item to the indexes of the replicas that have it in any state. It is built on first use.
 type itemIndex struct {
 	once     sync.Once
 	replicas map[string][]int
 }
 
-// NewStatuses is for a list that nobody changes from now on.
+// NewStatuses returns the Statuses of a list, which must not be changed afterwards.
 func NewStatuses(all []Status) Statuses { return Statuses{All: all, index: &itemIndex{}} }
 
-// Having is the places in All of the replicas that have an item, in any state. Why: a decision asks so for the
-// item, and for each that might go; going through all replicas each time took a sixth of a core's time in a large fleet.
+// WithItem returns the indexes in All of the replicas that have an item, in any state. A decision looks up the
+// wanted item and each possible victim; scanning all replicas each time took a sixth of a core's time in a large fleet.
 func (s Statuses) WithItem(item string) []int {
 	if s.index == nil {
 		return nil
@@ -33,7 +33,7 @@
 	return s.index.get(s.All)[item]
 }
 
-// of is the index of a list.
+// get returns the index of a list and builds it on the first call.
 func (x *itemIndex) get(all []Status) map[string][]int {
 	x.once.Do(func() {
 		x.replicas = make(map[string][]int, len(all))
@@ -46,50 +46,50 @@
 	return x.replicas
 }
 
-// Replaced is the statuses of a list of the same replicas, which differs at some places. The index is taken over but for
-// what the replicas at these places have or had.
+// Replaced returns the Statuses of a list of the same replicas that differs only at the given indexes. The item index
+// is copied and updated for the items that the replicas at these indexes have or had.
 func (s Statuses) Replaced(all []Status, differ []int) Statuses {
-	having := maps.Clone(s.index.get(s.All))
+	byItem := maps.Clone(s.index.get(s.All))
 	for _, at := range differ {
-		was, now := s.All[at].Items, all[at].Items
-		for item := range was {
-			if _, still := now[item]; still {
+		before, after := s.All[at].Items, all[at].Items
+		for item := range before {
+			if _, found := after[item]; found {
 				continue
 			}
-			if having[item] = removeIndex(having[item], at); len(having[item]) == 0 {
-				delete(having, item)
+			if byItem[item] = removeIndex(byItem[item], at); len(byItem[item]) == 0 {
+				delete(byItem, item)
 			}
 		}
-		for item := range now {
-			if _, had := was[item]; !had {
-				having[item] = insertIndex(having[item], at)
+		for item := range after {
+			if _, found := before[item]; !found {
+				byItem[item] = insertIndex(byItem[item], at)
 			}
 		}
 	}
-	x := &itemIndex{replicas: having}
+	x := &itemIndex{replicas: byItem}
 	x.once.Do(func() {})
 	return Statuses{All: all, index: x}
 }
 
-// holders are the replicas but one that hold an item, answer, and stay.
-func (s Statuses) holders(item, not string) iter.Seq[*Status] {
+// holders yields the replicas, except one, that have an item loaded, report and are not leaving.
+func (s Statuses) holders(item, except string) iter.Seq[*Status] {
 	return func(yield func(*Status) bool) {
 		for _, at := range s.WithItem(item) {
-			one := &s.All[at]
-			if one.Listed.ID == not || one.Stale || one.Listed.Leaving || one.Items[item] != backend.Loaded {
+			status := &s.All[at]
+			if status.Listed.ID == except || status.Stale || status.Listed.Leaving || status.Items[item] != backend.Loaded {
 				continue
 			}
-			if !yield(one) {
+			if !yield(status) {
 				return
 			}
 		}
 	}
 }
 
-// without is a list of places without one of them; the list itself is not changed.
-func removeIndex(places []int, at int) []int {
-	out := make([]int, 0, len(places))
-	for _, p := range places {
+// removeIndex returns a copy of a list of indexes without one of them.
+func removeIndex(indexes []int, at int) []int {
+	out := make([]int, 0, len(indexes))
+	for _, p := range indexes {
 		if p != at {
 			out = append(out, p)
 		}
@@ -97,8 +97,8 @@
 	return out
 }
 
-// with is a sorted list of places with one more; the list itself is not changed.
-func insertIndex(places []int, at int) []int {
-	i, _ := slices.BinarySearch(places, at)
-	return slices.Insert(slices.Clone(places), i, at)
+// insertIndex returns a copy of a sorted list of indexes with one more.
+func insertIndex(indexes []int, at int) []int {
+	i, _ := slices.BinarySearch(indexes, at)
+	return slices.Insert(slices.Clone(indexes), i, at)
 }
--- a/internal/place/order/statuses_test.go
+++ b/internal/place/order/statuses_test.go
@@ -16,15 +16,15 @@
 	})
 	for item, want := range map[string][]int{"a": {0, 2}, "b": {1, 2}, "c": nil} {
 		if got := s.WithItem(item); !slices.Equal(got, want) {
-			t.Errorf("%s: %v, not %v", item, got, want)
+			t.Errorf("%s: %v, want %v", item, got, want)
 		}
 	}
 	if got := (Statuses{}).WithItem("a"); got != nil {
-		t.Errorf("of no replicas: %v", got)
+		t.Errorf("without replicas: %v", got)
 	}
 }
 
-// An index that was taken over from the list before tells the same as one that is made anew.
+// The updated index equals an index that is built from scratch, and the previous one is unchanged.
 func TestReplacedUpdatesIndex(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	status := func() Status {
@@ -42,13 +42,13 @@
 			list[at] = status()
 		}
 		next := s.Replaced(list, differ)
-		anew := NewStatuses(next.All)
+		rebuilt := NewStatuses(next.All)
 		for item := 'a'; item < 'g'; item++ {
-			if got, want := next.WithItem(string(item)), anew.WithItem(string(item)); !slices.Equal(got, want) {
-				t.Fatalf("round %d, %c: %v, not %v", round, item, got, want)
+			if got, want := next.WithItem(string(item)), rebuilt.WithItem(string(item)); !slices.Equal(got, want) {
+				t.Fatalf("round %d, %c: %v, want %v", round, item, got, want)
 			}
 			if got, want := s.WithItem(string(item)), before.WithItem(string(item)); !slices.Equal(got, want) {
-				t.Fatalf("round %d, %c: what was handed out has changed from %v to %v", round, item, want, got)
+				t.Fatalf("round %d, %c: the previous index changed from %v to %v", round, item, want, got)
 			}
 		}
 		s = next
--- a/internal/place/order/takeover_test.go
+++ b/internal/place/order/takeover_test.go
@@ -11,7 +11,7 @@
 	"drumstall.example/internal/conf"
 )
 
-// reporting is a replica that says what it is told to say.
+// fakeReplica is a replica with a fixed report.
 type fakeReplica struct {
 	backend.Client
 	busy  bool
@@ -26,27 +26,27 @@
 	return backend.Traits{WaitsForRuns: true, TellsBusy: true, OneOrder: true, ReportLag: 100 * time.Millisecond}
 }
 
-// An owner is followed by another while the replica loads what the first one ordered:
-// the room for it is not free until a report says that nothing is being carried out.
+// The lease changes hands while the replica carries out a load that the previous holder ordered.
+// The room for the load is not free until a report shows that no order is in progress.
 func TestTakeoverKeepsMemoryOfPredecessorsLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replica := &fakeReplica{busy: true, items: map[conf.Item]backend.Line{}}
 		cfg := conf.Empty()
 		ctl := newPollingController(t, replica, &cfg)
-		coming := conf.Item{Model: "m"}
-		ctl.entries[coming] = &entry{Entry: Entry{State: Reserved, SizeMib: 80}, orderedAt: ctl.d.Clock.Since(), inherited: true}
+		pending := conf.Item{Model: "m"}
+		ctl.entries[pending] = &entry{Entry: Entry{State: Reserved, SizeMib: 80}, orderedAt: ctl.d.Clock.Since(), inherited: true}
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
 			ctl.poll()
 			if mib, _ := ctl.currentUse(); mib != 80 {
-				t.Fatalf("the replica carries an order out, and %d MiB count as taken", mib)
+				t.Fatalf("%d MiB are in use while an order is in progress, want 80", mib)
 			}
 		}
 		replica.busy = false
 		time.Sleep(100 * time.Millisecond)
 		ctl.poll()
 		if mib, _ := ctl.currentUse(); mib != 0 {
-			t.Errorf("nothing is carried out any more, and %d MiB count as taken", mib)
+			t.Errorf("%d MiB are in use after the order has ended, want 0", mib)
 		}
 	})
 }
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -13,50 +13,50 @@
 	"drumstall.example/internal/place/report"
 )
 
-// idle ranks the items that may go: loaded, nobody using or waiting for them,
-// not pinned by a claim; and sums up those that may but for being used.
+// idleItems ranks the possible victims: items that are loaded, without requests in flight or waiting,
+// and not pinned by a claim. used is the total size of the items that only fail to qualify because they are in use.
 func (c *Controller) idleItems(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.Idle, used int) {
 	now := c.d.Clock.Since()
 	others := c.d.Others()
 	facts := map[string]judge.Idle{}
-	for item, l := range c.entries {
-		if (item.Adapter != "") != adapters || l.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
+	for item, e := range c.entries {
+		if (item.Adapter != "") != adapters || e.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
 			continue
 		}
 		if c.pinnedByClaim(cfg, item, others) {
 			continue
 		}
-		waiting, pressed := c.d.Reports.Demand(item, now)
-		busy, kids := l.inflight > 0 || c.d.Reports.Inflight(c.listed.ID, item.String(), now) > 0 || waiting > 0, 0
-		// Why: a copy of what many press for, and what has only just come, are about to be used; to let go of them takes
-		// the store's time twice.
-		busy = busy || pressed >= minContendedRequests || l.awaitsFirstUse(now)
-		pen, stays := c.penaltyOf(cfg, item, others, now), false
+		waiting, contended := c.d.Reports.Demand(item, now)
+		busy, adapterCount := e.inflight > 0 || c.d.Reports.Inflight(c.listed.ID, item.String(), now) > 0 || waiting > 0, 0
+		// A copy of a contended item and an item that was just loaded are about to be used; unloading them would
+		// cost a second load from the store.
+		busy = busy || contended >= minContendedRequests || e.awaitsFirstUse(now)
+		itemPenalty, pinned := c.penaltyOf(cfg, item, others, now), false
 		if !adapters {
 			for other, o := range c.entries {
 				if other.Model != item.Model || other.Adapter == "" {
 					continue
 				}
-				kids++
-				pen += c.penaltyOf(cfg, other, others, now)
-				// Why: a model is in use as long as any adapter on it is, and moves only when it can go too.
+				adapterCount++
+				itemPenalty += c.penaltyOf(cfg, other, others, now)
+				// A model is in use while any adapter on it is, and can be unloaded only if all its adapters can be.
 				waiting, _ := c.d.Reports.Demand(other, now)
 				busy = busy || waiting > 0 || o.State != backend.Loaded || o.inflight > 0
-				stays = stays || c.pinnedByClaim(cfg, other, others)
+				pinned = pinned || c.pinnedByClaim(cfg, other, others)
 			}
 		}
-		size := l.SizeMib
+		size := e.SizeMib
 		if adapters {
 			size = 1
 		}
-		if stays {
+		if pinned {
 			continue
 		}
 		if busy {
 			used += size
 			continue
 		}
-		f := judge.Idle{Name: item.String(), SizeMib: size, Penalty: pen, IdleFor: now - l.lastUsed, Copies: countCopies(others, c.listed.ID, item), Adapters: kids}
+		f := judge.Idle{Name: item.String(), SizeMib: size, Penalty: itemPenalty, IdleFor: now - e.lastUsed, Copies: countCopies(others, c.listed.ID, item), Adapters: adapterCount}
 		list = append(list, f)
 		facts[f.Name] = f
 	}
@@ -68,28 +68,29 @@
 }
 
 const (
-	// pressedFew is how many answers of an item must have been held up lately for its copies to count as in use.
+	// minContendedRequests is how many recent requests for an item must have gone to crowded replicas for its copies to count as in use.
 	minContendedRequests = 4
-	// awaitedFor is how long what was just loaded counts as in use before its first request.
+	// firstUseGrace is how long an item that was just loaded counts as in use before its first request.
 	firstUseGrace = time.Second
 )
 
-// awaited says that an item has only just been loaded, and that nobody has used it yet.
-func (l *entry) awaitsFirstUse(now time.Duration) bool {
-	return l.loadedAt > 0 && l.lastUsed <= l.loadedAt && now-l.loadedAt < firstUseGrace
+// awaitsFirstUse reports whether an item was just loaded and has not been used since.
+func (e *entry) awaitsFirstUse(now time.Duration) bool {
+	return e.loadedAt > 0 && e.lastUsed <= e.loadedAt && now-e.loadedAt < firstUseGrace
 }
 
-func countCopies(others Statuses, not string, item conf.Item) int {
+// countCopies returns the number of replicas, except one, that serve an item.
+func countCopies(others Statuses, except string, item conf.Item) int {
 	n := 0
-	for range others.holders(item.String(), not) {
+	for range others.holders(item.String(), except) {
 		n++
 	}
 	return n
 }
 
-// penaltyOf is what it would cost not to hold an item here: its predicted
-// requests times the time to serve one from the cheapest other holder, or,
-// where there is none, the time to load it again and serve it (ours).
+// penaltyOf returns the cost of not holding an item here: its predicted requests times the time
+// to serve one at the cheapest other replica that holds it. Without such a replica it is the time to load
+// the item again and serve the request, which is an addition of this project to the paper.
 func (c *Controller) penaltyOf(cfg conf.Effective, item conf.Item, others Statuses, now time.Duration) float64 {
 	cheapest := CheapestServeTime(others, c.listed.ID, item, c.d.Reports, now, cfg)
 	if cheapest == 0 {
@@ -99,16 +100,16 @@
 	return penalty.Of(c.d.PredictedRequests(item.String()), cheapest)
 }
 
-// Cheapest is the predicted time to serve from the cheapest holder other than
-// not, or 0 when there is none.
-func CheapestServeTime(others Statuses, not string, item conf.Item, reports *report.Table, now time.Duration, cfg conf.Effective) time.Duration {
+// CheapestServeTime returns the predicted time to serve a request at the cheapest replica, except one, that
+// holds an item, or 0 if there is none.
+func CheapestServeTime(others Statuses, except string, item conf.Item, reports *report.Table, now time.Duration, cfg conf.Effective) time.Duration {
 	var best time.Duration
-	for o := range others.holders(item.String(), not) {
+	for o := range others.holders(item.String(), except) {
 		serve := time.Duration(o.ServeMs) * time.Millisecond
 		if serve == 0 {
 			serve = cfg.Models[item.Model].ServeFor
 		}
-		// Why: requests already there make the next one wait for a place.
+		// Requests in flight at a replica make the next one wait for a slot.
 		busy := float64(reports.InflightOn(o.Listed.ID, now)) / float64(max(o.Slots, 1))
 		if t := time.Duration(float64(serve) * (1 + busy)); best == 0 || t < best {
 			best = max(t, time.Millisecond)
@@ -117,6 +118,7 @@
 	return best
 }
 
+// pinnedByClaim reports whether a placement claim would lack copies if the item were unloaded here.
 func (c *Controller) pinnedByClaim(cfg conf.Effective, item conf.Item, others Statuses) bool {
 	for _, want := range cfg.Claimed() {
 		if !item.Covers(want.Item) || !want.Group.Matches(labels.Set(c.listed.Labels)) {
--- a/internal/place/order/victims_test.go
+++ b/internal/place/order/victims_test.go
@@ -10,7 +10,7 @@
 	"drumstall.example/internal/place/report"
 )
 
-// idleNames is what may go from a replica that holds some models.
+// idleNames returns the names of the possible victims among the models of a replica.
 func idleNames(ctl *Controller, cfg conf.Effective) []string {
 	order, _, _ := ctl.idleItems(cfg, conf.Item{Model: "wanted"}, false)
 	var out []string
@@ -21,8 +21,8 @@
 	return out
 }
 
-// A copy that has just come, or of a model that many press for, was once let go of
-// for a single request, before the first of those that it was loaded for had reached it.
+// A copy that was just loaded, and a copy of a contended model, must not become a victim. It would be unloaded
+// for a single request before the requests that it was loaded for arrive.
 func TestFreshOrContendedItemIsNotIdle(t *testing.T) {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{"fresh": {}, "pressed": {}, "used": {}, "old": {}}
@@ -37,14 +37,14 @@
 	used.loadedAt, used.lastUsed = c.now-200*time.Millisecond, c.now-100*time.Millisecond
 	reports.Put(report.Report{Agent: "e", Boot: "b", Version: 1, Pressed: map[string]int{"pressed": minContendedRequests, "old": minContendedRequests - 1}}, c.now)
 	if got := idleNames(ctl, cfg); !slices.Equal(got, []string{"old", "used"}) {
-		t.Errorf("may go: %v, want old and used", got)
+		t.Errorf("possible victims: %v, want old and used", got)
 	}
 	c.now += firstUseGrace
 	if got := idleNames(ctl, cfg); !slices.Equal(got, []string{"fresh", "old", "used"}) {
-		t.Errorf("a second later: %v, want fresh, old and used", got)
+		t.Errorf("after the grace period: %v, want fresh, old and used", got)
 	}
 	c.now += report.Fresh
 	if got := idleNames(ctl, cfg); len(got) != 4 {
-		t.Errorf("when nobody presses any more: %v, want all", got)
+		t.Errorf("without contention: %v, want all", got)
 	}
 }
