--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -121,7 +121,7 @@
 	preferred      preference
 	// tendSoon looks at once at which replicas are to be controlled here.
 	tendSoon *run.Nudge
-	holders  [state.Slots]atomic.Pointer[string] // who held each slot when last asked
+	holders  [state.SlotCount]atomic.Pointer[string] // who held each slot when last asked
 }
 
 const (
--- a/internal/core/preference.go
+++ b/internal/core/preference.go
@@ -15,7 +15,7 @@
 type preference struct {
 	mu     sync.Mutex
 	voters string // names, joined
-	ranked [state.Slots][]string
+	ranked [state.SlotCount][]string
 }
 
 // of is the voters by how much each is preferred for a slot. First comes the one that is to hold it, so that no voter
@@ -32,7 +32,7 @@
 
 // rank ranks the voters for every slot.
 func (p *preference) rank(names []string) {
-	keys := make([][]byte, state.Slots)
+	keys := make([][]byte, state.SlotCount)
 	for slot := range keys {
 		keys[slot] = []byte{byte(slot)}
 	}
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -80,9 +80,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				self := state.Core{Name: "a", Disk: acc.Disk(), Addr: "10.0.0.1:7000"}
+				self := state.Core{Name: "a", DiskID: acc.Disk(), Addr: "10.0.0.1:7000"}
 				if _, err := acc.SetStanding(t.Context(), func(acceptor.Standing) (acceptor.Standing, bool) {
-					return acceptor.Standing{Phase: acceptor.Voter, Set: state.CoreMembers{Version: 1, Cores: []state.Core{self}}}, true
+					return acceptor.Standing{Phase: acceptor.Voter, Set: state.CoreSet{Version: 1, Cores: []state.Core{self}}}, true
 				}); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -59,7 +59,7 @@
 	newest := map[conf.Item]int64{}
 	for _, r := range recs {
 		it, ok := itemOf(r.Key)
-		if !ok || r.Gone {
+		if !ok || r.Deleted {
 			continue
 		}
 		h, err := demand.UnpackHour(r.Value)
--- a/internal/sim/simstate/simstate.go
+++ b/internal/sim/simstate/simstate.go
@@ -55,16 +55,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	self := state.Core{Name: "a", Disk: acc.Disk(), Addr: "10.0.0.1:7000"}
+	self := state.Core{Name: "a", DiskID: acc.Disk(), Addr: "10.0.0.1:7000"}
 	if _, err := acc.SetStanding(ctx, func(acceptor.Standing) (acceptor.Standing, bool) {
-		return acceptor.Standing{Phase: acceptor.Voter, Set: state.CoreMembers{Version: 1, Cores: []state.Core{self}}}, true
+		return acceptor.Standing{Phase: acceptor.Voter, Set: state.CoreSet{Version: 1, Cores: []state.Core{self}}}, true
 	}); err != nil {
 		return nil, acc, err
 	}
 	own := owner.New(owner.Deps{Self: func() state.Core { return self }, Group: g, Clock: clock, Log: log, Caller: wire.NewCaller(fabric.Host("10.0.0.1")), Acceptor: acc,
 		Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, Behind: func(state.Core) {}})
 	for range int(takenBy / lookEvery) {
-		if len(own.Held()) == state.Slots {
+		if len(own.Held()) == state.SlotCount {
 			return own, acc, nil
 		}
 		run.Wait(ctx, lookEvery)
--- a/internal/state/acceptor/acceptor.go
+++ b/internal/state/acceptor/acceptor.go
@@ -36,7 +36,7 @@
 	sick     atomic.Bool
 	standing atomic.Pointer[Standing]
 	setActor *run.Actor
-	slots    [state.Slots]*table
+	slots    [state.SlotCount]*table
 	door     chan struct{} // held by who hands a batch to pebble
 }
 
@@ -106,7 +106,7 @@
 	for i := range a.slots {
 		// Why: a restarted grantor forgot its grants, so it waits a whole lease before the next.
 		a.slots[i] = &table{anew: true}
-		a.slots[i].grant(a.clock.Since() + state.HoldFor)
+		a.slots[i].grant(a.clock.Since() + state.LeaseDuration)
 		var pr promise
 		if _, err := a.read(keyPromise(i), &pr); err != nil {
 			return err
@@ -125,7 +125,7 @@
 func (a *Acceptor) Close() error {
 	// Why: a failed pebble may never finish closing.
 	if a.sick.Load() {
-		return state.ErrSick
+		return state.ErrDiskFailed
 	}
 	return a.db.Close()
 }
--- a/internal/state/acceptor/acceptor_test.go
+++ b/internal/state/acceptor/acceptor_test.go
@@ -17,7 +17,7 @@
 	"drumstall.example/internal/state"
 )
 
-var voters = state.CoreMembers{Version: 1, Cores: []state.Core{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
+var voters = state.CoreSet{Version: 1, Cores: []state.Core{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
 
 func open(t *testing.T, g *run.Group, fs vfs.FS) *Acceptor {
 	t.Helper()
@@ -31,8 +31,8 @@
 	return a
 }
 
-func ask(from string, epoch, at uint64, full bool, recs ...state.Record) state.Ask {
-	return state.Ask{Set: 1, From: state.Core{Name: from}, Epoch: epoch, At: at, Full: full, Records: recs}
+func ask(from string, epoch, at uint64, full bool, recs ...state.Record) state.Request {
+	return state.Request{SetVersion: 1, From: state.Core{Name: from}, Epoch: epoch, Version: at, Full: full, Records: recs}
 }
 
 func rec(key, value string, epoch, version uint64) state.Record {
@@ -42,7 +42,7 @@
 func yes(t *testing.T, r state.Reply, err error) state.Reply {
 	t.Helper()
 	if err != nil || !r.OK {
-		t.Fatalf("refused: %v %v", r.Why, err)
+		t.Fatalf("refused: %v %v", r.Reason, err)
 	}
 	return r
 }
@@ -75,7 +75,7 @@
 			return out
 		}
 		take := func(from string, epoch uint64, who ...int) []state.Record {
-			time.Sleep(state.HoldFor)
+			time.Sleep(state.LeaseDuration)
 			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, ask(from, epoch, 0, false)) }, who...))
 			for i := range recs {
 				recs[i].Stamp.Epoch = epoch
@@ -105,7 +105,7 @@
 func TestAWholeTableThatWasOvertakenTakesNoLaterWriteAway(t *testing.T) {
 	bubble(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
+		time.Sleep(state.LeaseDuration)
 		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
 		yes(t, r, err)
 		r, err = a.Accept(ctx, ask("a", 1, 4, false, rec("x", "later", 1, 3), rec("y", "later", 1, 4)))
@@ -120,8 +120,8 @@
 		if want := map[string]string{"x": "later", "y": "later", "z": "before"}; err != nil || !maps.Equal(values, want) {
 			t.Errorf("%v, %v", values, err)
 		}
-		if r := yes(t, must(a.Digest(ctx, ask("a", 1, 0, false))), nil); r.Full != 1 {
-			t.Errorf("the whole table counts as under epoch %d", r.Full)
+		if r := yes(t, must(a.Digest(ctx, ask("a", 1, 0, false))), nil); r.FullEpoch != 1 {
+			t.Errorf("the whole table counts as under epoch %d", r.FullEpoch)
 		}
 	})
 }
@@ -131,7 +131,7 @@
 func TestAnOlderWholeTableTakesNothingAway(t *testing.T) {
 	bubble(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
+		time.Sleep(state.LeaseDuration)
 		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
 		yes(t, r, err)
 		r, err = a.Accept(ctx, ask("a", 1, 1, true))
@@ -154,12 +154,12 @@
 		a := open(t, g, fs)
 		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
 		yes(t, r, err)
-		if r, _ := a.Prepare(ctx, ask("b", 2, 0, false)); r.OK || r.Why != state.WhyHeld {
+		if r, _ := a.Prepare(ctx, ask("b", 2, 0, false)); r.OK || r.Reason != state.ReasonHeld {
 			t.Errorf("promised under a live lease: %+v", r)
 		}
 		g.Stop()
 		_ = a.Close()
-		time.Sleep(state.HoldFor - time.Second)
+		time.Sleep(state.LeaseDuration - time.Second)
 		g = run.NewGroup(ctx)
 		a = open(t, g, fs)
 		time.Sleep(2 * time.Second)
@@ -172,7 +172,7 @@
 		if r, _ := a.Accept(ctx, ask("a", 1, 9, false, rec("x", "late", 1, 9))); r.OK {
 			t.Error("a write of the old owner was taken")
 		}
-		if r, _ := a.Prepare(ctx, state.Ask{Set: 0, From: state.Core{Name: "c"}, Epoch: 9}); r.OK || r.Why != state.WhySet {
+		if r, _ := a.Prepare(ctx, state.Request{SetVersion: 0, From: state.Core{Name: "c"}, Epoch: 9}); r.OK || r.Reason != state.ReasonOlderCoreSet {
 			t.Errorf("an older core set was heeded: %+v", r)
 		}
 		g.Stop()
@@ -185,18 +185,18 @@
 func TestWhatWasLetGoOfStaysSo(t *testing.T) {
 	bubble(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
+		time.Sleep(state.LeaseDuration)
 		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
 		yes(t, r, err)
 		r, err = a.Release(ctx, ask("a", 1, 0, false))
 		yes(t, r, err)
-		if got, err := a.Renew(ctx, state.Renewal{Set: 1, From: state.Core{Name: "a"}, Epochs: map[int]uint64{0: 1}}); err != nil || len(got.Slots) > 0 {
+		if got, err := a.Renew(ctx, state.RenewRequest{SetVersion: 1, From: state.Core{Name: "a"}, Epochs: map[int]uint64{0: 1}}); err != nil || len(got.Granted) > 0 {
 			t.Errorf("a renewal read after its release was granted: %+v %v", got, err)
 		}
 		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
 		yes(t, r, err)
 		// A bid whose end is read before its beginning.
-		time.Sleep(state.HoldFor)
+		time.Sleep(state.LeaseDuration)
 		r, err = a.Release(ctx, ask("c", 3, 0, false))
 		yes(t, r, err)
 		if r, _ := a.Prepare(ctx, ask("c", 3, 0, false)); r.OK {
@@ -222,7 +222,7 @@
 			acked, maybe := "", map[string]bool{}
 			epoch, n, takes := uint64(0), 0, 0
 			for range 60 {
-				time.Sleep(state.HoldFor)
+				time.Sleep(state.LeaseDuration)
 				epoch++
 				who := fmt.Sprintf("o%d", rnd.IntN(3))
 				var got []state.Reply
@@ -240,7 +240,7 @@
 				for i := range recs {
 					recs[i].Stamp.Epoch = epoch
 				}
-				send := func(q state.Ask) bool {
+				send := func(q state.Request) bool {
 					ok := 0
 					for _, a := range as {
 						if rnd.IntN(4) > 0 {
--- a/internal/state/acceptor/disk.go
+++ b/internal/state/acceptor/disk.go
@@ -80,19 +80,19 @@
 // may not have been. A failed sync ends this core's voting until it is restarted.
 func (a *Acceptor) commit(fill func(*pebble.Batch) error) error {
 	if a.sick.Load() {
-		return state.ErrSick
+		return state.ErrDiskFailed
 	}
 	if a.full() {
-		return errors.Wrap(state.ErrSick, "disk is full")
+		return errors.Wrap(state.ErrDiskFailed, "disk is full")
 	}
 	b := a.db.NewBatch()
 	defer b.Close()
 	if err := fill(b); err != nil {
-		return errors.Wrap(state.ErrSick, err.Error())
+		return errors.Wrap(state.ErrDiskFailed, err.Error())
 	}
 	if err := a.synced(b); err != nil {
 		a.sick.Store(true)
-		return errors.Wrap(state.ErrSick, err.Error())
+		return errors.Wrap(state.ErrDiskFailed, err.Error())
 	}
 	return nil
 }
--- a/internal/state/acceptor/fuzz_test.go
+++ b/internal/state/acceptor/fuzz_test.go
@@ -18,10 +18,10 @@
 func FuzzAsk(f *testing.F) {
 	f.Add(wire.Pack(ask("a", 3, 1, false, rec("x", "v", 3, 1))), uint8(0))
 	f.Add(wire.Pack(ask("b", 1<<63, 1<<63, true, rec("", "", 0, 0))), uint8(1))
-	f.Add(wire.Pack(state.Ask{Set: 1, Slot: -1, Epoch: 9}), uint8(2))
-	f.Add(wire.Pack(state.Ask{Set: 1, Slot: 1 << 40}), uint8(3))
+	f.Add(wire.Pack(state.Request{SetVersion: 1, Slot: -1, Epoch: 9}), uint8(2))
+	f.Add(wire.Pack(state.Request{SetVersion: 1, Slot: 1 << 40}), uint8(3))
 	f.Fuzz(func(t *testing.T, b []byte, which uint8) {
-		var q state.Ask
+		var q state.Request
 		if wire.Unpack(b, &q) != nil {
 			return
 		}
@@ -30,7 +30,7 @@
 			g := run.NewGroup(t.Context())
 			a := open(t, g, fs)
 			before, _ := a.Prepare(t.Context(), ask("a", 2, 0, false))
-			to := []func(context.Context, state.Ask) (state.Reply, error){a.Prepare, a.Accept, a.Release, a.Digest, a.Dump}
+			to := []func(context.Context, state.Request) (state.Reply, error){a.Prepare, a.Accept, a.Release, a.Digest, a.Dump}
 			if _, err := to[int(which)%len(to)](t.Context(), q); err != nil && wire.Code(err) != "bad" {
 				t.Fatalf("%v", err)
 			}
--- a/internal/state/acceptor/quiet_test.go
+++ b/internal/state/acceptor/quiet_test.go
@@ -14,25 +14,25 @@
 func TestASlotIsQuietOnlyByTheWordOfItsLastHolder(t *testing.T) {
 	bubble(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
+		time.Sleep(state.LeaseDuration)
 		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
 		yes(t, r, err)
 		release := ask("a", 1, 0, false)
-		release.QuietMs = 4000
+		release.IdleMs = 4000
 		r, err = a.Release(ctx, release)
 		yes(t, r, err)
 		time.Sleep(time.Second)
 		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
 		yes(t, r, err)
-		if r.QuietMs != 5000 {
-			t.Errorf("quiet for %d ms, not 5000", r.QuietMs)
+		if r.IdleMs != 5000 {
+			t.Errorf("quiet for %d ms, not 5000", r.IdleMs)
 		}
 		r, err = a.Release(ctx, ask("b", 2, 0, false))
 		yes(t, r, err)
 		r, err = a.Prepare(ctx, ask("c", 3, 0, false))
 		yes(t, r, err)
-		if r.QuietMs != 0 {
-			t.Errorf("quiet for %d ms though the last holder has not said so", r.QuietMs)
+		if r.IdleMs != 0 {
+			t.Errorf("quiet for %d ms though the last holder has not said so", r.IdleMs)
 		}
 	})
 }
@@ -45,18 +45,18 @@
 		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
 		yes(t, r, err)
 		release := ask("a", 1, 0, false)
-		release.QuietMs = 4000
+		release.IdleMs = 4000
 		r, err = a.Release(ctx, release)
 		yes(t, r, err)
 		g.Stop()
 		_ = a.Close()
 		g = run.NewGroup(ctx)
 		a = open(t, g, fs)
-		time.Sleep(state.HoldFor)
+		time.Sleep(state.LeaseDuration)
 		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
 		yes(t, r, err)
-		if r.QuietMs != 0 {
-			t.Errorf("quiet for %d ms by the word of nobody", r.QuietMs)
+		if r.IdleMs != 0 {
+			t.Errorf("quiet for %d ms by the word of nobody", r.IdleMs)
 		}
 		g.Stop()
 		_ = a.Close()
@@ -65,11 +65,11 @@
 
 func TestAVoterThatHasPromisedNothingKnowsOfNoQuietSlot(t *testing.T) {
 	bubble(t, func(t *testing.T, as []*Acceptor) {
-		time.Sleep(state.HoldFor)
+		time.Sleep(state.LeaseDuration)
 		r, err := as[0].Prepare(t.Context(), ask("a", 1, 0, false))
 		yes(t, r, err)
-		if r.QuietMs != 0 {
-			t.Errorf("quiet for %d ms by the word of nobody", r.QuietMs)
+		if r.IdleMs != 0 {
+			t.Errorf("quiet for %d ms by the word of nobody", r.IdleMs)
 		}
 	})
 }
@@ -78,18 +78,18 @@
 func TestASlotThatIsLetGoOfForACoreIsKeptForIt(t *testing.T) {
 	bubble(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
+		time.Sleep(state.LeaseDuration)
 		release := func(from string, epoch uint64) {
 			t.Helper()
 			r, err := a.Prepare(ctx, ask(from, epoch, 0, false))
 			yes(t, r, err)
 			q := ask(from, epoch, 0, false)
-			q.To = "b"
+			q.NextHolder = "b"
 			r, err = a.Release(ctx, q)
 			yes(t, r, err)
 		}
 		release("a", 1)
-		if r, _ := a.Peek(ctx, ask("c", 2, 0, false)); r.OK || r.Why != state.WhyHeld {
+		if r, _ := a.Peek(ctx, ask("c", 2, 0, false)); r.OK || r.Reason != state.ReasonHeld {
 			t.Errorf("free for another at once: %+v", r)
 		}
 		r, err := a.Prepare(ctx, ask("b", 2, 0, false))
--- a/internal/state/acceptor/records.go
+++ b/internal/state/acceptor/records.go
@@ -14,14 +14,14 @@
 )
 
 // Accept keeps records from the holder of the highest epoch.
-func (a *Acceptor) Accept(ctx context.Context, q state.Ask) (state.Reply, error) {
+func (a *Acceptor) Accept(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
-		if q.Epoch < t.pr.Epoch || q.Epoch == t.pr.Epoch && !t.pr.Holder.Is(q.From) {
-			r.Why = state.WhyLower
+		if q.Epoch < t.pr.Epoch || q.Epoch == t.pr.Epoch && !t.pr.Holder.SameVoter(q.From) {
+			r.Reason = state.ReasonLowerEpoch
 			return
 		}
 		// Why: a whole table that is older than what came since must not take that away.
-		if q.Full && q.Epoch == t.pr.Full && q.At < t.pr.Version {
+		if q.Full && q.Epoch == t.pr.Full && q.Version < t.pr.Version {
 			r.OK = true
 			return
 		}
@@ -29,7 +29,7 @@
 		if q.Epoch > next.Epoch {
 			next.Epoch, next.Holder, next.Version = q.Epoch, q.From, 0
 		}
-		next.Version = max(next.Version, q.At)
+		next.Version = max(next.Version, q.Version)
 		if q.Full {
 			next.Full, next.FullBy = q.Epoch, q.From
 		}
@@ -40,7 +40,7 @@
 			return b.Set(keyPromise(q.Slot), wire.Pack(next), nil)
 		})
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
 		t.keep(next)
@@ -49,11 +49,11 @@
 }
 
 // write writes what the holder of a slot sends: single records, or the whole table.
-func (a *Acceptor) write(b *pebble.Batch, q state.Ask, here promise) error {
+func (a *Acceptor) write(b *pebble.Batch, q state.Request, here promise) error {
 	switch {
 	case !q.Full:
 		return a.addRecords(b, q.Slot, q.Records)
-	case q.Epoch != here.Epoch || q.At >= here.Version:
+	case q.Epoch != here.Epoch || q.Version >= here.Version:
 		return replaceRecords(b, q.Slot, q.Records)
 	}
 	later, err := a.writtenAfter(q)
@@ -65,7 +65,7 @@
 
 // writtenAfter is the records here that the holder wrote after the whole table that it sends. Why: messages
 // overtake each other, and what was confirmed here may be on just a majority of disks.
-func (a *Acceptor) writtenAfter(table state.Ask) ([]state.Record, error) {
+func (a *Acceptor) writtenAfter(table state.Request) ([]state.Record, error) {
 	here, err := a.records(table.Slot)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	}
 	var later []state.Record
 	for _, rec := range here {
-		if rec.Stamp.Epoch == table.Epoch && rec.Stamp.Version > table.At && rec.Stamp.Newer(sent[rec.Key]) {
+		if rec.Stamp.Epoch == table.Epoch && rec.Stamp.Version > table.Version && rec.Stamp.Newer(sent[rec.Key]) {
 			later = append(later, rec)
 		}
 	}
@@ -117,26 +117,26 @@
 }
 
 // Digest sums up the records of a slot.
-func (a *Acceptor) Digest(ctx context.Context, q state.Ask) (state.Reply, error) {
+func (a *Acceptor) Digest(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
 		recs, err := a.records(q.Slot)
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		r.OK, r.Sum, r.Full = true, Sum(recs), t.pr.Full
+		r.OK, r.Digest, r.FullEpoch = true, Sum(recs), t.pr.Full
 	})
 }
 
 // Dump gives a whole slot to a core that is being filled.
-func (a *Acceptor) Dump(ctx context.Context, q state.Ask) (state.Reply, error) {
+func (a *Acceptor) Dump(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
 		recs, err := a.records(q.Slot)
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		r.OK, r.Records, r.Full, r.Version, r.FullBy = true, recs, t.pr.Full, t.pr.Version, t.pr.FullBy
+		r.OK, r.Records, r.FullEpoch, r.Version, r.FullWriter = true, recs, t.pr.Full, t.pr.Version, t.pr.FullBy
 	})
 }
 
@@ -157,7 +157,7 @@
 		}
 		t.keep(pr)
 		t.anew = true
-		t.grant(a.clock.Since() + state.HoldFor)
+		t.grant(a.clock.Since() + state.LeaseDuration)
 		return nil
 	})
 }
@@ -189,8 +189,8 @@
 		if r.Epoch > pr.Epoch {
 			pr.Epoch, pr.Holder = r.Epoch, r.Holder
 		}
-		if r.Full > pr.Full {
-			pr.Full, pr.FullBy = r.Full, r.FullBy
+		if r.FullEpoch > pr.Full {
+			pr.Full, pr.FullBy = r.FullEpoch, r.FullWriter
 		}
 		pr.Version = max(pr.Version, r.Version)
 	}
--- a/internal/state/acceptor/slot.go
+++ b/internal/state/acceptor/slot.go
@@ -78,14 +78,14 @@
 // overtake each other, and a renewal read after its own release would keep
 // everybody out for a whole lease.
 func (t *table) over(from state.Core, epoch uint64) bool {
-	return epoch <= t.freed.epoch && t.freed.by.Is(from)
+	return epoch <= t.freed.epoch && t.freed.by.SameVoter(from)
 }
 
 // heldAgainst says that a lease may be in use that is not the asker's. Why: while
 // one may be, no other holder is promised anything. Every grant was to the holder that is on the disk, so
 // after a restart too only that one may have a lease, and may ask for it again.
 func (t *table) heldAgainst(from state.Core, now time.Duration) bool {
-	return now < time.Duration(t.until.Load()) && !t.pr.Holder.Is(from) && t.pr.Epoch > 0 || t.meant.keepsOut(from, now)
+	return now < time.Duration(t.until.Load()) && !t.pr.Holder.SameVoter(from) && t.pr.Epoch > 0 || t.meant.keepsOut(from, now)
 }
 
 // grant makes the lease end at a time on our clock.
@@ -103,26 +103,26 @@
 	st := a.standing.Load()
 	switch {
 	case a.sick.Load():
-		return state.Reply{Why: state.WhySick, Set: st.Set.Version}, false
+		return state.Reply{Reason: state.ReasonDisk, SetVersion: st.Set.Version}, false
 	case st.Phase != Voter:
-		return state.Reply{Why: state.WhyVoter, Set: st.Set.Version}, false
+		return state.Reply{Reason: state.ReasonNotVoter, SetVersion: st.Set.Version}, false
 	case set < st.Set.Version:
-		return state.Reply{Why: state.WhySet, Set: st.Set.Version}, false
+		return state.Reply{Reason: state.ReasonOlderCoreSet, SetVersion: st.Set.Version}, false
 	case set > st.Set.Version:
-		return state.Reply{Why: state.WhyBehind, Set: st.Set.Version}, false
+		return state.Reply{Reason: state.ReasonBehindCoreSet, SetVersion: st.Set.Version}, false
 	}
-	return state.Reply{Set: st.Set.Version}, true
+	return state.Reply{SetVersion: st.Set.Version}, true
 }
 
 // onSlot runs f in the actor of a slot if this core may vote under the asker's set.
-func (a *Acceptor) onSlot(ctx context.Context, q state.Ask, f func(t *table, r *state.Reply)) (state.Reply, error) {
-	if q.Slot < 0 || q.Slot >= state.Slots {
+func (a *Acceptor) onSlot(ctx context.Context, q state.Request, f func(t *table, r *state.Reply)) (state.Reply, error) {
+	if q.Slot < 0 || q.Slot >= state.SlotCount {
 		return state.Reply{}, wire.Refuse("bad", fmt.Sprintf("slot %d", q.Slot))
 	}
 	t := a.slots[q.Slot]
 	// Why: a stalled disk must not hold up who asked; what it syncs later counts all the same.
 	return run.AskFor(ctx, t.actor, func() state.Reply {
-		r, ok := a.vote(q.Set)
+		r, ok := a.vote(q.SetVersion)
 		if ok {
 			f(t, &r)
 		}
--- a/internal/state/acceptor/slow_test.go
+++ b/internal/state/acceptor/slow_test.go
@@ -37,21 +37,21 @@
 		var slow atomic.Bool
 		a := open(t, g, errorfs.Wrap(vfs.NewMem(), slowWrites{&slow}))
 		slow.Store(true)
-		votes := make(chan error, state.Slots)
-		for slot := range state.Slots {
+		votes := make(chan error, state.SlotCount)
+		for slot := range state.SlotCount {
 			g.Go(func(context.Context) {
 				for i := range 30 {
 					q := ask("a", 1, uint64(i+1), false, rec(fmt.Sprint("k", i), string(bytes.Repeat([]byte{byte(i)}, 20_000)), 1, uint64(i+1)))
 					q.Slot = slot
 					if r, err := a.Accept(t.Context(), q); err != nil || !r.OK {
-						votes <- fmt.Errorf("slot %d, write %d: %v %v", slot, i, r.Why, err)
+						votes <- fmt.Errorf("slot %d, write %d: %v %v", slot, i, r.Reason, err)
 						return
 					}
 				}
 				votes <- nil
 			})
 		}
-		for range state.Slots {
+		for range state.SlotCount {
 			if err := <-votes; err != nil {
 				t.Error(err)
 			}
--- a/internal/state/acceptor/standing.go
+++ b/internal/state/acceptor/standing.go
@@ -23,9 +23,9 @@
 
 // Standing is the part of an acceptor that is not about slots.
 type Standing struct {
-	Phase Phase             `cbor:"1,keyasint"`
-	Set   state.CoreMembers `cbor:"2,keyasint"`
-	Old   state.CoreMembers `cbor:"3,keyasint"` // while filling: whom to be filled from
+	Phase Phase         `cbor:"1,keyasint"`
+	Set   state.CoreSet `cbor:"2,keyasint"`
+	Old   state.CoreSet `cbor:"3,keyasint"` // while filling: whom to be filled from
 	// MayFound says, while nothing is known, that this disk was there at the very first start.
 	MayFound bool `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/state/coremembers/admission.go
+++ b/internal/state/coremembers/admission.go
@@ -24,7 +24,7 @@
 	if !k.d.Owner.Holds(Key) {
 		return k.passOn(ctx, q)
 	}
-	err := k.decide(ctx, func(set state.CoreMembers) (state.CoreMembers, error) {
+	err := k.decide(ctx, func(set state.CoreSet) (state.CoreSet, error) {
 		if set.Has(q.Core) {
 			return set, nil
 		}
@@ -44,7 +44,7 @@
 // says that nobody does.
 func (k *Keeper) passOn(ctx context.Context, q Joining) (None, error) {
 	for c := range k.d.Live() {
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			continue
 		}
 		held, err := call[None, map[int]uint64](ctx, k, c, "/state/held", None{})
@@ -56,12 +56,12 @@
 }
 
 // replace gives a core the place of the member that it names, or of its own past.
-func (k *Keeper) replace(set state.CoreMembers, q Joining) (state.CoreMembers, error) {
+func (k *Keeper) replace(set state.CoreSet, q Joining) (state.CoreSet, error) {
 	name := q.Replaces
 	if name == "" {
 		name = q.Core.Name
 	}
-	next := state.CoreMembers{Version: set.Version + 1}
+	next := state.CoreSet{Version: set.Version + 1}
 	replaced := false
 	for _, c := range set.Cores {
 		if c.Name != name {
@@ -87,7 +87,7 @@
 
 // admit takes a core in: in the place of its own past, of a voter that is gone,
 // or beside the others.
-func (k *Keeper) admit(set state.CoreMembers, joiner state.Core) (state.CoreMembers, error) {
+func (k *Keeper) admit(set state.CoreSet, joiner state.Core) (state.CoreSet, error) {
 	out, found := k.lost(set)
 	for _, c := range set.Cores {
 		if c.Name == joiner.Name {
@@ -97,9 +97,9 @@
 	if !found && k.doubts(set) {
 		return set, wire.Refuse("doubt", "a member may be gone; its place is given when that is sure")
 	}
-	next := state.CoreMembers{Version: set.Version + 1}
+	next := state.CoreSet{Version: set.Version + 1}
 	for _, c := range set.Cores {
-		if !found || !c.Is(out) {
+		if !found || !c.SameVoter(out) {
 			next.Cores = append(next.Cores, c)
 		}
 	}
@@ -109,9 +109,9 @@
 
 // doubts says that a voter is silent and may be gone. Why: a set that grew beside
 // one that is gone would need more of the others for a majority, until it is let go of.
-func (k *Keeper) doubts(set state.CoreMembers) bool {
+func (k *Keeper) doubts(set state.CoreSet) bool {
 	for _, c := range set.Cores {
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			continue
 		}
 		// Why: one that was never heard has only just come.
--- a/internal/state/coremembers/catchup.go
+++ b/internal/state/coremembers/catchup.go
@@ -16,7 +16,7 @@
 		return
 	}
 	for c := range k.d.Live() {
-		if _, ok := k.d.Addr(c); !ok || c.Is(k.d.Self()) {
+		if _, ok := k.d.Addr(c); !ok || c.SameVoter(k.d.Self()) {
 			continue
 		}
 		a, err := k.askSet(ctx, c)
@@ -51,7 +51,7 @@
 // fill reads every slot from a majority of the old set, each of which already
 // refuses the old version, and only then votes.
 func (k *Keeper) fill(ctx context.Context, st acceptor.Standing) {
-	for slot := range state.Slots {
+	for slot := range state.SlotCount {
 		replies, current := k.dumps(ctx, st, slot)
 		if !current {
 			return
@@ -84,13 +84,13 @@
 		reply state.Reply
 		err   error
 	}
-	q := state.Ask{Set: st.Set.Version, From: k.d.Self(), Slot: slot}
+	q := state.Request{SetVersion: st.Set.Version, From: k.d.Self(), Slot: slot}
 	voters := st.Old.Cores
 	answers := run.Fan(k.d.Group, len(voters), func(ctx context.Context, i int) answer {
-		if voters[i].Is(k.d.Self()) {
+		if voters[i].SameVoter(k.d.Self()) {
 			return answer{err: wire.ErrUnreachable}
 		}
-		r, err := call[state.Ask, state.Reply](ctx, k, voters[i], "/state/dump", q)
+		r, err := call[state.Request, state.Reply](ctx, k, voters[i], "/state/dump", q)
 		return answer{voters[i], r, err}
 	})
 	for range voters {
@@ -99,9 +99,9 @@
 		case a.err != nil:
 		case a.reply.OK:
 			replies = append(replies, a.reply)
-		case a.reply.Why == state.WhyBehind:
+		case a.reply.Reason == state.ReasonBehindCoreSet:
 			k.tell(ctx, a.from, Adoption{Set: st.Set, Old: st.Old})
-		case a.reply.Why == state.WhySet:
+		case a.reply.Reason == state.ReasonOlderCoreSet:
 			_ = k.lookForUs(ctx, a.from)
 			return nil, false
 		}
--- a/internal/state/coremembers/change.go
+++ b/internal/state/coremembers/change.go
@@ -10,12 +10,12 @@
 )
 
 // decide changes the set through a majority of the old one and spreads it.
-func (k *Keeper) decide(ctx context.Context, change func(set state.CoreMembers) (state.CoreMembers, error)) error {
-	var next state.CoreMembers
+func (k *Keeper) decide(ctx context.Context, change func(set state.CoreSet) (state.CoreSet, error)) error {
+	var next state.CoreSet
 	_, err := k.d.Owner.Update(ctx, Key, func(old state.Record, found bool) ([]byte, error) {
 		set := k.d.Acceptor.Standing().Set
 		if found {
-			var kept state.CoreMembers
+			var kept state.CoreSet
 			if err := wire.Unpack(old.Value, &kept); err == nil && kept.Version > set.Version {
 				return nil, wire.Refuse("busy", "a change is under way")
 			}
@@ -42,14 +42,14 @@
 	if err != nil || !found {
 		return
 	}
-	var set state.CoreMembers
+	var set state.CoreSet
 	if wire.Unpack(rec.Value, &set) == nil && set.Version > st.Set.Version {
 		k.spread(ctx, set)
 	}
 }
 
 // spread hands a decided set to the voters of the old one and to its own.
-func (k *Keeper) spread(ctx context.Context, next state.CoreMembers) {
+func (k *Keeper) spread(ctx context.Context, next state.CoreSet) {
 	old := k.d.Acceptor.Standing().Set
 	if old.Version >= next.Version {
 		old = k.d.Acceptor.Standing().Old
@@ -58,7 +58,7 @@
 	to := append(append([]state.Core{}, old.Cores...), next.Cores...)
 	// Why: a voter that is gone without a word must not keep the others from being told.
 	told := run.Fan(k.d.Group, len(to), func(ctx context.Context, i int) bool {
-		if to[i].Is(k.d.Self()) {
+		if to[i].SameVoter(k.d.Self()) {
 			_, _ = k.adopt(ctx, a)
 		} else {
 			k.tell(ctx, to[i], a)
--- a/internal/state/coremembers/founding.go
+++ b/internal/state/coremembers/founding.go
@@ -42,7 +42,7 @@
 // turnToOffer says whether this core is to offer the first set to all founders. Why: one at a time
 // is enough and the others only agree; but the one whose turn it is may have been started anew, and may not found any more.
 func (k *Keeper) turnToOffer(founders []state.Core) bool {
-	rank := slices.IndexFunc(founders, func(c state.Core) bool { return c.Is(k.d.Self()) })
+	rank := slices.IndexFunc(founders, func(c state.Core) bool { return c.SameVoter(k.d.Self()) })
 	k.readyTicks++
 	return rank >= 0 && k.readyTicks > rank*offerTicks
 }
@@ -65,7 +65,7 @@
 	agreed := true
 	for _, c := range f.Set.Cores {
 		var err error
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			_, err = k.form(ctx, f)
 		} else {
 			_, err = call[Formation, None](ctx, k, c, "/state/form", f)
@@ -104,13 +104,13 @@
 
 // offer is the set to be formed from these cores: the one that all have agreed
 // to, or else one under a higher version than any of them has.
-func (k *Keeper) offer(ctx context.Context, cores []state.Core) (state.CoreMembers, bool) {
-	set := state.CoreMembers{Cores: cores}
+func (k *Keeper) offer(ctx context.Context, cores []state.Core) (state.CoreSet, bool) {
+	set := state.CoreSet{Cores: cores}
 	agreed := false
 	for _, c := range cores {
 		st := k.d.Acceptor.Standing()
 		theirs := Adoption{Set: st.Set, Phase: st.Phase}
-		if !c.Is(k.d.Self()) {
+		if !c.SameVoter(k.d.Self()) {
 			var err error
 			if theirs, err = k.askSet(ctx, c); err != nil {
 				return set, false
@@ -121,7 +121,7 @@
 			return set, false
 		}
 		if n := theirs.Set.Version; n > set.Version {
-			set.Version, agreed = n, alike(theirs.Set, state.CoreMembers{Version: n, Cores: cores})
+			set.Version, agreed = n, alike(theirs.Set, state.CoreSet{Version: n, Cores: cores})
 		}
 	}
 	if !agreed {
@@ -131,7 +131,7 @@
 }
 
 // alike says whether two sets are the same.
-func alike(a, b state.CoreMembers) bool {
+func alike(a, b state.CoreSet) bool {
 	if a.Version != b.Version || len(a.Cores) != len(b.Cores) {
 		return false
 	}
@@ -147,7 +147,7 @@
 // to and never became firm: the same machines, of which a minority came back with other disks.
 // Why: a majority of the old set stands here or there as agreed and not voting, so nobody can have been
 // acknowledged anything under it; and under the lower version nobody ever will be.
-func refounds(old, next state.CoreMembers) bool {
+func refounds(old, next state.CoreSet) bool {
 	lost := 0
 	for _, c := range old.Cores {
 		if next.Has(c) {
--- a/internal/state/coremembers/messages.go
+++ b/internal/state/coremembers/messages.go
@@ -7,9 +7,9 @@
 
 // Adoption hands over a newer set.
 type Adoption struct {
-	Set   state.CoreMembers `cbor:"1,keyasint"`
-	Old   state.CoreMembers `cbor:"2,keyasint"`
-	Phase acceptor.Phase    `cbor:"3,keyasint,omitempty"` // of whoever answers for itself
+	Set   state.CoreSet  `cbor:"1,keyasint"`
+	Old   state.CoreSet  `cbor:"2,keyasint"`
+	Phase acceptor.Phase `cbor:"3,keyasint,omitempty"` // of whoever answers for itself
 }
 
 // Joining asks for a place in the set.
@@ -20,8 +20,8 @@
 
 // Formation is the first set, offered and then made firm.
 type Formation struct {
-	Set  state.CoreMembers `cbor:"1,keyasint"`
-	Firm bool              `cbor:"2,keyasint"`
+	Set  state.CoreSet `cbor:"1,keyasint"`
+	Firm bool          `cbor:"2,keyasint"`
 }
 
 // None is an empty answer.
--- a/internal/state/coremembers/trim.go
+++ b/internal/state/coremembers/trim.go
@@ -19,13 +19,13 @@
 	if !found {
 		return
 	}
-	next := state.CoreMembers{Version: st.Set.Version + 1}
+	next := state.CoreSet{Version: st.Set.Version + 1}
 	for _, c := range st.Set.Cores {
-		if !c.Is(lost) {
+		if !c.SameVoter(lost) {
 			next.Cores = append(next.Cores, c)
 		}
 	}
-	if err := k.decide(ctx, func(set state.CoreMembers) (state.CoreMembers, error) {
+	if err := k.decide(ctx, func(set state.CoreSet) (state.CoreSet, error) {
 		if set.Version != st.Set.Version {
 			return set, wire.Refuse("busy", "the set has changed")
 		}
@@ -36,11 +36,11 @@
 }
 
 // lost is the voter that has been away longest, if one is gone.
-func (k *Keeper) lost(set state.CoreMembers) (state.Core, bool) {
+func (k *Keeper) lost(set state.CoreSet) (state.Core, bool) {
 	var lost state.Core
 	longest := time.Duration(0)
 	for _, c := range set.Cores {
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			continue
 		}
 		if left, away := k.d.Gone(c); (left || away > goneAfter) && away > longest {
--- a/internal/state/owner/changes.go
+++ b/internal/state/owner/changes.go
@@ -143,7 +143,7 @@
 		return state.Record{}, state.ErrNotOwner
 	}
 	old, found := s.table[c.key]
-	value, err := c.f(old, found && !old.Gone)
+	value, err := c.f(old, found && !old.Deleted)
 	if err != nil {
 		return state.Record{}, err
 	}
--- a/internal/state/owner/late_test.go
+++ b/internal/state/owner/late_test.go
@@ -46,7 +46,7 @@
 	})
 	v := &voters{group: run.NewGroup(t.Context())}
 	log, clk := ring.New(io.Discard, 100).Logger(), simhost.NewClock()
-	set := state.CoreMembers{Version: 1}
+	set := state.CoreSet{Version: 1}
 	for i := range 3 {
 		host := fmt.Sprintf("10.0.0.%d", i+1)
 		acc, err := acceptor.Open(v.group, "d", acceptor.Whose{Fleet: "f", Node: host}, vfs.NewMem(), clk, log)
@@ -62,7 +62,7 @@
 		server := wire.NewServer(ln, mux)
 		v.group.Go(server.Run)
 		v.servers, v.acceptors, v.far = append(v.servers, server), append(v.acceptors, acc), server
-		set.Cores = append(set.Cores, state.Core{Name: host, Disk: acc.Disk(), Addr: host + ":7000"})
+		set.Cores = append(set.Cores, state.Core{Name: host, DiskID: acc.Disk(), Addr: host + ":7000"})
 	}
 	for _, acc := range v.acceptors {
 		if _, err := acc.SetStanding(t.Context(), func(acceptor.Standing) (acceptor.Standing, bool) {
--- a/internal/state/owner/orders_test.go
+++ b/internal/state/owner/orders_test.go
@@ -17,8 +17,8 @@
 		want time.Duration
 	}{
 		{"nobody answered", nil, 0},
-		{"all know it", []state.Reply{{QuietMs: 4000}, {QuietMs: 3900}}, 3900 * time.Millisecond},
-		{"one knows of a later lease", []state.Reply{{QuietMs: 4000}, {}}, 0},
+		{"all know it", []state.Reply{{IdleMs: 4000}, {IdleMs: 3900}}, 3900 * time.Millisecond},
+		{"one knows of a later lease", []state.Reply{{IdleMs: 4000}, {}}, 0},
 	} {
 		if got := quietFor(c.yes); got != c.want {
 			t.Errorf("%s: %v, not %v", c.name, got, c.want)
@@ -28,7 +28,7 @@
 
 func TestASlotIsNotQuietWhileAnOrderIsUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := begin(t, vfs.NewMem(), state.HoldFor, 0)
+		l := begin(t, vfs.NewMem(), state.LeaseDuration, 0)
 		defer l.end()
 		until(t, 5*time.Second, l.mayOrder)
 		s := l.owner.slots[state.SlotOf(testKey)]
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -66,7 +66,7 @@
 // Owner is the slots this core holds. Its methods may be called from anywhere.
 type Owner struct {
 	d     Deps
-	slots [state.Slots]*slot
+	slots [state.SlotCount]*slot
 	stop  atomic.Bool
 	owed  atomic.Int64
 	began time.Duration
--- a/internal/state/owner/owner_test.go
+++ b/internal/state/owner/owner_test.go
@@ -34,8 +34,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	self := state.Core{Name: "a", Disk: acc.Disk()}
-	set := state.CoreMembers{Version: 1, Cores: []state.Core{self}}
+	self := state.Core{Name: "a", DiskID: acc.Disk()}
+	set := state.CoreSet{Version: 1, Cores: []state.Core{self}}
 	if _, err := acc.SetStanding(t.Context(), func(acceptor.Standing) (acceptor.Standing, bool) {
 		return acceptor.Standing{Phase: acceptor.Voter, Set: set}, true
 	}); err != nil {
@@ -101,7 +101,7 @@
 // long the process has run: what it granted itself just before is still on its way.
 func TestASlotRetakenInOneLifeWasNotFreeSinceTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := begin(t, vfs.NewMem(), state.HoldFor, 0)
+		l := begin(t, vfs.NewMem(), state.LeaseDuration, 0)
 		defer l.end()
 		holds := func() bool { return l.owner.Holds(testKey) }
 		until(t, 5*time.Second, holds)
--- a/internal/state/owner/poll.go
+++ b/internal/state/owner/poll.go
@@ -28,24 +28,24 @@
 
 // poll asks every voter side by side. It returns once a majority agreed or all
 // have answered; missed are voters without a yes at that moment.
-func (o *Owner) poll(set state.CoreMembers, path string, q state.Ask, local func(context.Context, state.Ask) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core) {
+func (o *Owner) poll(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core) {
 	yes, noes, missed, _ = o.pollSome(set, path, q, local, early)
 	return yes, noes, missed
 }
 
 // pollSome is poll that also gives the answers that come later, one for each of
 // the voters that had not answered yet.
-func (o *Owner) pollSome(set state.CoreMembers, path string, q state.Ask, local func(context.Context, state.Ask) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core, late later) {
+func (o *Owner) pollSome(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core, late later) {
 	self := o.d.Self()
 	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) voterAnswer {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		c := set.Cores[i]
-		if c.Is(self) {
+		if c.SameVoter(self) {
 			r, err := local(ctx, q)
 			return voterAnswer{i, r, err}
 		}
-		r, err := callVoter[state.Ask, state.Reply](ctx, o, c, path, q)
+		r, err := callVoter[state.Request, state.Reply](ctx, o, c, path, q)
 		return voterAnswer{i, r, err}
 	})
 	agreed := map[int]bool{}
@@ -60,7 +60,7 @@
 			agreed[a.i] = true
 		default:
 			noes = append(noes, a.r)
-			if a.r.Why == state.WhyBehind {
+			if a.r.Reason == state.ReasonBehindCoreSet {
 				o.d.Behind(set.Cores[a.i])
 			}
 		}
--- a/internal/state/owner/slot.go
+++ b/internal/state/owner/slot.go
@@ -51,7 +51,7 @@
 	s.tryAgainIn(200, 400)
 	if release {
 		set := o.d.Acceptor.Standing().Set
-		q := state.Ask{Set: set.Version, From: o.d.Self(), Slot: s.n, Epoch: s.epoch.Load(), QuietMs: s.orders.quietFor(o.d.Clock.Since()).Milliseconds(), To: next}
+		q := state.Request{SetVersion: set.Version, From: o.d.Self(), Slot: s.n, Epoch: s.epoch.Load(), IdleMs: s.orders.quietFor(o.d.Clock.Since()).Milliseconds(), NextHolder: next}
 		o.poll(set, "/state/release", q, o.d.Acceptor.Release, false)
 	}
 }
@@ -86,11 +86,11 @@
 
 // takeOrHandBack takes the slot if this core should hold it, and gives it up if
 // another should and can.
-func (s *slot) takeOrHandBack(set state.CoreMembers) {
+func (s *slot) takeOrHandBack(set state.CoreSet) {
 	o := s.o
 	now := o.d.Clock.Since()
 	rank := o.d.Rank(s.n)
-	me := slices.IndexFunc(rank, func(c state.Core) bool { return c.Is(o.d.Self()) })
+	me := slices.IndexFunc(rank, func(c state.Core) bool { return c.SameVoter(o.d.Self()) })
 	known := me >= 0
 	switch {
 	case s.table == nil && known && now >= s.waitUntil && s.inTurn(me, now):
@@ -126,5 +126,5 @@
 // heldBeforeStart says that this core held the slot last, before it was started.
 // Why: the others keep everybody else out until that lease has run out.
 func (s *slot) heldBeforeStart(now time.Duration) bool {
-	return now-s.o.began < state.HoldFor && s.o.d.Acceptor.Promised(s.n).Is(s.o.d.Self())
+	return now-s.o.began < state.LeaseDuration && s.o.d.Acceptor.Promised(s.n).SameVoter(s.o.d.Self())
 }
--- a/internal/state/owner/take.go
+++ b/internal/state/owner/take.go
@@ -10,7 +10,7 @@
 
 // take asks a majority for the slot, carries their newest records forward
 // under the new epoch, and only then serves.
-func (s *slot) take(set state.CoreMembers) {
+func (s *slot) take(set state.CoreSet) {
 	o := s.o
 	if !s.free(set) {
 		s.tryAgainIn(100, 200)
@@ -18,7 +18,7 @@
 	}
 	s.seen++
 	before := o.d.Clock.Since()
-	q := state.Ask{Set: set.Version, From: o.d.Self(), Slot: s.n, Epoch: s.seen}
+	q := state.Request{SetVersion: set.Version, From: o.d.Self(), Slot: s.n, Epoch: s.seen}
 	yes, ok := s.prepare(set, q)
 	if !ok {
 		return
@@ -36,7 +36,7 @@
 	s.orders.begin(o.d.Clock.Since())
 	// Why: MayOrder must not find the slot held while it still goes by the quarantine of the time before.
 	s.quarantine(q.Epoch, yes, firstTime)
-	s.until.Store(int64(before + state.HoldFor - state.HoldMargin))
+	s.until.Store(int64(before + state.LeaseDuration - state.LeaseMargin))
 	if err := s.write(recs, true); err != nil {
 		o.d.Log.Info("slot not taken", "slot", s.n, "epoch", q.Epoch, "error", err)
 		s.giveUp("table not kept", true)
@@ -51,14 +51,14 @@
 
 // prepare asks for a majority's promises under the epoch of q. If too few are
 // given it lets go of them and has the slot wait.
-func (s *slot) prepare(set state.CoreMembers, q state.Ask) (yes []state.Reply, ok bool) {
+func (s *slot) prepare(set state.CoreSet, q state.Request) (yes []state.Reply, ok bool) {
 	o := s.o
 	// Why: a majority's promises are enough; a core that is cut off must not hold them up.
 	yes, noes, _ := o.poll(set, "/state/prepare", q, o.d.Acceptor.Prepare, true)
 	held := false
 	for _, n := range noes {
 		s.seen = max(s.seen, n.Epoch)
-		held = held || n.Why == state.WhyHeld
+		held = held || n.Reason == state.ReasonHeld
 	}
 	if len(yes) >= set.Quorum() {
 		return yes, true
@@ -91,7 +91,7 @@
 	}
 	// Why: what an earlier life of this process did was over when this one began; what it did itself was not.
 	if firstTime && (epoch == 1 || s.ownBefore(yes)) {
-		free = max(free, min(wonAt-o.began, state.HoldFor))
+		free = max(free, min(wonAt-o.began, state.LeaseDuration))
 	}
 	s.orderFrom.Store(int64(orderFrom))
 	s.freeFor.Store(int64(free))
@@ -99,8 +99,8 @@
 
 // free asks whether a majority would promise the slot, and learns the epochs that
 // they have seen.
-func (s *slot) free(set state.CoreMembers) bool {
-	q := state.Ask{Set: set.Version, From: s.o.d.Self(), Slot: s.n}
+func (s *slot) free(set state.CoreSet) bool {
+	q := state.Request{SetVersion: set.Version, From: s.o.d.Self(), Slot: s.n}
 	yes, noes, _ := s.o.poll(set, "/state/peek", q, s.o.d.Acceptor.Peek, true)
 	for _, r := range append(noes, yes...) {
 		s.seen = max(s.seen, r.Epoch)
@@ -112,14 +112,14 @@
 // needed grants from a majority, one of which is among those that answered; its lease ended before
 // the last of theirs, and with the lease its orders.
 func freeFor(yes []state.Reply) time.Duration {
-	return least(yes, func(r state.Reply) int64 { return r.FreeMs })
+	return least(yes, func(r state.Reply) int64 { return r.UnleasedMs })
 }
 
 // quietFor is for how long no order has been sent under the slot's latest lease; 0 is not known. Why: a lease that
 // allowed orders was promised by a majority, one of which has answered. Each that has answered must therefore know
 // of no later lease than the one whose holder has said so.
 func quietFor(yes []state.Reply) time.Duration {
-	return least(yes, func(r state.Reply) int64 { return r.QuietMs })
+	return least(yes, func(r state.Reply) int64 { return r.IdleMs })
 }
 
 // least is the shortest of the times that all answers give; 0 without any.
@@ -141,9 +141,9 @@
 func (s *slot) ownBefore(yes []state.Reply) bool {
 	var last state.Reply
 	for _, r := range yes {
-		if r.Full > last.Full {
+		if r.FullEpoch > last.FullEpoch {
 			last = r
 		}
 	}
-	return last.Full > 0 && last.FullBy.Name == s.o.d.Self().Name
+	return last.FullEpoch > 0 && last.FullWriter.Name == s.o.d.Self().Name
 }
--- a/internal/state/owner/write.go
+++ b/internal/state/owner/write.go
@@ -25,7 +25,7 @@
 	if !held {
 		return state.Record{}, false, state.ErrNotOwner
 	}
-	return rec, found && !rec.Gone, nil
+	return rec, found && !rec.Deleted, nil
 }
 
 // write sends records to every voter and returns when a majority synced them.
@@ -36,7 +36,7 @@
 	for _, r := range recs {
 		at = max(at, r.Stamp.Version)
 	}
-	q := state.Ask{Set: set.Version, From: o.d.Self(), Slot: s.n, Epoch: s.epoch.Load(), At: at, Full: full, Records: recs}
+	q := state.Request{SetVersion: set.Version, From: o.d.Self(), Slot: s.n, Epoch: s.epoch.Load(), Version: at, Full: full, Records: recs}
 	yes, noes, missed, late := o.pollSome(set, "/state/accept", q, o.d.Acceptor.Accept, true)
 	written := state.Stamp{Epoch: q.Epoch, Version: at}
 	for _, c := range missed {
@@ -53,7 +53,7 @@
 		if surely {
 			return state.ErrNoQuorum
 		}
-		return state.ErrUnknown
+		return state.ErrOutcomeUnknown
 	}
 	s.version = at
 	for _, r := range recs {
@@ -61,7 +61,7 @@
 	}
 	if !s.held() {
 		// Why: it is kept, but another may have taken over since; only a new look can tell.
-		return state.ErrUnknown
+		return state.ErrOutcomeUnknown
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 
 // awaitLate strikes off what voters confirm after a majority has. Why: a majority is
 // the quicker half; the others have nearly always kept the write a moment later, and need no repair.
-func (s *slot) awaitLate(set state.CoreMembers, late later, written state.Stamp) {
+func (s *slot) awaitLate(set state.CoreSet, late later, written state.Stamp) {
 	if late.left == 0 {
 		return
 	}
