--- a/internal/core/preference.go
+++ b/internal/core/preference.go
@@ -49,7 +49,7 @@
 
 // voters are the live members of the core membership, most preferred for the slot first.
 func (c *Core) voters(slot int) []state.Core {
-	set := c.acc.Standing().Set
+	set := c.acc.Membership().Set
 	byName := map[string]state.Core{}
 	for v, phase := range c.liveCores() {
 		if phase == acceptor.Voter && set.Has(v) && !c.unheard(v) {
--- a/internal/core/roll.go
+++ b/internal/core/roll.go
@@ -12,7 +12,7 @@
 )
 
 func (c *Core) self() state.Core {
-	return state.Core{Name: c.s.Name, DiskID: c.acc.Disk(), Addr: c.s.Addr}
+	return state.Core{Name: c.s.Name, DiskID: c.acc.DiskID(), Addr: c.s.Addr}
 }
 
 // addrOf is where a voter is reached; the roll knows better than the set.
@@ -65,7 +65,7 @@
 
 // heardFor is how long ago a voter answered this core.
 func (c *Core) heardFor(v state.Core) time.Duration {
-	return min(c.members.HeardFor(v.Name), c.own.HeardFor(v))
+	return min(c.members.HeardFor(v.Name), c.own.SinceLastGrant(v))
 }
 
 // gossipTree is whom this core tells its news in a large fleet.
@@ -86,14 +86,14 @@
 
 // heardMost is how long ago most of the core membership was heard, this core among them.
 func (c *Core) heardMost() time.Duration {
-	st := c.acc.Standing()
+	st := c.acc.Membership()
 	if st.Phase != acceptor.Voter {
 		return touch.Never
 	}
 	var ago []time.Duration
 	for _, v := range st.Set.Cores {
 		if !v.SameVoter(c.self()) {
-			ago = append(ago, min(c.members.HeardFor(v.Name), c.own.HeardFor(v)))
+			ago = append(ago, min(c.members.HeardFor(v.Name), c.own.SinceLastGrant(v)))
 		}
 	}
 	return touch.Most(st.Set.Quorum(), ago)
--- a/internal/place/order/carry.go
+++ b/internal/place/order/carry.go
@@ -14,7 +14,7 @@
 // order sends one order, if the lease allows it at this very moment.
 func (c *Controller) order(verb string, item conf.Item, size int, by time.Duration) error {
 	c.orders++
-	ended := c.d.Owner.Ordering(Key(c.listed.ID))
+	ended := c.d.Owner.BeginOrder(Key(c.listed.ID))
 	defer ended()
 	epoch, left, ok := c.d.Owner.MayOrder(Key(c.listed.ID))
 	// Why: an order must be dead before the lease is, so it gets no more time than that.
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -76,18 +76,18 @@
 					t.Fatal(err)
 				}
 				out := &noted{Net: fabric.Host("10.0.0.1")}
-				acc, err := acceptor.Open(g, "d", acceptor.Whose{Node: "a"}, vfs.NewMem(), clk, log)
+				acc, err := acceptor.Open(g, "d", acceptor.FolderOwner{Node: "a"}, vfs.NewMem(), clk, log)
 				if err != nil {
 					t.Fatal(err)
 				}
-				self := state.Core{Name: "a", DiskID: acc.Disk(), Addr: "10.0.0.1:7000"}
-				if _, err := acc.SetStanding(t.Context(), func(acceptor.Standing) (acceptor.Standing, bool) {
-					return acceptor.Standing{Phase: acceptor.Voter, Set: state.CoreSet{Version: 1, Cores: []state.Core{self}}}, true
+				self := state.Core{Name: "a", DiskID: acc.DiskID(), Addr: "10.0.0.1:7000"}
+				if _, err := acc.UpdateMembership(t.Context(), func(acceptor.Membership) (acceptor.Membership, bool) {
+					return acceptor.Membership{Phase: acceptor.Voter, Set: state.CoreSet{Version: 1, Cores: []state.Core{self}}}, true
 				}); err != nil {
 					t.Fatal(err)
 				}
 				own := owner.New(owner.Deps{Self: func() state.Core { return self }, Group: held, Clock: clk, Log: log, Caller: wire.NewCaller(out), Acceptor: acc,
-					Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, Behind: func(state.Core) {}})
+					Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, OnVoterBehind: func(state.Core) {}})
 				cfg := conf.Empty()
 				cfg.Models = map[string]conf.Model{}
 				for i := range 12 {
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -170,7 +170,7 @@
 	case found && wire.Unpack(rec.Value, &before) == nil:
 		ages := make([]time.Duration, len(before.AgesMs))
 		for i, ms := range before.AgesMs {
-			ages[i] = time.Duration(ms)*time.Millisecond + p.d.Owner.FreeFor(PaceKey)
+			ages[i] = time.Duration(ms)*time.Millisecond + p.d.Owner.UnleasedFor(PaceKey)
 		}
 		p.pacer.kept = len(ages)
 		p.pacer.keeper = pace.Resume(now, p.d.Store.Window, ages)
--- a/internal/state/acceptor/acceptor_test.go
+++ b/internal/state/acceptor/acceptor_test.go
@@ -21,25 +21,25 @@
 
 func open(t *testing.T, g *run.Group, fs vfs.FS) *Acceptor {
 	t.Helper()
-	a, err := Open(g, "d", Whose{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 100).Logger())
+	a, err := Open(g, "d", FolderOwner{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 100).Logger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := a.SetStanding(t.Context(), func(Standing) (Standing, bool) { return Standing{Phase: Voter, Set: voters}, true }); err != nil {
+	if _, err := a.UpdateMembership(t.Context(), func(Membership) (Membership, bool) { return Membership{Phase: Voter, Set: voters}, true }); err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-func ask(from string, epoch, at uint64, full bool, recs ...state.Record) state.Request {
+func request(from string, epoch, at uint64, full bool, recs ...state.Record) state.Request {
 	return state.Request{SetVersion: 1, From: state.Core{Name: from}, Epoch: epoch, Version: at, Full: full, Records: recs}
 }
 
-func rec(key, value string, epoch, version uint64) state.Record {
+func record(key, value string, epoch, version uint64) state.Record {
 	return state.Record{Key: key, Value: []byte(value), Stamp: state.Stamp{Epoch: epoch, Version: version}}
 }
 
-func yes(t *testing.T, r state.Reply, err error) state.Reply {
+func mustAccept(t *testing.T, r state.Reply, err error) state.Reply {
 	t.Helper()
 	if err != nil || !r.OK {
 		t.Fatalf("refused: %v %v", r.Reason, err)
@@ -47,7 +47,7 @@
 	return r
 }
 
-func bubble(t *testing.T, f func(t *testing.T, as []*Acceptor)) {
+func withAcceptors(t *testing.T, f func(t *testing.T, as []*Acceptor)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		var as []*Acceptor
@@ -64,33 +64,33 @@
 
 // What reached a minority is carried forward or never seen again, also when it
 // is a key that nobody else ever had.
-func TestAMinoritysValueDoesNotComeBack(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestMinorityWriteDoesNotReappear(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx := t.Context()
 		all := func(f func(a *Acceptor) (state.Reply, error), who ...int) (out []state.Reply) {
 			for _, i := range who {
 				r, err := f(as[i])
-				out = append(out, yes(t, r, err))
+				out = append(out, mustAccept(t, r, err))
 			}
 			return out
 		}
 		take := func(from string, epoch uint64, who ...int) []state.Record {
 			time.Sleep(state.LeaseDuration)
-			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, ask(from, epoch, 0, false)) }, who...))
+			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, request(from, epoch, 0, false)) }, who...))
 			for i := range recs {
 				recs[i].Stamp.Epoch = epoch
 			}
 			all(func(a *Acceptor) (state.Reply, error) {
-				return a.Accept(ctx, ask(from, epoch, pr.Version+1, true, recs...))
+				return a.Accept(ctx, request(from, epoch, pr.Version+1, true, recs...))
 			}, who...)
 			return recs
 		}
 		take("a", 1, 0, 1, 2)
 		all(func(a *Acceptor) (state.Reply, error) {
-			return a.Accept(ctx, ask("a", 1, 2, false, rec("x", "old", 1, 2)))
+			return a.Accept(ctx, request("a", 1, 2, false, record("x", "old", 1, 2)))
 		}, 0, 1, 2)
 		all(func(a *Acceptor) (state.Reply, error) {
-			return a.Accept(ctx, ask("a", 1, 4, false, rec("x", "new", 1, 3), rec("y", "new", 1, 4)))
+			return a.Accept(ctx, request("a", 1, 4, false, record("x", "new", 1, 3), record("y", "new", 1, 4)))
 		}, 0)
 		take("b", 2, 1, 2) // its owner has served x=old from here on
 		for _, r := range take("c", 3, 0, 1) {
@@ -102,16 +102,16 @@
 }
 
 // A single write overtakes the whole table that its holder sent before it.
-func TestAWholeTableThatWasOvertakenTakesNoLaterWriteAway(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestDelayedFullTableKeepsLaterWrites(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
 		time.Sleep(state.LeaseDuration)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 4, false, rec("x", "later", 1, 3), rec("y", "later", 1, 4)))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 2, true, rec("x", "before", 1, 1), rec("z", "before", 1, 2)))
-		yes(t, r, err)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 4, false, record("x", "later", 1, 3), record("y", "later", 1, 4)))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 2, true, record("x", "before", 1, 1), record("z", "before", 1, 2)))
+		mustAccept(t, r, err)
 		got, err := a.records(0)
 		values := map[string]string{}
 		for _, rec := range got {
@@ -120,41 +120,41 @@
 		if want := map[string]string{"x": "later", "y": "later", "z": "before"}; err != nil || !maps.Equal(values, want) {
 			t.Errorf("%v, %v", values, err)
 		}
-		if r := yes(t, must(a.Digest(ctx, ask("a", 1, 0, false))), nil); r.FullEpoch != 1 {
+		if r := mustAccept(t, ignoreError(a.Digest(ctx, request("a", 1, 0, false))), nil); r.FullEpoch != 1 {
 			t.Errorf("the whole table counts as under epoch %d", r.FullEpoch)
 		}
 	})
 }
 
-func must(r state.Reply, _ error) state.Reply { return r }
+func ignoreError(r state.Reply, _ error) state.Reply { return r }
 
-func TestAnOlderWholeTableTakesNothingAway(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestOutdatedFullTableRemovesNothing(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
 		time.Sleep(state.LeaseDuration)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 1, true))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 2, false, rec("x", "v", 1, 2)))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 1, true))
-		yes(t, r, err)
-		if d, _ := a.Dump(ctx, ask("a", 1, 0, false)); len(d.Records) != 1 {
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 1, true))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 2, false, record("x", "v", 1, 2)))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 1, true))
+		mustAccept(t, r, err)
+		if d, _ := a.Dump(ctx, request("a", 1, 0, false)); len(d.Records) != 1 {
 			t.Error("a late repair took a newer record away")
 		}
 	})
 }
 
-func TestAHoldIsWaitedOutAlsoAfterARestart(t *testing.T) {
+func TestLeaseIsHonouredAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		fs := vfs.NewMem()
 		g := run.NewGroup(ctx)
 		a := open(t, g, fs)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Prepare(ctx, ask("b", 2, 0, false)); r.OK || r.Reason != state.ReasonHeld {
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Prepare(ctx, request("b", 2, 0, false)); r.OK || r.Reason != state.ReasonHeld {
 			t.Errorf("promised under a live lease: %+v", r)
 		}
 		g.Stop()
@@ -163,13 +163,13 @@
 		g = run.NewGroup(ctx)
 		a = open(t, g, fs)
 		time.Sleep(2 * time.Second)
-		if r, _ := a.Prepare(ctx, ask("b", 2, 0, false)); r.OK {
+		if r, _ := a.Prepare(ctx, request("b", 2, 0, false)); r.OK {
 			t.Error("a restarted grantor did not wait a whole lease")
 		}
 		time.Sleep(time.Second)
-		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Accept(ctx, ask("a", 1, 9, false, rec("x", "late", 1, 9))); r.OK {
+		r, err = a.Prepare(ctx, request("b", 2, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Accept(ctx, request("a", 1, 9, false, record("x", "late", 1, 9))); r.OK {
 			t.Error("a write of the old owner was taken")
 		}
 		if r, _ := a.Prepare(ctx, state.Request{SetVersion: 0, From: state.Core{Name: "c"}, Epoch: 9}); r.OK || r.Reason != state.ReasonOlderCoreSet {
@@ -182,41 +182,41 @@
 
 // Messages overtake each other: what belongs to a bid that was let go of keeps
 // nobody out, whenever it is read.
-func TestWhatWasLetGoOfStaysSo(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestReleasedLeaseStaysReleased(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
 		time.Sleep(state.LeaseDuration)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Release(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Release(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
 		if got, err := a.Renew(ctx, state.RenewRequest{SetVersion: 1, From: state.Core{Name: "a"}, Epochs: map[int]uint64{0: 1}}); err != nil || len(got.Granted) > 0 {
 			t.Errorf("a renewal read after its release was granted: %+v %v", got, err)
 		}
-		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
-		yes(t, r, err)
+		r, err = a.Prepare(ctx, request("b", 2, 0, false))
+		mustAccept(t, r, err)
 		// A bid whose end is read before its beginning.
 		time.Sleep(state.LeaseDuration)
-		r, err = a.Release(ctx, ask("c", 3, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Prepare(ctx, ask("c", 3, 0, false)); r.OK {
+		r, err = a.Release(ctx, request("c", 3, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Prepare(ctx, request("c", 3, 0, false)); r.OK {
 			t.Error("a bid read after its own end was granted")
 		}
-		r, err = a.Prepare(ctx, ask("b", 3, 0, false))
-		yes(t, r, err)
+		r, err = a.Prepare(ctx, request("b", 3, 0, false))
+		mustAccept(t, r, err)
 		// Who let go may come again.
-		r, err = a.Release(ctx, ask("b", 3, 0, false))
-		yes(t, r, err)
-		r, err = a.Prepare(ctx, ask("b", 4, 0, false))
-		yes(t, r, err)
+		r, err = a.Release(ctx, request("b", 3, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Prepare(ctx, request("b", 4, 0, false))
+		mustAccept(t, r, err)
 	})
 }
 
 // Random owners come and go over three acceptors, messages get lost; what was
 // acknowledged by a majority is what every later owner finds.
-func TestAcknowledgedIsNeverLost(t *testing.T) {
+func TestAcknowledgedWritesSurviveOwnerChanges(t *testing.T) {
 	for seed := range uint64(20) {
-		bubble(t, func(t *testing.T, as []*Acceptor) {
+		withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 			ctx := t.Context()
 			rnd := rand.New(rand.NewPCG(seed, 5))
 			acked, maybe := "", map[string]bool{}
@@ -228,7 +228,7 @@
 				var got []state.Reply
 				for _, a := range as {
 					if rnd.IntN(3) > 0 {
-						if r, _ := a.Prepare(ctx, ask(who, epoch, 0, false)); r.OK {
+						if r, _ := a.Prepare(ctx, request(who, epoch, 0, false)); r.OK {
 							got = append(got, r)
 						}
 					}
@@ -251,7 +251,7 @@
 					}
 					return ok >= 2
 				}
-				if !send(ask(who, epoch, pr.Version+1, true, recs...)) {
+				if !send(request(who, epoch, pr.Version+1, true, recs...)) {
 					continue
 				}
 				takes++
@@ -269,7 +269,7 @@
 					n++
 					version++
 					v := fmt.Sprint(n)
-					if send(ask(who, epoch, version, false, rec("k", v, epoch, version))) {
+					if send(request(who, epoch, version, false, record("k", v, epoch, version))) {
 						acked, maybe = v, map[string]bool{}
 					} else {
 						maybe[v] = true
