--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -87,7 +87,7 @@
 					t.Fatal(err)
 				}
 				own := owner.New(owner.Deps{Self: func() state.Core { return self }, Group: held, Clock: clk, Log: log, Caller: wire.NewCaller(out), Acceptor: acc,
-					Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, OnVoterBehind: func(state.Core) {}})
+					Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, Behind: func(state.Core) {}})
 				cfg := conf.Empty()
 				cfg.Models = map[string]conf.Model{}
 				for i := range 12 {
--- a/internal/state/coremembers/admission.go
+++ b/internal/state/coremembers/admission.go
@@ -75,7 +75,7 @@
 		replaced = true
 	}
 	// Why: after a rescue the set is smaller than it should be, and takes in whoever comes.
-	if !replaced && k.d.Replaces == "" && len(set.Cores) < k.d.FormationSize {
+	if !replaced && k.d.Replaces == "" && len(set.Cores) < k.d.Want {
 		next.Cores = append(next.Cores, q.Core)
 		replaced = true
 	}
--- a/internal/state/coremembers/bootstrap.go
+++ b/internal/state/coremembers/bootstrap.go
@@ -88,7 +88,7 @@
 		for c := range live {
 			cores = append(cores, c)
 		}
-		return cores, len(live) == k.d.FormationSize
+		return cores, len(live) == k.d.Want
 	}
 	// Why: a core that starts empty later must never found a second fleet; one that had agreed to found goes on.
 	if !st.MayBootstrap && st.Phase != acceptor.Pending {
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -34,22 +34,22 @@
 
 // Deps is what a keeper needs from the rest of the core.
 type Deps struct {
-	Self          func() state.Core
-	FormationSize int      // how many cores the first formation waits for; 0 goes by Founders, and the set changes unattended
-	InitialAddrs  []string // addresses of the cores that form the first set
-	MayBootstrap  bool     // this start may be the first of all
-	TargetSize    int      // size that an unattended set is brought back to
-	Replaces      string   // name of the member whose place this core takes
-	Group         *run.Group
-	Log           *slog.Logger
-	Caller        *wire.Caller
-	Acceptor      *acceptor.Acceptor
-	Owner         *owner.Owner
+	Self         func() state.Core
+	Want         int      // how many cores the first formation waits for; 0 goes by Founders, and the set changes unattended
+	InitialAddrs []string // addresses of the cores that form the first set
+	MayBootstrap bool     // this start may be the first of all
+	TargetSize   int      // size that an unattended set is brought back to
+	Replaces     string   // name of the member whose place this core takes
+	Group        *run.Group
+	Log          *slog.Logger
+	Caller       *wire.Caller
+	Acceptor     *acceptor.Acceptor
+	Owner        *owner.Owner
 	// Live are the cores thought alive, with the phase each reports.
 	Live func() map[state.Core]acceptor.Phase
 	Addr func(state.Core) (string, bool)
 	// Gone says whether a voter has left on purpose, and how long it has been away.
-	Absence func(state.Core) (left bool, away time.Duration)
+	Gone func(state.Core) (left bool, away time.Duration)
 	// Heard is how long ago a voter answered this core; an hour or more is never.
 	SinceContact func(state.Core) time.Duration
 }
@@ -104,7 +104,7 @@
 func (k *Manager) Stop() { k.stopped.Store(true) }
 
 // unattended says that the set changes without an operator.
-func (k *Manager) unattended() bool { return k.d.FormationSize == 0 }
+func (k *Manager) unattended() bool { return k.d.Want == 0 }
 
 // onTick does what this core's phase asks for.
 func (k *Manager) onTick() {
--- a/internal/state/owner/acquire.go
+++ b/internal/state/owner/acquire.go
@@ -44,8 +44,8 @@
 		return
 	}
 	o.d.Log.Info("slot taken", "slot", s.index, "epoch", q.Epoch, "records", len(recs))
-	if o.d.OnAcquire != nil {
-		o.d.OnAcquire(s.index, recs)
+	if o.d.OnTake != nil {
+		o.d.OnTake(s.index, recs)
 	}
 }
 
@@ -87,7 +87,7 @@
 	case epoch == 1:
 		orderFrom = wonAt
 	case s.lastHeldByThisCore(yes):
-		orderFrom = max(wonAt, o.startedAt+o.d.RestartQuarantine)
+		orderFrom = max(wonAt, o.startedAt+o.d.OwnQuarantine)
 	}
 	// Why: what an earlier life of this process did was over when this one began; what it did itself was not.
 	if firstTime && (epoch == 1 || s.lastHeldByThisCore(yes)) {
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -49,18 +49,18 @@
 	// Rank lists the live voters, the one who should hold the slot first.
 	Rank func(slot int) []state.Core
 	// Behind is told that a voter knows an older core membership.
-	OnVoterBehind func(state.Core)
+	Behind func(state.Core)
 	// Quarantine is how long a new owner gives no orders: what the old one sent
 	// may still be on its way.
 	Quarantine time.Duration
 	// OwnQuarantine is how long after its start a core gives no orders for slots that
 	// its earlier life held; 0 where replicas know a controller by its name alone.
-	RestartQuarantine time.Duration
+	OwnQuarantine time.Duration
 	// Handback is how long a slot is kept that another core is preferred for. One under which no order was sent
 	// for Quarantine is kept for quietHandback at most: its next holder may send orders at once.
 	HandbackDelay time.Duration
 	// OnTake is called in the slot's actor when a slot has been taken.
-	OnAcquire func(slot int, records []state.Record)
+	OnTake func(slot int, records []state.Record)
 }
 
 // Owner is the slots this core holds. Its methods may be called from anywhere.
--- a/internal/state/owner/poll.go
+++ b/internal/state/owner/poll.go
@@ -61,7 +61,7 @@
 		default:
 			noes = append(noes, a.reply)
 			if a.reply.Reason == state.ReasonBehindCoreSet {
-				o.d.OnVoterBehind(set.Cores[a.voter])
+				o.d.Behind(set.Cores[a.voter])
 			}
 		}
 		if early && len(yes) >= set.Quorum() {
