--- a/internal/state/slot_test.go
+++ b/internal/state/slot_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// slotOfParts is the slot by the library's hash: the slots on disks were given by it.
+// referenceSlotOf computes the slot with the standard library's hash, which assigned the slots of stored data.
 func referenceSlotOf(key string) int {
 	parts := strings.SplitN(key, "/", 3)
 	h := fnv.New32a()
@@ -25,13 +25,13 @@
 	}
 	for _, key := range keys {
 		if got, want := SlotOf(key), referenceSlotOf(key); got != want {
-			t.Errorf("%q: %d, not %d", key, got, want)
+			t.Errorf("SlotOf(%q) = %d, want %d", key, got, want)
 		}
 	}
 }
 
 func TestSlotOfDoesNotAllocate(t *testing.T) {
 	if n := testing.AllocsPerRun(100, func() { SlotOf("demand/model-1/3/a1") }); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("SlotOf makes %v allocations, want 0", n)
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,5 @@
-// Package state holds the words that the parts of the control state share:
-// keys in slots, records, the core membership and the messages between cores.
+// Package state defines the types shared by the parts of the control state: the
+// mapping of keys to slots, records, the core set and the messages between cores.
 package state
 
 import (
@@ -9,38 +9,39 @@
 	"github.com/pkg/errors"
 )
 
-// Slots is the fixed number of slots; it is part of what is on disk.
+// SlotCount is the number of slots. It determines the layout on disk and must not change.
 const SlotCount = 16
 
-// HoldFor is how long a grant of a slot lasts at the grantor.
+// LeaseDuration is how long a lease on a slot lasts, measured at the voter that grants it.
 const LeaseDuration = 3 * time.Second
 
-// HoldMargin is what the holder gives up early, for clocks that run apart.
+// LeaseMargin is how much earlier the holder lets a lease end, to allow for clock drift.
 const LeaseMargin = 300 * time.Millisecond
 
-// Errors of the control state, as its users see them.
+// Errors returned to users of the control state.
 var (
-	ErrNotOwner       = errors.New("state: slot is not held here")
-	ErrNoQuorum       = errors.New("state: no quorum; nothing was kept")
-	ErrOutcomeUnknown = errors.New("state: outcome unknown")
-	ErrStale          = errors.New("state: serial is not the current one")
-	ErrDiskFailed     = errors.New("state: disk does not keep what it is given")
+	ErrNotOwner       = errors.New("state: this core holds no lease on the slot")
+	ErrNoQuorum       = errors.New("state: no quorum; nothing was written")
+	ErrOutcomeUnknown = errors.New("state: write outcome unknown")
+	ErrStale          = errors.New("state: version is not the current one")
+	ErrDiskFailed     = errors.New("state: disk failed or is full; write may not be durable")
 )
 
-// Stamp orders the values of a key; the newest wins.
+// Stamp orders the values of a key, by epoch and then by version; the newest value wins.
 type Stamp struct {
 	Epoch   uint64 `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// Newer says whether s is after o.
+// Newer reports whether s is later than o.
 func (s Stamp) Newer(o Stamp) bool {
 	return s.Epoch > o.Epoch || s.Epoch == o.Epoch && s.Version > o.Version
 }
 
+// String formats the stamp as epoch.version.
 func (s Stamp) String() string { return fmt.Sprintf("%d.%d", s.Epoch, s.Version) }
 
-// Record is one value of one key.
+// Record is one value of a key, or the mark of its deletion.
 type Record struct {
 	Key     string `cbor:"1,keyasint"`
 	Stamp   Stamp  `cbor:"2,keyasint"`
@@ -48,8 +49,8 @@
 	Deleted bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// SlotOf maps a key to its slot. Only the first two parts of a key count, so
-// that all hours of one model's demand lie together.
+// SlotOf maps a key to its slot. Only the first two parts of a key are hashed, so
+// that the records of all hours of one model's demand share a slot.
 func SlotOf(key string) int {
 	hash := uint32(fnvOffset)
 	add := func(b byte) { hash = (hash ^ uint32(b)) * fnvPrime }
@@ -69,33 +70,33 @@
 }
 
 const (
-	// slotParts is how many parts of a key tell its slot.
+	// slotKeyParts is how many slash-separated parts of a key determine its slot.
 	slotKeyParts = 2
-	// fnvOffset and fnvPrime are those of the 32-bit FNV-1a hash; a part ends with a zero byte.
+	// fnvOffset and fnvPrime are the constants of the 32-bit FNV-1a hash. Each part is terminated by a zero byte.
 	fnvOffset = 2166136261
 	fnvPrime  = 16777619
 )
 
-// Core is one voter: a machine's name, the identity of its disk, its address.
+// Core identifies a control-plane node by its name and the ID of its data folder, and gives its address.
 type Core struct {
 	Name   string `cbor:"1,keyasint" json:"name"`
 	DiskID string `cbor:"2,keyasint" json:"disk"`
 	Addr   string `cbor:"3,keyasint" json:"addr"`
 }
 
-// Is says whether two are the same voter, wherever it may be reached.
+// SameVoter reports whether c and o are the same voter; their addresses may differ.
 func (c Core) SameVoter(o Core) bool { return c.Name == o.Name && c.DiskID == o.DiskID }
 
-// CoreMembers is the voters that count, under a rising version.
+// CoreSet is the set of voting cores. Its version increases with every change.
 type CoreSet struct {
 	Version uint64 `cbor:"1,keyasint" json:"serial"`
 	Cores   []Core `cbor:"2,keyasint" json:"cores"`
 }
 
-// Quorum is how many make a majority.
+// Quorum returns how many voters make a majority.
 func (s CoreSet) Quorum() int { return len(s.Cores)/2 + 1 }
 
-// Has says whether c is a voter.
+// Has reports whether c is a voter of the set.
 func (s CoreSet) Has(c Core) bool {
 	for _, o := range s.Cores {
 		if o.SameVoter(c) {
@@ -105,7 +106,7 @@
 	return false
 }
 
-// Ask is a message to an acceptor about one slot.
+// Request is a message to an acceptor about one slot.
 type Request struct {
 	SetVersion uint64   `cbor:"1,keyasint"`
 	From       Core     `cbor:"2,keyasint"`
@@ -114,11 +115,11 @@
 	Version    uint64   `cbor:"5,keyasint,omitempty"`
 	Full       bool     `cbor:"6,keyasint,omitempty"`
 	Records    []Record `cbor:"7,keyasint,omitempty"`
-	IdleMs     int64    `cbor:"8,keyasint,omitempty"` // in a release: for how long the holder had sent no order under the lease
-	NextHolder string   `cbor:"9,keyasint,omitempty"` // in a release: the core that is to hold the slot next, by name
+	IdleMs     int64    `cbor:"8,keyasint,omitempty"` // in a release: how long no order had been in flight under the lease
+	NextHolder string   `cbor:"9,keyasint,omitempty"` // in a release: name of the core that should hold the slot next
 }
 
-// Reply is an acceptor's answer.
+// Reply is an acceptor's answer to a Request.
 type Reply struct {
 	OK         bool     `cbor:"1,keyasint"`
 	Reason     string   `cbor:"2,keyasint,omitempty"`
@@ -129,28 +130,28 @@
 	Records    []Record `cbor:"7,keyasint,omitempty"`
 	Holder     Core     `cbor:"8,keyasint,omitempty"`
 	Digest     []byte   `cbor:"9,keyasint,omitempty"`
-	FullWriter Core     `cbor:"10,keyasint,omitempty"` // who wrote the whole table under Full
-	UnleasedMs int64    `cbor:"11,keyasint,omitempty"` // to a prepare: for how long no hold had been granted here
-	// QuietMs is, to a prepare, for how long no order has been sent under the lease that was promised last, by the
-	// word of its holder when it let go of it; 0 is not known.
+	FullWriter Core     `cbor:"10,keyasint,omitempty"` // the core that wrote the complete table of FullEpoch
+	UnleasedMs int64    `cbor:"11,keyasint,omitempty"` // in reply to a prepare: how long no lease of the slot had been valid at this voter
+	// IdleMs is, in reply to a prepare, how long no order has been in flight under the lease that was promised last,
+	// as its holder reported in its release; 0 means unknown.
 	IdleMs int64 `cbor:"12,keyasint,omitempty"`
 }
 
-// Renewal asks for several slots at once.
+// RenewRequest asks a voter to renew the leases of several slots.
 type RenewRequest struct {
 	SetVersion uint64         `cbor:"1,keyasint"`
 	From       Core           `cbor:"2,keyasint"`
 	Epochs     map[int]uint64 `cbor:"3,keyasint"`
 }
 
-// Renewed tells which of them are granted.
+// RenewReply lists the slots whose leases were renewed, and those lost to a higher epoch.
 type RenewReply struct {
 	SetVersion uint64         `cbor:"1,keyasint"`
 	Granted    []int          `cbor:"2,keyasint"`
 	Lost       map[int]uint64 `cbor:"3,keyasint"`
 }
 
-// Why an acceptor says no.
+// Reasons for which an acceptor refuses a request.
 const (
 	ReasonLowerEpoch    = "lower-epoch"
 	ReasonHeld          = "held"
