--- a/internal/state/acceptor/acceptor.go
+++ b/internal/state/acceptor/acceptor.go
@@ -1,11 +1,12 @@
-// Package acceptor is a core's vote: per slot the highest epoch promised and
-// the lease granted, per key the newest record, synced to disk before it answers.
+// Package acceptor implements a core's vote on the control state. It stores, for
+// each slot, the highest promised epoch and, for each key, the newest record, and
+// grants leases on slots.
 //
-// Each core opens one Acceptor over its data folder, which belongs to it alone.
-// The owners of slots, in this core and over the wire in the others, ask it for
-// promises, leases and writes; the core membership changes its standing. It never
-// asks another core for anything, never answers before its disk has synced what
-// the answer rests on, and never grants a lease that may overlap another core's.
+// Each core opens one Acceptor over its data folder, which no other process uses.
+// The owners of slots, in this core and over the network in the others, ask it for
+// promises, leases and writes; package coremembers changes its membership. It sends
+// no requests to other cores, syncs everything that an answer depends on to disk
+// before it answers, and never grants a lease that may overlap another core's.
 package acceptor
 
 import (
@@ -22,10 +23,10 @@
 	"drumstall.example/internal/state"
 )
 
-// ErrFolder is given by Open when the data folder cannot be trusted.
+// ErrFolder is returned by Open when the data folder is damaged or belongs to another node.
 var ErrFolder = errors.New("acceptor: data folder cannot be used")
 
-// Acceptor owns the data folder. Its methods may be called from anywhere.
+// Acceptor owns the data folder. Its methods are safe for concurrent use.
 type Acceptor struct {
 	db              *pebble.DB
 	fs              vfs.FS
@@ -37,18 +38,18 @@
 	membership      atomic.Pointer[Membership]
 	membershipActor *run.Actor
 	slots           [state.SlotCount]*slotState
-	applyLock       chan struct{} // held by who hands a batch to pebble
+	applyLock       chan struct{} // held while a batch is applied to pebble
 }
 
-// Open reads the data folder, or starts an empty one with an identity of its own.
-// ErrFolder says that it is damaged or another node's.
-func Open(g *run.Group, folder string, whose FolderOwner, fs vfs.FS, clock tick.Clock, log *slog.Logger) (*Acceptor, error) {
+// Open opens the data folder, or initializes an empty one and gives it a new ID.
+// It returns ErrFolder if the folder is damaged or belongs to another node.
+func Open(g *run.Group, folder string, folderOwner FolderOwner, fs vfs.FS, clock tick.Clock, log *slog.Logger) (*Acceptor, error) {
 	a := &Acceptor{clock: clock, log: log, fs: fs, folder: folder, applyLock: make(chan struct{}, 1)}
-	making, err := beginInit(fs, folder)
+	initializing, err := beginInit(fs, folder)
 	if err != nil {
 		return nil, errors.Wrapf(ErrFolder, "%s: %v", folder, err)
 	}
-	if !making {
+	if !initializing {
 		if err := checkFolder(fs, folder); err != nil {
 			return nil, err
 		}
@@ -61,7 +62,7 @@
 		return nil, errors.Wrapf(ErrFolder, "%s: %v", folder, err)
 	}
 	a.db = db
-	if err := a.claimFolder(whose); err != nil {
+	if err := a.claimFolder(folderOwner); err != nil {
 		_ = db.Close()
 		return nil, err
 	}
@@ -69,7 +70,7 @@
 		_ = db.Close()
 		return nil, errors.Wrapf(ErrFolder, "%s: %v", folder, err)
 	}
-	if making {
+	if initializing {
 		if err := finishInit(fs, folder); err != nil {
 			_ = db.Close()
 			return nil, errors.Wrapf(ErrFolder, "%s: %v", folder, err)
@@ -82,7 +83,7 @@
 	return a, nil
 }
 
-// load reads what the folder holds, and gives an empty one its identity.
+// load reads the content of the folder, and assigns an ID to an empty one.
 func (a *Acceptor) load() error {
 	var disk string
 	found, err := a.read(keyDiskID, &disk)
@@ -104,7 +105,7 @@
 	}
 	a.membership.Store(&st)
 	for i := range a.slots {
-		// Why: a restarted grantor forgot its grants, so it waits a whole lease before the next.
+		// Granted leases are not stored, so a restarted voter waits a full lease duration before it grants one to another core.
 		a.slots[i] = &slotState{noGrantYet: true}
 		a.slots[i].setLeaseEnd(a.clock.Since() + state.LeaseDuration)
 		var pr promise
@@ -112,7 +113,7 @@
 			return err
 		}
 		a.slots[i].setPromise(pr)
-		// Why: a record that cannot be read is found now, not when it is needed.
+		// Unreadable records are detected at start rather than when they are needed.
 		if _, err := a.records(i); err != nil {
 			return err
 		}
@@ -120,26 +121,26 @@
 	return nil
 }
 
-// Close lets go of the data folder; the group must have stopped. It gives
-// state.ErrSick for a disk that has failed.
+// Close closes the data folder; the group must have stopped before. It returns
+// state.ErrDiskFailed after a disk failure.
 func (a *Acceptor) Close() error {
-	// Why: a failed pebble may never finish closing.
+	// Closing pebble may block for ever after a disk failure.
 	if a.diskFailed.Load() {
 		return state.ErrDiskFailed
 	}
 	return a.db.Close()
 }
 
-// Disk is the identity of the data folder.
+// DiskID returns the ID of the data folder.
 func (a *Acceptor) DiskID() string { return *a.diskID.Load() }
 
-// Sick says whether the disk has failed for good.
+// DiskFailed reports whether a disk write has failed, which ends voting until a restart.
 func (a *Acceptor) DiskFailed() bool { return a.diskFailed.Load() }
 
-// Keeps says whether the disk keeps what it is given, as far as is known.
+// DiskUsable reports whether the disk is believed to accept writes: it has not failed and is not full.
 func (a *Acceptor) DiskUsable() bool { return !a.diskFailed.Load() && !a.lacksSpace() }
 
-// Serve answers the other cores on mux.
+// Serve registers the handlers for requests of other cores on mux.
 func (a *Acceptor) Serve(mux *wire.Mux) {
 	wire.Handle(mux, "/state/peek", a.Peek)
 	wire.Handle(mux, "/state/prepare", a.Prepare)
--- a/internal/state/acceptor/acceptor_test.go
+++ b/internal/state/acceptor/acceptor_test.go
@@ -62,46 +62,46 @@
 	})
 }
 
-// What reached a minority is carried forward or never seen again, also when it
-// is a key that nobody else ever had.
+// A write that reached only a minority is either carried over by the next owner or never
+// returned again, also for a key that no other voter has stored.
 func TestMinorityWriteDoesNotReappear(t *testing.T) {
 	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx := t.Context()
-		all := func(f func(a *Acceptor) (state.Reply, error), who ...int) (out []state.Reply) {
-			for _, i := range who {
+		all := func(f func(a *Acceptor) (state.Reply, error), members ...int) (out []state.Reply) {
+			for _, i := range members {
 				r, err := f(as[i])
 				out = append(out, mustAccept(t, r, err))
 			}
 			return out
 		}
-		take := func(from string, epoch uint64, who ...int) []state.Record {
+		acquire := func(from string, epoch uint64, members ...int) []state.Record {
 			time.Sleep(state.LeaseDuration)
-			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, request(from, epoch, 0, false)) }, who...))
+			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, request(from, epoch, 0, false)) }, members...))
 			for i := range recs {
 				recs[i].Stamp.Epoch = epoch
 			}
 			all(func(a *Acceptor) (state.Reply, error) {
 				return a.Accept(ctx, request(from, epoch, pr.Version+1, true, recs...))
-			}, who...)
+			}, members...)
 			return recs
 		}
-		take("a", 1, 0, 1, 2)
+		acquire("a", 1, 0, 1, 2)
 		all(func(a *Acceptor) (state.Reply, error) {
 			return a.Accept(ctx, request("a", 1, 2, false, record("x", "old", 1, 2)))
 		}, 0, 1, 2)
 		all(func(a *Acceptor) (state.Reply, error) {
 			return a.Accept(ctx, request("a", 1, 4, false, record("x", "new", 1, 3), record("y", "new", 1, 4)))
 		}, 0)
-		take("b", 2, 1, 2) // its owner has served x=old from here on
-		for _, r := range take("c", 3, 0, 1) {
+		acquire("b", 2, 1, 2) // this owner serves x=old from here on
+		for _, r := range acquire("c", 3, 0, 1) {
 			if r.Key == "y" || string(r.Value) != "old" {
-				t.Errorf("came back: %s=%s", r.Key, r.Value)
+				t.Errorf("a later owner found the minority write %s=%s", r.Key, r.Value)
 			}
 		}
 	})
 }
 
-// A single write overtakes the whole table that its holder sent before it.
+// A single write arrives before the full table that its holder sent earlier. The table must not remove the write.
 func TestDelayedFullTableKeepsLaterWrites(t *testing.T) {
 	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
@@ -118,10 +118,10 @@
 			values[rec.Key] = string(rec.Value)
 		}
 		if want := map[string]string{"x": "later", "y": "later", "z": "before"}; err != nil || !maps.Equal(values, want) {
-			t.Errorf("%v, %v", values, err)
+			t.Errorf("stored values: %v, error: %v", values, err)
 		}
 		if r := mustAccept(t, ignoreError(a.Digest(ctx, request("a", 1, 0, false))), nil); r.FullEpoch != 1 {
-			t.Errorf("the whole table counts as under epoch %d", r.FullEpoch)
+			t.Errorf("the full table has epoch %d, want 1", r.FullEpoch)
 		}
 	})
 }
@@ -141,7 +141,7 @@
 		r, err = a.Accept(ctx, request("a", 1, 1, true))
 		mustAccept(t, r, err)
 		if d, _ := a.Dump(ctx, request("a", 1, 0, false)); len(d.Records) != 1 {
-			t.Error("a late repair took a newer record away")
+			t.Error("a delayed repair removed a newer record")
 		}
 	})
 }
@@ -155,7 +155,7 @@
 		r, err := a.Prepare(ctx, request("a", 1, 0, false))
 		mustAccept(t, r, err)
 		if r, _ := a.Prepare(ctx, request("b", 2, 0, false)); r.OK || r.Reason != state.ReasonHeld {
-			t.Errorf("promised under a live lease: %+v", r)
+			t.Errorf("promised while another core held a lease: %+v", r)
 		}
 		g.Stop()
 		_ = a.Close()
@@ -164,24 +164,24 @@
 		a = open(t, g, fs)
 		time.Sleep(2 * time.Second)
 		if r, _ := a.Prepare(ctx, request("b", 2, 0, false)); r.OK {
-			t.Error("a restarted grantor did not wait a whole lease")
+			t.Error("a restarted voter did not wait for a full lease duration")
 		}
 		time.Sleep(time.Second)
 		r, err = a.Prepare(ctx, request("b", 2, 0, false))
 		mustAccept(t, r, err)
 		if r, _ := a.Accept(ctx, request("a", 1, 9, false, record("x", "late", 1, 9))); r.OK {
-			t.Error("a write of the old owner was taken")
+			t.Error("a write of the previous owner was accepted")
 		}
 		if r, _ := a.Prepare(ctx, state.Request{SetVersion: 0, From: state.Core{Name: "c"}, Epoch: 9}); r.OK || r.Reason != state.ReasonOlderCoreSet {
-			t.Errorf("an older core set was heeded: %+v", r)
+			t.Errorf("a request with an older core set version was not refused: %+v", r)
 		}
 		g.Stop()
 		_ = a.Close()
 	})
 }
 
-// Messages overtake each other: what belongs to a bid that was let go of keeps
-// nobody out, whenever it is read.
+// Messages may be reordered: a message of a released claim, whenever it is processed, must not
+// block other cores.
 func TestReleasedLeaseStaysReleased(t *testing.T) {
 	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
@@ -191,20 +191,20 @@
 		r, err = a.Release(ctx, request("a", 1, 0, false))
 		mustAccept(t, r, err)
 		if got, err := a.Renew(ctx, state.RenewRequest{SetVersion: 1, From: state.Core{Name: "a"}, Epochs: map[int]uint64{0: 1}}); err != nil || len(got.Granted) > 0 {
-			t.Errorf("a renewal read after its release was granted: %+v %v", got, err)
+			t.Errorf("a renewal processed after its release was granted: %+v %v", got, err)
 		}
 		r, err = a.Prepare(ctx, request("b", 2, 0, false))
 		mustAccept(t, r, err)
-		// A bid whose end is read before its beginning.
+		// The release of a claim is processed before its prepare.
 		time.Sleep(state.LeaseDuration)
 		r, err = a.Release(ctx, request("c", 3, 0, false))
 		mustAccept(t, r, err)
 		if r, _ := a.Prepare(ctx, request("c", 3, 0, false)); r.OK {
-			t.Error("a bid read after its own end was granted")
+			t.Error("a prepare processed after its own release was granted")
 		}
 		r, err = a.Prepare(ctx, request("b", 3, 0, false))
 		mustAccept(t, r, err)
-		// Who let go may come again.
+		// A core that released the slot may claim it again under a higher epoch.
 		r, err = a.Release(ctx, request("b", 3, 0, false))
 		mustAccept(t, r, err)
 		r, err = a.Prepare(ctx, request("b", 4, 0, false))
@@ -212,23 +212,23 @@
 	})
 }
 
-// Random owners come and go over three acceptors, messages get lost; what was
-// acknowledged by a majority is what every later owner finds.
+// Random owners replace each other over three acceptors and messages are lost. Every later owner
+// must find the value that a majority acknowledged.
 func TestAcknowledgedWritesSurviveOwnerChanges(t *testing.T) {
 	for seed := range uint64(20) {
 		withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 			ctx := t.Context()
 			rnd := rand.New(rand.NewPCG(seed, 5))
-			acked, maybe := "", map[string]bool{}
-			epoch, n, takes := uint64(0), 0, 0
+			acknowledged, uncertain := "", map[string]bool{}
+			epoch, n, acquired := uint64(0), 0, 0
 			for range 60 {
 				time.Sleep(state.LeaseDuration)
 				epoch++
-				who := fmt.Sprintf("o%d", rnd.IntN(3))
+				holder := fmt.Sprintf("o%d", rnd.IntN(3))
 				var got []state.Reply
 				for _, a := range as {
 					if rnd.IntN(3) > 0 {
-						if r, _ := a.Prepare(ctx, request(who, epoch, 0, false)); r.OK {
+						if r, _ := a.Prepare(ctx, request(holder, epoch, 0, false)); r.OK {
 							got = append(got, r)
 						}
 					}
@@ -251,34 +251,34 @@
 					}
 					return ok >= 2
 				}
-				if !send(request(who, epoch, pr.Version+1, true, recs...)) {
+				if !send(request(holder, epoch, pr.Version+1, true, recs...)) {
 					continue
 				}
-				takes++
+				acquired++
 				found := ""
 				for _, r := range recs {
 					found = string(r.Value)
 				}
-				if found != acked && !maybe[found] {
-					t.Fatalf("seed %d: owner %d finds %q, acknowledged was %q", seed, epoch, found, acked)
+				if found != acknowledged && !uncertain[found] {
+					t.Fatalf("seed %d: owner of epoch %d found %q, acknowledged was %q", seed, epoch, found, acknowledged)
 				}
-				// What this owner serves is settled: nothing from before it may come up again.
-				acked, maybe = found, map[string]bool{}
+				// The value that this owner serves is final: no earlier value may appear again.
+				acknowledged, uncertain = found, map[string]bool{}
 				version := pr.Version + 1
 				for range 1 + rnd.IntN(3) {
 					n++
 					version++
 					v := fmt.Sprint(n)
-					if send(request(who, epoch, version, false, record("k", v, epoch, version))) {
-						acked, maybe = v, map[string]bool{}
+					if send(request(holder, epoch, version, false, record("k", v, epoch, version))) {
+						acknowledged, uncertain = v, map[string]bool{}
 					} else {
-						maybe[v] = true
+						uncertain[v] = true
 						break
 					}
 				}
 			}
-			if takes < 10 {
-				t.Fatalf("seed %d: only %d owners", seed, takes)
+			if acquired < 10 {
+				t.Fatalf("seed %d: only %d owners acquired the slot, want at least 10", seed, acquired)
 			}
 		})
 	}
--- a/internal/state/acceptor/disk.go
+++ b/internal/state/acceptor/disk.go
@@ -13,7 +13,7 @@
 	"drumstall.example/internal/state"
 )
 
-// pebbleLog tells the acceptor of pebble's troubles.
+// pebbleLogger logs pebble's errors and marks the disk as failed after a fatal one.
 type pebbleLogger struct{ a *Acceptor }
 
 func (l pebbleLogger) Infof(string, ...any) {}
@@ -23,7 +23,7 @@
 }
 
 func (l pebbleLogger) Fatalf(format string, args ...any) {
-	// Why: a disk that failed must cost this vote, not the process; what it did not sync is never answered for.
+	// A disk failure ends this core's voting but not the process; writes that were not synced are never acknowledged.
 	if !l.a.diskFailed.Swap(true) {
 		l.a.log.Error("disk failed: " + fmt.Sprintf(format, args...))
 	}
@@ -35,17 +35,17 @@
 	keyMembership = []byte("m/standing")
 )
 
-// keyPromise and keyRecord are keys on the disk; two digits keep the slots in order.
+// keyPromise and keyRecord build storage keys; two-digit slot numbers keep the slots in order.
 func keyPromise(slot int) []byte { return fmt.Appendf(nil, "p/%02d", slot) }
 
 func keyRecord(slot int, k string) []byte { return fmt.Appendf(nil, "r/%02d/%s", slot, k) }
 
-// bounds holds exactly the records of one slot.
+// recordBounds returns iterator bounds that contain exactly the records of one slot.
 func recordBounds(slot int) *pebble.IterOptions {
 	return &pebble.IterOptions{LowerBound: fmt.Appendf(nil, "r/%02d/", slot), UpperBound: fmt.Appendf(nil, "r/%02d0", slot)}
 }
 
-// newDisk is a fresh identity of a data folder.
+// newDiskID generates a random ID for a data folder.
 func newDiskID() (string, error) {
 	var id [8]byte
 	if _, err := rand.Read(id[:]); err != nil {
@@ -54,16 +54,16 @@
 	return hex.EncodeToString(id[:]), nil
 }
 
-// spare is what must be free on the disk; pebble itself needs room to tidy up.
+// minFreeSpace is the free disk space below which writes are refused; pebble needs space for compactions.
 const minFreeSpace = 64 << 20
 
-// full says whether the disk is too full to write to; it votes again when there is room.
+// lacksSpace reports whether the disk has too little free space for writes. Writes resume once there is enough.
 func (a *Acceptor) lacksSpace() bool {
 	u, err := a.fs.GetDiskUsage(a.folder)
 	return err == nil && u.AvailBytes < minFreeSpace
 }
 
-// read unpacks the value of a key into v, and says whether there is one.
+// read decodes the value of a key into v, and reports whether the key exists.
 func (a *Acceptor) read(key []byte, v any) (bool, error) {
 	raw, closer, err := a.db.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -76,8 +76,8 @@
 	return true, wire.Unpack(raw, v)
 }
 
-// commit writes one batch and waits until it is synced; state.ErrSick says that it
-// may not have been. A failed sync ends this core's voting until it is restarted.
+// commit writes one batch and waits until it is synced. After state.ErrDiskFailed it may
+// not be stored. A failed sync ends this core's voting until it is restarted.
 func (a *Acceptor) commit(fill func(*pebble.Batch) error) error {
 	if a.diskFailed.Load() {
 		return state.ErrDiskFailed
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// synced hands a batch to pebble and waits until it is on the disk. Why: pebble
-// takes batches in one at a time under a mutex, also while a slow disk gives it a new file; whoever waits for that
-// waits at our door, where a simulation sees it wait. Syncing is shared by all that are in.
+// applySynced applies a batch to pebble and waits until it is synced. Pebble applies
+// batches one at a time under a mutex, which it also holds while a slow disk creates a new file. Goroutines wait on
+// applyLock, a channel, instead, because a simulation can detect that wait. Applied batches share a sync.
 func (a *Acceptor) applySynced(b *pebble.Batch) error {
 	err := func() error {
 		a.applyLock <- struct{}{}
--- a/internal/state/acceptor/folder.go
+++ b/internal/state/acceptor/folder.go
@@ -11,11 +11,11 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// format is how data folders are written now. A change that an earlier version
-// cannot read raises it.
+// folderFormat is the format version of data folders. It increases with every change
+// that earlier versions cannot read.
 const folderFormat = 1
 
-// Whose says to which node of which fleet a data folder belongs.
+// FolderOwner records which node of which fleet a data folder belongs to, and its format version.
 type FolderOwner struct {
 	Fleet  string `cbor:"1,keyasint"`
 	Node   string `cbor:"2,keyasint"`
@@ -24,33 +24,33 @@
 
 var keyFolderOwner = []byte("m/whose")
 
-// Why no word of a backup anywhere below: an older copy of a voter's folder has forgotten what it promised and kept since,
-// and a majority with it in may miss what was acknowledged.
+// The error messages below never suggest restoring a backup: an older copy of a voter's folder lacks the promises and records
+// stored since, and a majority that includes it may miss acknowledged writes.
 
-// looksRight refuses a folder in which something lies that is not ours, or of
-// which the part is missing that tells pebble what the rest is. Why: pebble would start a new, empty store beside it.
+// checkFolder returns an error for a folder with foreign files, or without the
+// files that pebble needs to find its store. Pebble would create a new, empty store in such a folder.
 func checkFolder(fs vfs.FS, folder string) error {
 	names, err := fs.List(folder)
 	if err != nil || len(names) == 0 {
-		return nil // it is made anew
+		return nil // pebble creates a new store
 	}
 	desc, err := pebble.Peek(folder, fs)
 	if err != nil {
 		return errors.Wrapf(ErrFolder, "%s is damaged: %v; move it away and start this core with an empty one, as a new member", folder, err)
 	}
 	if !desc.Exists {
-		return errors.Wrapf(ErrFolder, "%s is not empty and holds no data of ours, or its index is lost (%s lies there); "+
-			"name an empty folder, with which this core comes as a new member", folder, names[0])
+		return errors.Wrapf(ErrFolder, "%s is not empty and holds no data of this program, or its index is lost (found %s); "+
+			"name an empty folder, with which this core joins as a new member", folder, names[0])
 	}
 	return nil
 }
 
-// makingMark lies in a data folder from before anything else does until the store in it is whole. Why: a
-// process that is killed meanwhile leaves a folder that pebble cannot read and that holds nothing of worth.
+// initMarker is the name of a file that exists in a data folder during its initialization: it is created first
+// and removed last. A process killed in between leaves a folder that pebble cannot read and that holds no needed data.
 const initMarker = "making"
 
-// beginMaking marks an empty folder as one in which a store is being made, and empties one in which that was
-// broken off. A folder that is not marked is left as it is. It says whether a store is to be made.
+// beginInit creates the marker in an empty folder, and clears a folder whose initialization was
+// interrupted. A non-empty folder without the marker is left unchanged. It reports whether a store must be created.
 func beginInit(fs vfs.FS, folder string) (bool, error) {
 	if err := fs.MkdirAll(folder, 0o755); err != nil {
 		return false, err
@@ -63,7 +63,7 @@
 		return false, nil
 	}
 	for _, name := range names {
-		// Why: the mark goes last of all, by endMaking.
+		// finishInit removes the marker, after everything else is in place.
 		if name == initMarker {
 			continue
 		}
@@ -76,8 +76,8 @@
 		return false, err
 	}
 	err = mark.Sync()
-	if closing := mark.Close(); err == nil {
-		err = closing
+	if closeErr := mark.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return false, err
@@ -85,7 +85,7 @@
 	return true, syncFolder(fs, folder)
 }
 
-// endMaking takes the mark away for good. Nothing may be kept in the store before.
+// finishInit removes the marker durably. No votes may be stored before that.
 func finishInit(fs vfs.FS, folder string) error {
 	if err := fs.Remove(fs.PathJoin(folder, initMarker)); err != nil {
 		return err
@@ -93,40 +93,40 @@
 	return syncFolder(fs, folder)
 }
 
-// syncFolder makes the names in a folder last.
+// syncFolder syncs a directory, so that created and removed entries are durable.
 func syncFolder(fs vfs.FS, folder string) error {
 	dir, err := fs.OpenDir(folder)
 	if err != nil {
 		return err
 	}
 	err = dir.Sync()
-	if closing := dir.Close(); err == nil {
-		err = closing
+	if closeErr := dir.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
-// claim makes sure that the folder is this node's, and takes one that is nobody's yet.
-func (a *Acceptor) claimFolder(whose FolderOwner) error {
-	whose.Format = folderFormat
-	var kept FolderOwner
-	found, err := a.read(keyFolderOwner, &kept)
-	refuse := func(why, todo string) error {
-		return errors.Wrap(ErrFolder, fmt.Sprintf("%s %s; %s", a.folder, why, todo))
+// claimFolder checks that the folder belongs to this node, and records this node as the owner of a new folder.
+func (a *Acceptor) claimFolder(want FolderOwner) error {
+	want.Format = folderFormat
+	var stored FolderOwner
+	found, err := a.read(keyFolderOwner, &stored)
+	refuse := func(problem, action string) error {
+		return errors.Wrap(ErrFolder, fmt.Sprintf("%s %s; %s", a.folder, problem, action))
 	}
 	switch {
 	case err != nil:
 		return refuse("is damaged: "+err.Error(), "move it away and start this core with an empty one, as a new member")
 	case !found:
-		if err := a.db.Set(keyFolderOwner, wire.Pack(whose), pebble.Sync); err != nil {
-			return refuse("cannot be written: "+err.Error(), "look at the disk")
+		if err := a.db.Set(keyFolderOwner, wire.Pack(want), pebble.Sync); err != nil {
+			return refuse("cannot be written: "+err.Error(), "check the disk")
 		}
-	case kept.Format > folderFormat:
-		return refuse(fmt.Sprintf("is written in format %d and this version reads up to %d", kept.Format, folderFormat), "start the newer version again")
-	case kept.Fleet != whose.Fleet:
-		return refuse("belongs to the fleet "+kept.Fleet+", not "+whose.Fleet, "set --fleet or --folder right")
-	case kept.Node != whose.Node:
-		return refuse("belongs to the node "+kept.Node+", not "+whose.Node, "set --name or --folder right")
+	case stored.Format > folderFormat:
+		return refuse(fmt.Sprintf("is written in format %d but this version reads up to %d", stored.Format, folderFormat), "start the newer version again")
+	case stored.Fleet != want.Fleet:
+		return refuse("belongs to the fleet "+stored.Fleet+", not "+want.Fleet, "set --fleet or --folder right")
+	case stored.Node != want.Node:
+		return refuse("belongs to the node "+stored.Node+", not "+want.Node, "set --name or --folder right")
 	}
 	return nil
 }
--- a/internal/state/acceptor/folder_test.go
+++ b/internal/state/acceptor/folder_test.go
@@ -23,8 +23,8 @@
 	"drumstall.example/internal/sim/simhost"
 )
 
-// A disk that fails costs the vote; nothing is answered from memory. It runs
-// outside a bubble: a failed pebble leaves goroutines behind.
+// After a disk failure no write is acknowledged. The test runs outside a synctest
+// bubble, because pebble leaves goroutines running after a failure.
 func TestFailedDiskRefusesWrites(t *testing.T) {
 	var broken atomic.Bool
 	fs := errorfs.Wrap(vfs.NewMem(), errorfs.InjectorFunc(func(op errorfs.Op) error {
@@ -41,12 +41,12 @@
 	for i := range 3 {
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		if r, err := a.Accept(ctx, request("a", 1, uint64(i+1), false, record("x", "v", 1, uint64(i+1)))); err == nil && r.OK {
-			t.Error("a write that cannot have been synced was accepted")
+			t.Error("a write that cannot have been synced was acknowledged")
 		}
 		cancel()
 	}
 	if a.DiskUsable() {
-		t.Error("the disk is still thought to keep what it is given")
+		t.Error("DiskUsable is true after a disk failure")
 	}
 }
 
@@ -66,14 +66,14 @@
 		_ = a.Close()
 		g = run.NewGroup(t.Context())
 		if _, err := Open(g, "d", FolderOwner{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 9).Logger()); err == nil {
-			t.Error("a record that cannot be read was passed over")
+			t.Error("Open accepted a folder with an unreadable record")
 		}
 		g.Stop()
 	})
 }
 
-// A folder that is another's, newer, damaged or no data folder is refused with what to
-// do, and left as it is.
+// A folder of another node, of a newer format, damaged, or with foreign files is refused with an
+// error that says what to do, and left unchanged.
 func TestForeignOrDamagedFolderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := func(fs vfs.FS, w FolderOwner) error {
@@ -85,14 +85,14 @@
 			}
 			return err
 		}
-		mine := FolderOwner{Fleet: "f", Node: "n"}
+		own := FolderOwner{Fleet: "f", Node: "n"}
 		for _, c := range []struct {
 			what  string
 			spoil func(fs *vfs.MemFS)
 			as    FolderOwner
 			says  string
 		}{
-			{"nothing", func(*vfs.MemFS) {}, mine, ""},
+			{"nothing", func(*vfs.MemFS) {}, own, ""},
 			{"another node", func(*vfs.MemFS) {}, FolderOwner{Fleet: "f", Node: "m"}, "belongs to the node n"},
 			{"another fleet", func(*vfs.MemFS) {}, FolderOwner{Fleet: "g", Node: "n"}, "belongs to the fleet f"},
 			{"a newer format", func(fs *vfs.MemFS) {
@@ -104,7 +104,7 @@
 					t.Fatal(err)
 				}
 				_ = db.Close()
-			}, mine, "start the newer version"},
+			}, own, "start the newer version"},
 			{"its index lost", func(fs *vfs.MemFS) {
 				names, _ := fs.List("d")
 				for _, n := range names {
@@ -112,10 +112,10 @@
 						_ = fs.Remove("d/" + n)
 					}
 				}
-			}, mine, "index is lost"},
+			}, own, "index is lost"},
 		} {
 			fs := vfs.NewMem()
-			if err := start(fs, mine); err != nil {
+			if err := start(fs, own); err != nil {
 				t.Fatal(err)
 			}
 			c.spoil(fs)
@@ -130,10 +130,10 @@
 			if c.says == "index is lost" && !slices.Equal(before, after) {
 				t.Errorf("%s: the folder was changed from %v to %v", c.what, before, after)
 			}
-			// Whatever was refused, its own node can still use it.
+			// After the refusal the folder's own node can still use it.
 			if strings.HasPrefix(c.what, "another") {
-				if err := start(fs, mine); err != nil {
-					t.Errorf("%s, then its own: %v", c.what, err)
+				if err := start(fs, own); err != nil {
+					t.Errorf("%s, then the owning node: %v", c.what, err)
 				}
 			}
 		}
@@ -144,18 +144,18 @@
 			t.Fatal(err)
 		}
 		_ = f.Close()
-		if err := start(fs, mine); err == nil || !strings.Contains(err.Error(), "letter.txt") {
-			t.Errorf("a folder of something else: %v", err)
+		if err := start(fs, own); err == nil || !strings.Contains(err.Error(), "letter.txt") {
+			t.Errorf("a folder with foreign files: %v", err)
 		}
 	})
 }
 
-// A core is killed, or loses power, at each step of making its first folder; it starts again with what is there.
+// A core that is killed or loses power at any step of initializing its data folder can start again with what is left.
 func TestCrashDuringFolderInitIsRecoverable(t *testing.T) {
-	mine := FolderOwner{Fleet: "f", Node: "n"}
+	own := FolderOwner{Fleet: "f", Node: "n"}
 	start := func(fs vfs.FS) error {
 		g := run.NewGroup(t.Context())
-		a, err := Open(g, "d", mine, fs, simhost.NewClock(), ring.New(io.Discard, 9).Logger())
+		a, err := Open(g, "d", own, fs, simhost.NewClock(), ring.New(io.Discard, 9).Logger())
 		g.Stop()
 		if err == nil {
 			err = a.Close()
@@ -164,22 +164,22 @@
 	}
 	for _, kept := range []int{0, 50, 100} {
 		mem := vfs.NewCrashableMem()
-		var left []*vfs.MemFS // the disk as a kill would leave it, before each step
-		var taking sync.Mutex
+		var crashed []*vfs.MemFS // the disk as a crash before each write would leave it
+		var mu sync.Mutex
 		fs := errorfs.Wrap(mem, errorfs.InjectorFunc(func(op errorfs.Op) error {
 			if op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
-				taking.Lock()
-				defer taking.Unlock()
-				left = append(left, mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: kept, RNG: rand.New(rand.NewPCG(uint64(len(left)), 1))}))
+				mu.Lock()
+				defer mu.Unlock()
+				crashed = append(crashed, mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: kept, RNG: rand.New(rand.NewPCG(uint64(len(crashed)), 1))}))
 			}
 			return nil
 		}))
 		if err := start(fs); err != nil {
 			t.Fatal(err)
 		}
-		for step, disk := range left {
+		for step, disk := range crashed {
 			if err := start(disk); err != nil {
-				t.Errorf("killed before step %d of %d, %d in 100 of what was not synced kept: %v", step, len(left), kept, err)
+				t.Errorf("crash before write %d of %d, %d percent of unsynced data kept: %v", step, len(crashed), kept, err)
 			}
 		}
 	}
--- a/internal/state/acceptor/fuzz_test.go
+++ b/internal/state/acceptor/fuzz_test.go
@@ -13,8 +13,8 @@
 	"drumstall.example/internal/state"
 )
 
-// Whatever a peer sends: a vote never goes back to a lower epoch, and the
-// folder can be opened again.
+// No request of a peer, however malformed, lowers the promised epoch or leaves a folder that
+// cannot be opened again.
 func FuzzRequest(f *testing.F) {
 	f.Add(wire.Pack(request("a", 3, 1, false, record("x", "v", 3, 1))), uint8(0))
 	f.Add(wire.Pack(request("b", 1<<63, 1<<63, true, record("", "", 0, 0))), uint8(1))
@@ -36,7 +36,7 @@
 			}
 			after, err := a.Digest(t.Context(), request("a", 0, 0, false))
 			if err != nil || after.Epoch < before.Epoch {
-				t.Errorf("epoch %d after %d, %v", after.Epoch, before.Epoch, err)
+				t.Errorf("epoch is %d, was %d; error %v", after.Epoch, before.Epoch, err)
 			}
 			g.Stop()
 			if err := a.Close(); err != nil {
--- a/internal/state/acceptor/idle_test.go
+++ b/internal/state/acceptor/idle_test.go
@@ -10,7 +10,7 @@
 	"drumstall.example/internal/state"
 )
 
-// What a holder says when it lets go of a slot holds for the lease that it had, and for no later one.
+// The idle time that a holder reports in its release applies to its own lease and to no later one.
 func TestIdleTimeAppliesOnlyToTheLastLease(t *testing.T) {
 	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
@@ -25,14 +25,14 @@
 		r, err = a.Prepare(ctx, request("b", 2, 0, false))
 		mustAccept(t, r, err)
 		if r.IdleMs != 5000 {
-			t.Errorf("quiet for %d ms, not 5000", r.IdleMs)
+			t.Errorf("idle for %d ms, want 5000", r.IdleMs)
 		}
 		r, err = a.Release(ctx, request("b", 2, 0, false))
 		mustAccept(t, r, err)
 		r, err = a.Prepare(ctx, request("c", 3, 0, false))
 		mustAccept(t, r, err)
 		if r.IdleMs != 0 {
-			t.Errorf("quiet for %d ms though the last holder has not said so", r.IdleMs)
+			t.Errorf("idle for %d ms, but the last holder did not report it", r.IdleMs)
 		}
 	})
 }
@@ -56,7 +56,7 @@
 		r, err = a.Prepare(ctx, request("b", 2, 0, false))
 		mustAccept(t, r, err)
 		if r.IdleMs != 0 {
-			t.Errorf("quiet for %d ms by the word of nobody", r.IdleMs)
+			t.Errorf("idle for %d ms, but no holder reported it", r.IdleMs)
 		}
 		g.Stop()
 		_ = a.Close()
@@ -69,12 +69,12 @@
 		r, err := as[0].Prepare(t.Context(), request("a", 1, 0, false))
 		mustAccept(t, r, err)
 		if r.IdleMs != 0 {
-			t.Errorf("quiet for %d ms by the word of nobody", r.IdleMs)
+			t.Errorf("idle for %d ms, but no holder reported it", r.IdleMs)
 		}
 	})
 }
 
-// A slot that is let go of for one core goes to no other for a moment, and to anybody after that.
+// A slot released in favour of one core is refused to others for the reservation time, and available to all after it.
 func TestReleasedSlotIsReservedForNextHolder(t *testing.T) {
 	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
@@ -90,7 +90,7 @@
 		}
 		release("a", 1)
 		if r, _ := a.Peek(ctx, request("c", 2, 0, false)); r.OK || r.Reason != state.ReasonHeld {
-			t.Errorf("free for another at once: %+v", r)
+			t.Errorf("available to another core at once: %+v", r)
 		}
 		r, err := a.Prepare(ctx, request("b", 2, 0, false))
 		mustAccept(t, r, err)
--- a/internal/state/acceptor/lease.go
+++ b/internal/state/acceptor/lease.go
@@ -10,8 +10,8 @@
 	"drumstall.example/internal/state"
 )
 
-// Peek says whether a promise would be given, and changes nothing. Why: a promise
-// given in vain outbids the holder, whose renewals are refused here from then on.
+// Peek reports whether the slot is available to the requester, without changing state. A promise
+// that does not lead to a majority would still block the holder: its renewals are refused here from then on.
 func (a *Acceptor) Peek(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		if r.OK = !t.unavailableTo(q.From, a.clock.Since()); !r.OK {
@@ -20,7 +20,7 @@
 	})
 }
 
-// Prepare promises a slot to a holder under an epoch above any promised.
+// Prepare promises a slot to a core under an epoch higher than any promised before, and grants it a lease.
 func (a *Acceptor) Prepare(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		now := a.clock.Since()
@@ -52,14 +52,14 @@
 	})
 }
 
-// Renew prolongs leases; slots promised to others are named as lost. The refusal
-// has one of the state.Why codes when this core may not vote.
+// Renew extends leases; slots promised under a higher epoch are listed as lost. If this
+// core may not vote, the refusal's code is one of the state.Reason constants.
 func (a *Acceptor) Renew(ctx context.Context, q state.RenewRequest) (state.RenewReply, error) {
 	out := state.RenewReply{Lost: map[int]uint64{}}
-	head, ok := a.checkVote(q.SetVersion)
-	out.SetVersion = head.SetVersion
+	check, ok := a.checkVote(q.SetVersion)
+	out.SetVersion = check.SetVersion
 	if !ok {
-		return out, wire.Refuse(head.Reason, "renewal")
+		return out, wire.Refuse(check.Reason, "renewal")
 	}
 	for slot, epoch := range q.Epochs {
 		r, err := a.onSlot(ctx, state.Request{SetVersion: q.SetVersion, From: q.From, Slot: slot, Epoch: epoch}, func(t *slotState, r *state.Reply) {
@@ -90,7 +90,7 @@
 	return out, nil
 }
 
-// Release ends a lease before its time; the promise stays.
+// Release ends a lease early; the promise stays.
 func (a *Acceptor) Release(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		if !t.wasReleased(q.From, q.Epoch) {
@@ -108,7 +108,7 @@
 	})
 }
 
-// Promised is whom the slot was promised last.
+// LastHolder returns the core that the slot was promised to last.
 func (a *Acceptor) LastHolder(slot int) state.Core {
 	if c := a.slots[slot].lastHolder.Load(); c != nil {
 		return *c
@@ -116,7 +116,7 @@
 	return state.Core{}
 }
 
-// Lapsed is how long no lease of the slot has been granted here; 0 while one is.
+// UnleasedFor returns how long ago the last lease granted here ended; 0 while one is valid.
 func (a *Acceptor) UnleasedFor(slot int) time.Duration {
 	return max(0, a.clock.Since()-time.Duration(a.slots[slot].leaseUntil.Load()))
 }
--- a/internal/state/acceptor/membership.go
+++ b/internal/state/acceptor/membership.go
@@ -10,10 +10,11 @@
 	"drumstall.example/internal/state"
 )
 
-// Phase is how far a core has come towards voting.
+// Phase is the progress of a core towards voting.
 type Phase string
 
-// Phases: nothing known; agreed to a first formation; being filled; a voter.
+// Phases of a core: without membership; agreed to an initial formation that is not committed; copying the slots from
+// the previous set; voting.
 const (
 	Empty   Phase = "empty"
 	Pending Phase = "pending"
@@ -21,21 +22,21 @@
 	Voter   Phase = "voter"
 )
 
-// Standing is the part of an acceptor that is not about slots.
+// Membership is a core's phase and the core set that it belongs to.
 type Membership struct {
 	Phase    Phase         `cbor:"1,keyasint"`
 	Set      state.CoreSet `cbor:"2,keyasint"`
-	Previous state.CoreSet `cbor:"3,keyasint"` // while filling: whom to be filled from
-	// MayFound says, while nothing is known, that this disk was there at the very first start.
+	Previous state.CoreSet `cbor:"3,keyasint"` // while filling: the set whose voters the slots are read from
+	// MayBootstrap is set, while the phase is Empty, if this core was allowed to form the first set when it was started.
 	MayBootstrap bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Standing is a copy of the phase and the core membership.
+// Membership returns a copy of the phase and the core set.
 func (a *Acceptor) Membership() Membership { return *a.membership.Load() }
 
-// SetStanding changes phase and core membership through f, one change at a time and
-// synced before it returns. state.ErrSick says that it may not have been kept, and
-// an ended ctx that it may yet be.
+// UpdateMembership changes the phase and the core set through f. Changes are serialized
+// and synced to disk before it returns. After state.ErrDiskFailed the change may not be
+// stored; after an error of ctx it may still be stored later.
 func (a *Acceptor) UpdateMembership(ctx context.Context, f func(Membership) (Membership, bool)) (Membership, error) {
 	type answer struct {
 		st  Membership
@@ -57,9 +58,9 @@
 	return out.st, err
 }
 
-// Reset forgets everything and goes on as an empty core with an identity of its
-// own. Why: a voter that the core membership has gone on without may only come back as a
-// new member, filled by the others.
+// Reset erases all slots and the membership and continues as an empty core with a new
+// disk ID. A voter that was removed from the core set may return only as a new
+// member that is filled by the others.
 func (a *Acceptor) Reset(ctx context.Context) error {
 	disk, err := newDiskID()
 	if err != nil {
@@ -96,12 +97,12 @@
 	return nil
 }
 
-// inActor runs f in an actor and gives its error. An ended ctx is given at once; f may
-// run all the same then.
-func inActor(ctx context.Context, d *run.Actor, f func() error) error {
-	failure, err := run.AskFor(ctx, d, f)
+// inActor runs f in an actor and returns its error. When ctx ends it returns at once, and
+// f may still run.
+func inActor(ctx context.Context, actor *run.Actor, f func() error) error {
+	result, err := run.AskFor(ctx, actor, f)
 	if err != nil {
 		return err
 	}
-	return failure
+	return result
 }
--- a/internal/state/acceptor/records.go
+++ b/internal/state/acceptor/records.go
@@ -13,14 +13,14 @@
 	"drumstall.example/internal/state"
 )
 
-// Accept keeps records from the holder of the highest epoch.
+// Accept stores records sent by the holder of the highest epoch.
 func (a *Acceptor) Accept(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		if q.Epoch < t.promise.Epoch || q.Epoch == t.promise.Epoch && !t.promise.Holder.SameVoter(q.From) {
 			r.Reason = state.ReasonLowerEpoch
 			return
 		}
-		// Why: a whole table that is older than what came since must not take that away.
+		// A full table older than writes stored since must not remove them.
 		if q.Full && q.Epoch == t.promise.FullEpoch && q.Version < t.promise.Version {
 			r.OK = true
 			return
@@ -48,12 +48,12 @@
 	})
 }
 
-// write writes what the holder of a slot sends: single records, or the whole table.
-func (a *Acceptor) writeAccepted(b *pebble.Batch, q state.Request, here promise) error {
+// writeAccepted adds the records or the full table of an accept request to a batch.
+func (a *Acceptor) writeAccepted(b *pebble.Batch, q state.Request, stored promise) error {
 	switch {
 	case !q.Full:
 		return a.writeNewer(b, q.Slot, q.Records)
-	case q.Epoch != here.Epoch || q.Version >= here.Version:
+	case q.Epoch != stored.Epoch || q.Version >= stored.Version:
 		return replaceRecords(b, q.Slot, q.Records)
 	}
 	later, err := a.recordsAfter(q)
@@ -63,27 +63,27 @@
 	return replaceRecords(b, q.Slot, append(slices.Clip(q.Records), later...))
 }
 
-// writtenAfter is the records here that the holder wrote after the whole table that it sends. Why: messages
-// overtake each other, and what was confirmed here may be on just a majority of disks.
-func (a *Acceptor) recordsAfter(table state.Request) ([]state.Record, error) {
-	here, err := a.records(table.Slot)
+// recordsAfter returns the stored records that the holder wrote after the full table that it now sends. Messages
+// may be reordered, and a write confirmed here may be stored by a bare majority, so it must not be dropped.
+func (a *Acceptor) recordsAfter(full state.Request) ([]state.Record, error) {
+	stored, err := a.records(full.Slot)
 	if err != nil {
 		return nil, err
 	}
-	sent := make(map[string]state.Stamp, len(table.Records))
-	for _, rec := range table.Records {
+	sent := make(map[string]state.Stamp, len(full.Records))
+	for _, rec := range full.Records {
 		sent[rec.Key] = rec.Stamp
 	}
 	var later []state.Record
-	for _, rec := range here {
-		if rec.Stamp.Epoch == table.Epoch && rec.Stamp.Version > table.Version && rec.Stamp.Newer(sent[rec.Key]) {
+	for _, rec := range stored {
+		if rec.Stamp.Epoch == full.Epoch && rec.Stamp.Version > full.Version && rec.Stamp.Newer(sent[rec.Key]) {
 			later = append(later, rec)
 		}
 	}
 	return later, nil
 }
 
-// addRecords writes those records that are newer than what is there.
+// writeNewer writes the records that are newer than the stored ones.
 func (a *Acceptor) writeNewer(b *pebble.Batch, slot int, recs []state.Record) error {
 	for _, rec := range recs {
 		k := keyRecord(slot, rec.Key)
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// replaceRecords writes a whole table in place of what is there.
+// replaceRecords replaces all records of a slot.
 func replaceRecords(b *pebble.Batch, slot int, recs []state.Record) error {
 	o := recordBounds(slot)
 	if err := b.DeleteRange(o.LowerBound, o.UpperBound, nil); err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// Digest sums up the records of a slot.
+// Digest returns a digest of the records of a slot.
 func (a *Acceptor) Digest(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		recs, err := a.records(q.Slot)
@@ -128,7 +128,7 @@
 	})
 }
 
-// Dump gives a whole slot to a core that is being filled.
+// Dump returns all records of a slot to a core that is being filled.
 func (a *Acceptor) Dump(ctx context.Context, q state.Request) (state.Reply, error) {
 	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		recs, err := a.records(q.Slot)
@@ -140,8 +140,8 @@
 	})
 }
 
-// Fill takes a slot as read from a majority, before this core votes; state.ErrSick
-// says that the disk did not keep it.
+// Fill stores a slot as read from a majority, before this core votes. It returns
+// state.ErrDiskFailed if the records may not have been stored.
 func (a *Acceptor) Fill(ctx context.Context, slot int, replies []state.Reply) error {
 	t := a.slots[slot]
 	return inActor(ctx, t.actor, func() error {
@@ -162,7 +162,7 @@
 	})
 }
 
-// records reads all records of a slot from the disk.
+// records reads all records of a slot from disk.
 func (a *Acceptor) records(slot int) ([]state.Record, error) {
 	it, err := a.db.NewIter(recordBounds(slot))
 	if err != nil {
@@ -180,8 +180,8 @@
 	return out, it.Close()
 }
 
-// Merge is what a majority's answers say of a slot. Records under an epoch
-// older than the newest whole table are leftovers of writes nobody was told of.
+// Merge combines the replies of a majority into the state of a slot. Records with an
+// epoch older than the newest full table belong to writes that were never acknowledged, and are dropped.
 func Merge(replies []state.Reply) ([]state.Record, promise) {
 	var pr promise
 	newest := map[string]state.Record{}
@@ -209,13 +209,13 @@
 	return out, pr
 }
 
-// Sum is a digest over records in any order.
+// Sum computes a digest of records that does not depend on their order.
 func Sum(recs []state.Record) []byte {
 	var total [sha256.Size]byte
 	for _, r := range recs {
-		one := sha256.Sum256(wire.Pack(r))
+		sum := sha256.Sum256(wire.Pack(r))
 		for i := range total {
-			total[i] ^= one[i]
+			total[i] ^= sum[i]
 		}
 	}
 	return bytes.Clone(total[:])
--- a/internal/state/acceptor/slot.go
+++ b/internal/state/acceptor/slot.go
@@ -11,55 +11,55 @@
 	"drumstall.example/internal/state"
 )
 
-// promise is what is on the disk of a slot besides its records.
+// promise is the stored state of a slot apart from its records.
 type promise struct {
 	Epoch      uint64     `cbor:"1,keyasint"`
 	Holder     state.Core `cbor:"2,keyasint"`
-	FullEpoch  uint64     `cbor:"3,keyasint"`           // newest epoch whose whole table is here
+	FullEpoch  uint64     `cbor:"3,keyasint"`           // newest epoch whose complete table is stored here
 	Version    uint64     `cbor:"4,keyasint"`           // newest version seen in the slot
-	FullWriter state.Core `cbor:"5,keyasint,omitempty"` // who wrote the whole table under Full
+	FullWriter state.Core `cbor:"5,keyasint,omitempty"` // the core that wrote the complete table of FullEpoch
 }
 
-// table is one slot; it belongs to its actor but for the atomic fields.
+// slotState is the state of one slot. Its fields belong to its actor, except for the atomic ones.
 type slotState struct {
 	actor      *run.Actor
 	promise    promise
-	leaseUntil atomic.Int64               // lease granted until, on our clock
-	noGrantYet bool                       // since start nobody has been granted: wait a whole lease
-	released   leaseClaim                 // let go of last
-	idle       idlePeriod                 // by the word of who let go of it
-	reserved   reservation                // for whom it was let go of
-	lastHolder atomic.Pointer[state.Core] // pr.Holder, for readers outside the actor
+	leaseUntil atomic.Int64               // end of the granted lease, on the local clock
+	noGrantYet bool                       // no lease has been granted since the start or the last reset
+	released   leaseClaim                 // the claim that was released last
+	idle       idlePeriod                 // as reported by the holder that released the slot
+	reserved   reservation                // for the next holder that the release named
+	lastHolder atomic.Pointer[state.Core] // promise.Holder, for readers outside the actor
 }
 
-// bid is one try of one core to lease a slot.
+// leaseClaim is the claim of one core to a slot under one epoch.
 type leaseClaim struct {
 	epoch  uint64
 	holder state.Core
 }
 
-// quiet is since when, on our clock, no order has been sent under a lease that was let go of.
+// idlePeriod records since when, on the local clock, no order has been in flight under a released lease.
 type idlePeriod struct {
 	epoch uint64
 	since time.Duration
 }
 
-// meantFor is how long a slot that was let go of for one core is promised to no other.
+// reservationTime is how long a slot released in favour of one core is refused to all others.
 const reservationTime = time.Second
 
-// meant is the core that a slot was let go of for, and until when on our clock it is kept for that one.
+// reservation names the core that a slot was released in favour of, and when it ends on the local clock.
 type reservation struct {
 	core  string
 	until time.Duration
 }
 
-// keepsOut says that the slot is kept for another core. Why: for a moment cores may know of different voters, and each
-// other one would take what is free for itself and hand it on again.
+// excludes reports whether the slot is reserved for a core other than from. Cores may briefly disagree about the
+// set of voters; without a reservation another core would take the free slot and then hand it on again.
 func (m reservation) excludes(from state.Core, now time.Duration) bool {
 	return m.core != "" && m.core != from.Name && now < m.until
 }
 
-// quietMs is for how long no order has been sent under the lease that was promised last; 0 is not known.
+// idleMs returns how long no order has been in flight under the lease that was promised last; 0 means unknown.
 func (t *slotState) idleMs(now time.Duration) int64 {
 	if t.idle.epoch == 0 || t.idle.epoch != t.promise.Epoch {
 		return 0
@@ -67,38 +67,39 @@
 	return (now - t.idle.since).Milliseconds()
 }
 
-// keep takes a promise as it is on the disk now.
+// setPromise replaces the promise with the one that has been synced to disk.
 func (t *slotState) setPromise(pr promise) {
 	t.promise = pr
 	holder := pr.Holder
 	t.lastHolder.Store(&holder)
 }
 
-// over says whether a message belongs to a bid that was let go of. Why: messages
-// overtake each other, and a renewal read after its own release would keep
-// everybody out for a whole lease.
+// wasReleased reports whether a message belongs to a claim that has been released.
+// Messages may be reordered, and a renewal processed after its own release would
+// block the slot for a full lease duration.
 func (t *slotState) wasReleased(from state.Core, epoch uint64) bool {
 	return epoch <= t.released.epoch && t.released.holder.SameVoter(from)
 }
 
-// heldAgainst says that a lease may be in use that is not the asker's. Why: while
-// one may be, no other holder is promised anything. Every grant was to the holder that is on the disk, so
-// after a restart too only that one may have a lease, and may ask for it again.
+// unavailableTo reports whether another core may hold a lease or a reservation. While
+// one may, the slot is not promised to from. Leases are granted only to the holder stored on disk, so
+// after a restart, too, only that core can have a lease, and it may ask for it again.
 func (t *slotState) unavailableTo(from state.Core, now time.Duration) bool {
 	return now < time.Duration(t.leaseUntil.Load()) && !t.promise.Holder.SameVoter(from) && t.promise.Epoch > 0 || t.reserved.excludes(from, now)
 }
 
-// grant makes the lease end at a time on our clock.
+// setLeaseEnd sets the end of the lease on the local clock.
 func (t *slotState) setLeaseEnd(until time.Duration) { t.leaseUntil.Store(int64(until)) }
 
-// forget makes the slot one of which nothing is known.
+// reset clears everything known about the slot, except for the end of its lease.
 func (t *slotState) reset() {
 	t.setPromise(promise{})
 	t.noGrantYet, t.released, t.idle = true, leaseClaim{}, idlePeriod{}
 	t.reserved = reservation{}
 }
 
-// vote checks what every vote needs: to be a voter, under the same core membership.
+// checkVote reports whether this core may vote: its disk works, it is a voter, and set is the version of its
+// core set. Otherwise the reply gives the reason.
 func (a *Acceptor) checkVote(set uint64) (state.Reply, bool) {
 	st := a.membership.Load()
 	switch {
@@ -114,13 +115,13 @@
 	return state.Reply{SetVersion: st.Set.Version}, true
 }
 
-// onSlot runs f in the actor of a slot if this core may vote under the asker's set.
+// onSlot runs f in the actor of the slot if this core may vote under the core set version of q.
 func (a *Acceptor) onSlot(ctx context.Context, q state.Request, f func(t *slotState, r *state.Reply)) (state.Reply, error) {
 	if q.Slot < 0 || q.Slot >= state.SlotCount {
 		return state.Reply{}, wire.Refuse("bad", fmt.Sprintf("slot %d", q.Slot))
 	}
 	t := a.slots[q.Slot]
-	// Why: a stalled disk must not hold up who asked; what it syncs later counts all the same.
+	// A stalled disk must not block the caller beyond its deadline; what is synced after that still takes effect.
 	return run.AskFor(ctx, t.actor, func() state.Reply {
 		r, ok := a.checkVote(q.SetVersion)
 		if ok {
--- a/internal/state/acceptor/slow_test.go
+++ b/internal/state/acceptor/slow_test.go
@@ -16,7 +16,7 @@
 	"drumstall.example/internal/state"
 )
 
-// slowWrites is a disk that takes its time over every write.
+// slowWrites delays every write to the disk.
 type slowWrites struct{ on *atomic.Bool }
 
 func (slowWrites) String() string { return "slow" }
@@ -28,31 +28,31 @@
 	return nil
 }
 
-// All slots write much to a slow disk, so that pebble begins new files while others
-// wait to write: every vote is given, none waits for ever. (A simulation stood still for good once, all its time waiting for one
-// mutex.)
+// All slots write large values to a slow disk, so that pebble creates new files while other writes
+// wait. Every write must be answered. A goroutine that waits for pebble's mutex is not durably blocked, so
+// simulated time stops for good if writes wait there.
 func TestSlowDiskAnswersEveryWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		var slow atomic.Bool
 		a := open(t, g, errorfs.Wrap(vfs.NewMem(), slowWrites{&slow}))
 		slow.Store(true)
-		votes := make(chan error, state.SlotCount)
+		results := make(chan error, state.SlotCount)
 		for slot := range state.SlotCount {
 			g.Go(func(context.Context) {
 				for i := range 30 {
 					q := request("a", 1, uint64(i+1), false, record(fmt.Sprint("k", i), string(bytes.Repeat([]byte{byte(i)}, 20_000)), 1, uint64(i+1)))
 					q.Slot = slot
 					if r, err := a.Accept(t.Context(), q); err != nil || !r.OK {
-						votes <- fmt.Errorf("slot %d, write %d: %v %v", slot, i, r.Reason, err)
+						results <- fmt.Errorf("slot %d, write %d refused: %v %v", slot, i, r.Reason, err)
 						return
 					}
 				}
-				votes <- nil
+				results <- nil
 			})
 		}
 		for range state.SlotCount {
-			if err := <-votes; err != nil {
+			if err := <-results; err != nil {
 				t.Error(err)
 			}
 		}
