--- a/internal/state/owner/changes.go
+++ b/internal/state/owner/changes.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// mostChanges is how many changes share a write.
+	// maxBatchChanges is the maximum number of changes in one write.
 	maxBatchChanges = 64
-	// mostBytes is the size from which a write takes no further change.
+	// maxBatchBytes is the size of values from which a write takes no further change.
 	maxBatchBytes = 256 << 10
 )
 
@@ -22,19 +22,19 @@
 	ctx     context.Context
 	key     string
 	update  func(old state.Record, found bool) ([]byte, error)
-	claimed atomic.Bool   // a write has taken it, or its caller has given up on it
-	done    chan struct{} // closed when record and err are there
+	claimed atomic.Bool   // a write has taken the change, or its caller has given up
+	done    chan struct{} // closed when record and err are set
 	record  state.Record
 	err     error
 }
 
-// end tells the caller what became of its change.
+// finish sets the result of the change and wakes its caller.
 func (c *change) finish(err error) {
 	c.err = err
 	close(c.done)
 }
 
-// isDone says whether the caller has been told.
+// isDone reports whether the change is finished.
 func (c *change) isDone() bool {
 	select {
 	case <-c.done:
@@ -44,21 +44,21 @@
 	}
 }
 
-// changes are those that wait for a slot's next write, the oldest first. Why: a write waits for a majority of disks; with one
-// for each change, one after the other, the slot bore no more changes a second than it had round trips.
+// changeQueue holds the changes that wait for a slot's next write, oldest first. A write waits for a majority of disks. One
+// sequential write for each change would limit a slot to as many changes per second as there are round trips.
 type changeQueue struct {
 	mu      sync.Mutex
 	pending []*change
 }
 
-// add has a change wait for the next write.
+// push adds a change to the end of the queue.
 func (cs *changeQueue) push(c *change) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.pending = append(cs.pending, c)
 }
 
-// take gives the changes that may share the next write: no two of one key.
+// nextBatch removes and returns the changes that may share the next write: no two of the same key.
 func (cs *changeQueue) nextBatch() []*change {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -68,21 +68,21 @@
 		keys[cs.pending[n].key] = true
 		n++
 	}
-	taken := cs.pending[:n:n]
+	batch := cs.pending[:n:n]
 	cs.pending = cs.pending[n:]
-	return taken
+	return batch
 }
 
-// putBack has changes that were taken wait again, before all others.
-func (cs *changeQueue) putBack(back []*change) {
+// putBack returns changes of a batch to the front of the queue.
+func (cs *changeQueue) putBack(batch []*change) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.pending = append(back, cs.pending...)
+	cs.pending = append(batch, cs.pending...)
 }
 
-// Update changes a key by f on a majority of disks; changes of one key are made one at a time, and those that wait share a
-// write. f's own error is handed back and nothing is kept; state.ErrNotOwner and state.ErrNoQuorum say that
-// nothing was kept, state.ErrUnknown that it may have been.
+// Update changes a key through f on a majority of disks. Changes of one key are serialized; pending changes of different keys
+// share a write. An error of f is returned and nothing is written. After state.ErrNotOwner and state.ErrNoQuorum
+// nothing was written; after state.ErrOutcomeUnknown the change may have been written.
 func (o *Owner) Update(ctx context.Context, key string, f func(old state.Record, found bool) ([]byte, error)) (state.Record, error) {
 	s := o.slots[state.SlotOf(key)]
 	c := &change{ctx: ctx, key: key, update: f, done: make(chan struct{})}
@@ -92,7 +92,7 @@
 			s.writeBatch()
 		}
 	})
-	// Why: a change that was given up on before a write took it is in none, so nothing was kept, and that can be said.
+	// A change that its caller cancels before a write has claimed it is never written.
 	if err != nil && c.claimed.CompareAndSwap(false, true) {
 		return state.Record{}, errors.Wrap(state.ErrNoQuorum, err.Error())
 	}
@@ -100,15 +100,15 @@
 	return c.record, c.err
 }
 
-// writeChanges makes one write of changes that wait.
+// writeBatch writes one batch of pending changes.
 func (s *slot) writeBatch() {
-	taken := s.changes.nextBatch()
-	var made []*change
+	batch := s.changes.nextBatch()
+	var applied []*change
 	var records []state.Record
 	size := 0
-	for i, c := range taken {
+	for i, c := range batch {
 		if size >= maxBatchBytes {
-			s.changes.putBack(taken[i:])
+			s.changes.putBack(batch[i:])
 			break
 		}
 		if !c.claimed.CompareAndSwap(false, true) {
@@ -122,20 +122,20 @@
 		}
 		c.record = record
 		size += len(record.Value)
-		made, records = append(made, c), append(records, record)
+		applied, records = append(applied, c), append(records, record)
 	}
-	if len(made) == 0 {
+	if len(applied) == 0 {
 		return
 	}
 	err := s.write(records, false)
-	for _, c := range made {
+	for _, c := range applied {
 		c.finish(err)
 	}
 }
 
-// changed is the record that a change makes of what the slot holds now.
+// applyChange computes the new record of a change from the current records of the slot.
 func (s *slot) applyChange(c *change, version uint64) (state.Record, error) {
-	// Why: a caller that has gone was told "nothing kept"; its change must not happen later.
+	// A caller whose context has ended may have been told that nothing was written, so its change must not be made now.
 	if c.ctx.Err() != nil {
 		return state.Record{}, errors.Wrap(state.ErrNoQuorum, "caller gave up waiting")
 	}
--- a/internal/state/owner/changes_test.go
+++ b/internal/state/owner/changes_test.go
@@ -12,7 +12,7 @@
 	"drumstall.example/internal/state"
 )
 
-// sameSlot is n keys of the slot of testKey.
+// keysInTestSlot returns n keys in the slot of testKey.
 func keysInTestSlot(n int) (keys []string) {
 	for i := 0; len(keys) < n; i++ {
 		if key := fmt.Sprintf("replica/r-%d", i); state.SlotOf(key) == state.SlotOf(testKey) {
@@ -22,7 +22,7 @@
 	return keys
 }
 
-// one adds one to a counter of a single byte.
+// increment adds one to a single-byte counter.
 func increment(old state.Record, found bool) ([]byte, error) {
 	if !found {
 		return []byte{1}, nil
@@ -30,7 +30,7 @@
 	return []byte{old.Value[0] + 1}, nil
 }
 
-// Changes of one slot waited for each other's writes, however many there were.
+// Guards against one write per change: concurrent changes of different keys in a slot must share a write.
 func TestPendingChangesShareAWrite(t *testing.T) {
 	const roundTrip, together = 100 * time.Millisecond, 40
 	synctest.Test(t, func(t *testing.T) {
@@ -46,9 +46,9 @@
 			})
 		}
 		wg.Wait()
-		// The first goes alone, and a dial is a round trip of its own.
+		// The first change is written alone, and the dial takes another round trip.
 		if took := time.Since(began); took > 4*roundTrip {
-			t.Errorf("%d changes took %v, a round trip takes %v", together, took, roundTrip)
+			t.Errorf("%d changes took %v, more than four round trips of %v", together, took, roundTrip)
 		}
 		stamps := map[state.Stamp]bool{}
 		for _, key := range keysInTestSlot(together) {
@@ -61,7 +61,7 @@
 	})
 }
 
-// Each change of a key sees the one before, and no change that failed or was given up on is kept.
+// Each change of a key sees the previous one, and no failed or cancelled change is stored.
 func TestChangesOfOneKeyAreSerialized(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newClusterWithDelays(t, 20*time.Millisecond, 50*time.Millisecond)
@@ -80,7 +80,7 @@
 			wg.Go(func() {
 				_, err := v.owner.Update(t.Context(), keys[0], func(state.Record, bool) ([]byte, error) { return nil, refused })
 				if !errors.Is(err, refused) {
-					t.Errorf("a change that was refused says %v", err)
+					t.Errorf("a refused change returned %v", err)
 				}
 			})
 			wg.Go(func() {
@@ -92,10 +92,10 @@
 					return increment(old, found)
 				})
 				if ran != (err == nil) || err != nil && !errors.Is(err, state.ErrNoQuorum) {
-					t.Errorf("given up on: ran %v, %v", ran, err)
+					t.Errorf("change with a deadline: ran %v, error %v", ran, err)
 				}
 				if err == nil {
-					// It counts, so take it back.
+					// The change was stored, so undo it.
 					if _, err := v.owner.Update(t.Context(), keys[1], func(old state.Record, _ bool) ([]byte, error) { return []byte{old.Value[0] - 1}, nil }); err != nil {
 						t.Error(err)
 					}
@@ -105,7 +105,7 @@
 		wg.Wait()
 		for _, key := range keys {
 			if rec, _, err := v.owner.Get(t.Context(), key); err != nil || rec.Value[0] != 10 {
-				t.Errorf("%s: %v, %v, want 10 changes", key, rec.Value, err)
+				t.Errorf("%s: value %v, error %v, want 10 changes", key, rec.Value, err)
 			}
 		}
 	})
--- a/internal/state/owner/missed_test.go
+++ b/internal/state/owner/missed_test.go
@@ -19,7 +19,7 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// voters are three cores of a set, of which the first owns all slots and the last is far off.
+// cluster is a core set of three, of which the first owns all slots and the last is distant.
 type cluster struct {
 	group     *run.Group
 	owner     *Owner
@@ -34,7 +34,7 @@
 	return newClusterWithDelays(t, time.Millisecond, 30*time.Millisecond)
 }
 
-// votersApart is voters of which the last is far from the others, and those near each other.
+// newClusterWithDelays creates a cluster whose last member has the delay far to the others, which have the delay near.
 func newClusterWithDelays(t *testing.T, near, far time.Duration) *cluster {
 	t.Helper()
 	const farOff = "10.0.0.3"
@@ -86,7 +86,7 @@
 		s.Close()
 	}
 	v.group.Stop()
-	// Why: dials that are under way end by themselves.
+	// Dials in progress end by themselves in this time.
 	time.Sleep(5 * time.Second)
 	v.caller.Close()
 	for _, a := range v.acceptors {
@@ -101,7 +101,7 @@
 	}
 }
 
-// owing is how many voters the owner believes to have missed a write of the slot.
+// missedBy returns how many voters have not confirmed a write of the slot, as far as the owner knows.
 func (v *cluster) missedBy(t *testing.T) (n int) {
 	t.Helper()
 	s := v.owner.slots[state.SlotOf(testKey)]
@@ -111,8 +111,8 @@
 	return n
 }
 
-// A voter that keeps a write a moment after the majority has missed nothing, so its
-// copy is not looked at for that; one that does not answer still is.
+// A voter that confirms a write shortly after the majority does not count as having missed it, so
+// its copy needs no check; a voter that does not answer does.
 func TestLateReplyCountsAsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newCluster(t)
@@ -120,11 +120,11 @@
 		for i := range 20 {
 			v.write(t, byte(i))
 			if v.missedBy(t) != 1 {
-				t.Fatalf("write %d: %d voters owe an answer right after a majority gave theirs, want 1", i, v.missedBy(t))
+				t.Fatalf("write %d: %d voters unconfirmed right after a majority confirmed, want 1", i, v.missedBy(t))
 			}
 			time.Sleep(200 * time.Millisecond)
 			if n := v.missedBy(t); n != 0 {
-				t.Fatalf("write %d: %d voters count as having missed it", i, n)
+				t.Fatalf("write %d: %d voters count as having missed it, want 0", i, n)
 			}
 		}
 		v.farServer.Close()
@@ -132,12 +132,12 @@
 		v.write(t, 101)
 		time.Sleep(5 * time.Second)
 		if n := v.missedBy(t); n != 1 {
-			t.Errorf("%d voters count as having missed a write, want the one that is gone", n)
+			t.Errorf("%d voters count as having missed a write, want 1, the stopped one", n)
 		}
 	})
 }
 
-// Of two writes that a voter has not answered for, one answer settles one.
+// One late reply clears only one of two unconfirmed writes of a voter.
 func TestLateReplyClearsOneMissedWrite(t *testing.T) {
 	s := &slot{missed: map[string]map[state.Stamp]bool{}}
 	first, second := state.Stamp{Epoch: 1, Version: 1}, state.Stamp{Epoch: 1, Version: 2}
@@ -146,28 +146,28 @@
 	s.clearMissed("b", second)
 	s.clearMissed("b", state.Stamp{Epoch: 2, Version: 1})
 	if len(s.missed["b"]) != 1 {
-		t.Errorf("b owes %v, want the first write", s.missed["b"])
+		t.Errorf("unconfirmed writes of b: %v, want the first write", s.missed["b"])
 	}
 	s.clearMissed("b", first)
 	if len(s.missed) != 0 {
-		t.Errorf("owed: %v", s.missed)
+		t.Errorf("unconfirmed writes: %v, want none", s.missed)
 	}
 }
 
-// A voter that is gone for long is remembered in a bounded room, and no late answer
-// makes it one that has missed nothing.
+// The unconfirmed writes of an absent voter take bounded memory, and late replies never
+// clear a voter that exceeded the limit.
 func TestMissedWritesAreBoundedUntilRepair(t *testing.T) {
 	s := &slot{missed: map[string]map[state.Stamp]bool{}}
 	for version := range uint64(10 * maxTrackedMisses) {
 		s.noteMissed("b", state.Stamp{Epoch: 1, Version: version + 1})
 	}
 	if n := len(s.missed["b"]); n > maxTrackedMisses {
-		t.Errorf("%d writes are kept", n)
+		t.Errorf("%d unconfirmed writes are tracked, more than the limit", n)
 	}
 	for version := range uint64(10 * maxTrackedMisses) {
 		s.clearMissed("b", state.Stamp{Epoch: 1, Version: version + 1})
 	}
 	if len(s.missed["b"]) == 0 {
-		t.Error("b counts as having missed nothing")
+		t.Error("b has no unconfirmed writes left without a repair")
 	}
 }
--- a/internal/state/owner/orders.go
+++ b/internal/state/owner/orders.go
@@ -7,16 +7,16 @@
 	"drumstall.example/internal/state"
 )
 
-// orders keeps in mind when orders were sent under the lease of a slot. Its methods may be called from anywhere.
+// orderActivity tracks when orders were in flight under the lease of a slot. Its methods are safe for concurrent use.
 type orderActivity struct {
-	inFlight  atomic.Int64 // orders that have not ended
-	lastEnded atomic.Int64 // when one ended last, or else when the lease began, on our clock
+	inFlight  atomic.Int64 // number of orders in flight
+	lastEnded atomic.Int64 // when the last order ended or, without any, when the lease began, on the local clock
 }
 
-// begin starts a lease under which nothing has been ordered.
+// reset starts a new lease, under which no order has been sent.
 func (o *orderActivity) reset(now time.Duration) { o.lastEnded.Store(int64(now)) }
 
-// quietFor is for how long no order has been under way.
+// idleFor returns how long no order has been in flight.
 func (o *orderActivity) idleFor(now time.Duration) time.Duration {
 	if o.inFlight.Load() > 0 {
 		return 0
@@ -24,9 +24,9 @@
 	return max(0, now-time.Duration(o.lastEnded.Load()))
 }
 
-// Ordering notes that an order for a key is about to be sent; ended is called when it has been answered, or
-// waits for its answer no more. It comes before MayOrder is asked, so that a slot that is let go of just then does
-// not count as quiet.
+// BeginOrder records that an order for a key is about to be sent. The caller calls ended once the order is answered or
+// no longer waited for. BeginOrder must be called before MayOrder, so that a slot released in between does
+// not count as idle.
 func (o *Owner) BeginOrder(key string) (ended func()) {
 	s := o.slots[state.SlotOf(key)]
 	s.orders.inFlight.Add(1)
--- a/internal/state/owner/orders_test.go
+++ b/internal/state/owner/orders_test.go
@@ -16,39 +16,39 @@
 		yes  []state.Reply
 		want time.Duration
 	}{
-		{"nobody answered", nil, 0},
-		{"all know it", []state.Reply{{IdleMs: 4000}, {IdleMs: 3900}}, 3900 * time.Millisecond},
-		{"one knows of a later lease", []state.Reply{{IdleMs: 4000}, {}}, 0},
+		{"no replies", nil, 0},
+		{"all replies report it", []state.Reply{{IdleMs: 4000}, {IdleMs: 3900}}, 3900 * time.Millisecond},
+		{"one voter saw a later lease", []state.Reply{{IdleMs: 4000}, {}}, 0},
 	} {
 		if got := idleFor(c.yes); got != c.want {
-			t.Errorf("%s: %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: idle for %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestSlotIsNotIdleDuringAnOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := startProcess(t, vfs.NewMem(), state.LeaseDuration, 0)
-		defer l.stop()
-		waitFor(t, 5*time.Second, l.mayOrder)
-		s := l.owner.slots[state.SlotOf(testKey)]
-		quiet := func() time.Duration { return s.orders.idleFor(s.owner.d.Clock.Since()) }
+		p := startProcess(t, vfs.NewMem(), state.LeaseDuration, 0)
+		defer p.stop()
+		waitFor(t, 5*time.Second, p.mayOrder)
+		s := p.owner.slots[state.SlotOf(testKey)]
+		idle := func() time.Duration { return s.orders.idleFor(s.owner.d.Clock.Since()) }
 		time.Sleep(10 * time.Second)
-		if got := quiet(); got < 9*time.Second {
-			t.Errorf("quiet for %v though nothing was ordered in ten seconds", got)
+		if got := idle(); got < 9*time.Second {
+			t.Errorf("idle for %v, but no order was sent in ten seconds", got)
 		}
 		if got := s.handbackDelay(s.owner.d.Clock.Since()); got != s.owner.d.HandbackDelay {
-			t.Errorf("kept for %v, %v at most", got, s.owner.d.HandbackDelay)
+			t.Errorf("handback delay %v, want %v", got, s.owner.d.HandbackDelay)
 		}
-		ended := l.owner.BeginOrder(testKey)
+		ended := p.owner.BeginOrder(testKey)
 		time.Sleep(5 * time.Second)
-		if got := quiet(); got != 0 {
-			t.Errorf("quiet for %v while an order is under way", got)
+		if got := idle(); got != 0 {
+			t.Errorf("idle for %v while an order is in flight", got)
 		}
 		ended()
 		time.Sleep(time.Second)
-		if got := quiet(); got != time.Second {
-			t.Errorf("quiet for %v, a second after the last order", got)
+		if got := idle(); got != time.Second {
+			t.Errorf("idle for %v one second after the last order", got)
 		}
 	})
 }
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -1,11 +1,11 @@
-// Package owner holds the slots of the control state that this core has a lease
-// on: it takes them under a rising epoch, renews the leases, writes through a
+// Package owner manages the slots of the control state that this core holds a lease
+// on: it acquires them under increasing epochs, renews the leases, writes through a
 // majority of synced disks and repairs voters that missed a write.
 //
-// A core makes one Owner; the core membership, the placement planner and the
-// operators' interface read and change keys through it. It keeps nothing on disk
-// itself (each voter's acceptor does), never changes the set of voters, and never
-// answers for a slot whose lease has run out.
+// A core creates one Owner; package coremembers, the placement planner and the
+// operator interface read and change keys through it. It stores nothing on disk
+// itself (each voter's acceptor does), never changes the core set, and never
+// serves a slot whose lease has expired.
 package owner
 
 import (
@@ -23,47 +23,47 @@
 )
 
 const (
-	// interval is the time between two looks at a slot, and between two renewals.
+	// tickInterval is the time between two checks of a slot, and between two renewals.
 	tickInterval = 250 * time.Millisecond
 	// callTimeout bounds one message to a voter.
 	callTimeout = 900 * time.Millisecond
-	// lapse is how long, times its rank, a core lets a slot go unheld before it takes it out of turn.
+	// takeoverDelay, times a core's rank for a slot, is how long the slot must be unleased before that core may acquire it.
 	takeoverDelay = time.Second
-	// quietHandback is how long a slot is kept that another core is preferred for, where handing it over costs no orders.
+	// idleHandbackDelay bounds HandbackDelay for a slot that can be handed over without delaying orders.
 	idleHandbackDelay = 3 * time.Second
-	// repairEvery is how many intervals lie between two looks for missed writes in one slot.
+	// repairTicks is the number of ticks between two checks of a slot for missed writes.
 	repairTicks = 8
 )
 
-// Deps is what an owner needs from the rest of the core.
+// Deps holds the dependencies and settings of an Owner.
 type Deps struct {
-	// Self is this core as a voter; its disk's identity changes when the core is reset.
+	// Self returns this core as a voter; its disk ID changes when the core is reset.
 	Self     func() state.Core
 	Group    *run.Group
 	Clock    tick.Clock
 	Log      *slog.Logger
 	Caller   *wire.Caller
 	Acceptor *acceptor.Acceptor
-	// Addr is where a voter is reached now; false when it is thought gone.
+	// Addr returns the current address of a voter, or false if the voter is believed to be down.
 	Addr func(state.Core) (string, bool)
-	// Rank lists the live voters, the one who should hold the slot first.
+	// Rank lists the live voters in order of preference for the slot, the preferred holder first.
 	Rank func(slot int) []state.Core
-	// Behind is told that a voter knows an older core membership.
+	// Behind is called when a voter refuses a request because its core set is older.
 	Behind func(state.Core)
-	// Quarantine is how long a new owner gives no orders: what the old one sent
-	// may still be on its way.
+	// Quarantine is how long a new holder of a slot sends no orders, because orders of the
+	// previous holder may still be in flight.
 	Quarantine time.Duration
-	// OwnQuarantine is how long after its start a core gives no orders for slots that
-	// its earlier life held; 0 where replicas know a controller by its name alone.
+	// OwnQuarantine is how long after its start a core sends no orders for slots that
+	// it held before the restart; 0 where replicas identify a controller by its name alone.
 	OwnQuarantine time.Duration
-	// Handback is how long a slot is kept that another core is preferred for. One under which no order was sent
-	// for Quarantine is kept for quietHandback at most: its next holder may send orders at once.
+	// HandbackDelay is how long a slot is kept after another core has become its preferred holder. A slot that was
+	// idle for Quarantine is kept for at most idleHandbackDelay, because its next holder may send orders at once.
 	HandbackDelay time.Duration
-	// OnTake is called in the slot's actor when a slot has been taken.
+	// OnTake is called in the slot's actor after the slot has been acquired.
 	OnTake func(slot int, records []state.Record)
 }
 
-// Owner is the slots this core holds. Its methods may be called from anywhere.
+// Owner manages the slots that this core holds. Its methods are safe for concurrent use.
 type Owner struct {
 	d         Deps
 	slots     [state.SlotCount]*slot
@@ -71,10 +71,10 @@
 	repaired  atomic.Int64
 	startedAt time.Duration
 	mu        sync.Mutex
-	lastGrant map[string]time.Duration // voter: when it last granted us something
+	lastGrant map[string]time.Duration // by voter name: when the last renewal that it answered was sent
 }
 
-// New starts to look for slots to hold; it runs until the group of d stops.
+// New creates an Owner and starts to acquire slots; it runs until the group of d stops.
 func New(d Deps) *Owner {
 	o := &Owner{d: d, lastGrant: map[string]time.Duration{}, startedAt: d.Clock.Since()}
 	for i := range o.slots {
@@ -86,7 +86,7 @@
 	return o
 }
 
-// Stop gives up all slots, so that others may have them at once, and takes none again.
+// Stop releases all slots, so that other cores can acquire them at once, and acquires none after that.
 func (o *Owner) Stop(ctx context.Context) {
 	o.stopped.Store(true)
 	for _, s := range o.slots {
@@ -94,10 +94,10 @@
 	}
 }
 
-// Owed counts writes that voters missed and were handed later.
+// Repaired returns how many times a voter's differing copy of a slot was replaced.
 func (o *Owner) Repaired() int64 { return o.repaired.Load() }
 
-// Held lists the slots held now with their epochs.
+// Held returns the epochs of the slots that are held now, by slot.
 func (o *Owner) Held() map[int]uint64 {
 	out := map[int]uint64{}
 	for _, s := range o.slots {
@@ -108,11 +108,11 @@
 	return out
 }
 
-// Holds says whether this core holds the key now.
+// Holds reports whether this core holds the slot of the key now.
 func (o *Owner) Holds(key string) bool { return o.slots[state.SlotOf(key)].held() }
 
-// MayOrder says whether this core may send an order for the key now, under
-// which epoch, and how long the lease still lasts.
+// MayOrder reports whether this core may send an order for the key now, the
+// epoch to send it under, and the remaining time of the lease.
 func (o *Owner) MayOrder(key string) (epoch uint64, left time.Duration, ok bool) {
 	s := o.slots[state.SlotOf(key)]
 	epoch = s.epoch.Load()
@@ -121,12 +121,12 @@
 	return epoch, left, left > 0 && now >= time.Duration(s.orderFrom.Load()) && s.epoch.Load() == epoch
 }
 
-// FreeFor is how long nobody had held the slot of a key for sure when it was taken.
+// UnleasedFor returns for how long, at least, no core had held the slot of the key when it was acquired.
 func (o *Owner) UnleasedFor(key string) time.Duration {
 	return time.Duration(o.slots[state.SlotOf(key)].unleasedFor.Load())
 }
 
-// HeardFor is how long ago a voter granted us something; an hour if it never has.
+// SinceLastGrant returns the time since the voter last answered a renewal, or an hour if it never has.
 func (o *Owner) SinceLastGrant(c state.Core) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/state/owner/owner_test.go
+++ b/internal/state/owner/owner_test.go
@@ -18,14 +18,14 @@
 
 const testKey = "replica/m-1"
 
-// life is one run of the process of the only core of a set.
+// process is one run of the only core of a set.
 type process struct {
 	group    *run.Group
 	acceptor *acceptor.Acceptor
 	owner    *Owner
 }
 
-func startProcess(t *testing.T, fs vfs.FS, quarantine, ownQuarantine time.Duration) process {
+func startProcess(t *testing.T, fs vfs.FS, quarantine, restartQuarantine time.Duration) process {
 	t.Helper()
 	group := run.NewGroup(t.Context())
 	log := ring.New(io.Discard, 100).Logger()
@@ -44,17 +44,17 @@
 	owner := New(Deps{
 		Self: func() state.Core { return self }, Group: group, Clock: clk, Log: log, Acceptor: acc,
 		Rank:   func(int) []state.Core { return set.Cores },
-		Behind: func(state.Core) {}, Quarantine: quarantine, OwnQuarantine: ownQuarantine, HandbackDelay: time.Second,
+		Behind: func(state.Core) {}, Quarantine: quarantine, OwnQuarantine: restartQuarantine, HandbackDelay: time.Second,
 	})
 	return process{group: group, acceptor: acc, owner: owner}
 }
 
-func (l process) stop() {
-	l.group.Stop()
-	_ = l.acceptor.Close()
+func (p process) stop() {
+	p.group.Stop()
+	_ = p.acceptor.Close()
 }
 
-// until waits in steps of 10 ms for a condition and tells how long it took.
+// waitFor polls a condition every 10 ms and returns how long it took to become true.
 func waitFor(t *testing.T, limit time.Duration, condition func() bool) time.Duration {
 	t.Helper()
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
@@ -63,57 +63,57 @@
 			return took
 		}
 		if took > limit {
-			t.Fatalf("nothing happened in %v", limit)
+			t.Fatalf("the condition was not met within %v", limit)
 		}
 	}
 }
 
-func (l process) mayOrder() bool {
-	_, _, ok := l.owner.MayOrder(testKey)
+func (p process) mayOrder() bool {
+	_, _, ok := p.owner.MayOrder(testKey)
 	return ok
 }
 
-// Where replicas tell the lives of a controller apart, a core that was restarted
-// waits out what its earlier life may have ordered; where they go by its name, it
-// goes on at once.
+// Where replicas distinguish restarts of a controller, a restarted core waits until the orders it
+// may have sent before the restart have expired; where they identify it by name, it
+// continues at once.
 func TestRestartedCoreObservesRestartQuarantine(t *testing.T) {
 	const lease = 3 * time.Second
-	for _, own := range []time.Duration{0, lease} {
+	for _, restartQuarantine := range []time.Duration{0, lease} {
 		synctest.Test(t, func(t *testing.T) {
 			fs := vfs.NewMem()
-			l := startProcess(t, fs, lease, own)
-			waitFor(t, 5*time.Second, l.mayOrder)
-			l.stop()
-			l = startProcess(t, fs, lease, own)
-			defer l.stop()
-			took := waitFor(t, 10*time.Second, l.mayOrder)
-			if own > 0 && took < own {
-				t.Errorf("orders %v after its earlier life, %v are to be waited out", took, own)
+			p := startProcess(t, fs, lease, restartQuarantine)
+			waitFor(t, 5*time.Second, p.mayOrder)
+			p.stop()
+			p = startProcess(t, fs, lease, restartQuarantine)
+			defer p.stop()
+			took := waitFor(t, 10*time.Second, p.mayOrder)
+			if restartQuarantine > 0 && took < restartQuarantine {
+				t.Errorf("may order %v after the restart, want at least %v", took, restartQuarantine)
 			}
-			if own == 0 && took > time.Second {
-				t.Errorf("first order only %v after the start", took)
+			if restartQuarantine == 0 && took > time.Second {
+				t.Errorf("may order only %v after the start, want at once", took)
 			}
 		})
 	}
 }
 
-// A slot that was lost and taken again in one life was free only in between, however
-// long the process has run: what it granted itself just before is still on its way.
+// A slot that was lost and reacquired by the same process was unleased only in between, however
+// long the process has run: orders sent before the loss may still be in flight.
 func TestReacquiredSlotCountsUnleasedSinceLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := startProcess(t, vfs.NewMem(), state.LeaseDuration, 0)
-		defer l.stop()
-		holds := func() bool { return l.owner.Holds(testKey) }
+		p := startProcess(t, vfs.NewMem(), state.LeaseDuration, 0)
+		defer p.stop()
+		holds := func() bool { return p.owner.Holds(testKey) }
 		waitFor(t, 5*time.Second, holds)
 		time.Sleep(10 * time.Second)
 		lost := time.Now()
-		s := l.owner.slots[state.SlotOf(testKey)]
+		s := p.owner.slots[state.SlotOf(testKey)]
 		if err := s.actor.Ask(context.Background(), func() { s.giveUp("test", true) }); err != nil {
 			t.Fatal(err)
 		}
 		waitFor(t, 10*time.Second, holds)
-		if free, gap := l.owner.UnleasedFor(testKey), time.Since(lost); free > gap {
-			t.Errorf("counted free for %v, given up only %v before", free, gap)
+		if free, gap := p.owner.UnleasedFor(testKey), time.Since(lost); free > gap {
+			t.Errorf("counted as unleased for %v, but given up only %v before", free, gap)
 		}
 	})
 }
--- a/internal/state/owner/poll.go
+++ b/internal/state/owner/poll.go
@@ -8,8 +8,8 @@
 	"drumstall.example/internal/state"
 )
 
-// callVoter sends one message to another voter; wire.ErrUnreachable is given for
-// one that is thought gone.
+// callVoter sends one message to another voter. It returns wire.ErrUnreachable for
+// a voter that is believed to be down.
 func callVoter[Q, A any](ctx context.Context, o *Owner, c state.Core, path string, q Q) (A, error) {
 	addr, ok := o.d.Addr(c)
 	if !ok {
@@ -19,23 +19,23 @@
 	return wire.Call[Q, A](ctx, o.d.Caller, addr, path, q)
 }
 
-// voterAnswer is what came of asking one voter.
+// voterAnswer is the result of a request to one voter.
 type voterAnswer struct {
-	voter int // of the voter in the core membership
+	voter int // index of the voter in the core set
 	reply state.Reply
 	err   error
 }
 
-// poll asks every voter side by side. It returns once a majority agreed or all
-// have answered; missed are voters without a yes at that moment.
-func (o *Owner) poll(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core) {
-	yes, noes, missed, _ = o.pollWithLate(set, path, q, local, early)
-	return yes, noes, missed
+// poll sends a request to all voters in parallel. It returns when all have answered or
+// failed or, with early, once a majority has agreed; missed lists the voters that have not agreed by then.
+func (o *Owner) poll(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (accepted, refused []state.Reply, missed []state.Core) {
+	accepted, refused, missed, _ = o.pollWithLate(set, path, q, local, early)
+	return accepted, refused, missed
 }
 
-// pollSome is poll that also gives the answers that come later, one for each of
-// the voters that had not answered yet.
-func (o *Owner) pollWithLate(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core, late lateReplies) {
+// pollWithLate is poll that also returns the outstanding answers, one for each
+// voter that has not answered yet.
+func (o *Owner) pollWithLate(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (accepted, refused []state.Reply, missed []state.Core, late lateReplies) {
 	self := o.d.Self()
 	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) voterAnswer {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -56,15 +56,15 @@
 		switch {
 		case a.err != nil:
 		case a.reply.OK:
-			yes = append(yes, a.reply)
+			accepted = append(accepted, a.reply)
 			agreed[a.voter] = true
 		default:
-			noes = append(noes, a.reply)
+			refused = append(refused, a.reply)
 			if a.reply.Reason == state.ReasonBehindCoreSet {
 				o.d.Behind(set.Cores[a.voter])
 			}
 		}
-		if early && len(yes) >= set.Quorum() {
+		if early && len(accepted) >= set.Quorum() {
 			break
 		}
 	}
@@ -73,10 +73,10 @@
 			missed = append(missed, c)
 		}
 	}
-	return yes, noes, missed, late
+	return accepted, refused, missed, late
 }
 
-// later is the answers that had not come when a majority had agreed.
+// lateReplies holds the answers that were outstanding when a poll returned.
 type lateReplies struct {
 	remaining int
 	answers   <-chan voterAnswer
--- a/internal/state/owner/renew.go
+++ b/internal/state/owner/renew.go
@@ -9,19 +9,19 @@
 	"drumstall.example/internal/state"
 )
 
-// renew prolongs all leases with one message to each voter.
+// renew extends all leases with one message to each voter.
 func (o *Owner) renew(context.Context) {
 	set := o.d.Acceptor.Membership().Set
 	self := o.d.Self()
-	// Why: the lease is measured from before the renewal was sent, so it ends here before it ends there.
-	before := o.d.Clock.Since()
+	// The lease is measured from before the renewal is sent, so it ends at the holder before it ends at the voters.
+	sentAt := o.d.Clock.Since()
 	epochs := o.Held()
 	if len(epochs) == 0 || o.stopped.Load() {
 		return
 	}
 	q := state.RenewRequest{SetVersion: set.Version, From: self, Epochs: epochs}
 	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) state.RenewReply {
-		return o.renewWith(ctx, set.Cores[i], q, before)
+		return o.renewWith(ctx, set.Cores[i], q, sentAt)
 	})
 	granted := map[int]int{}
 	for range set.Cores {
@@ -29,14 +29,14 @@
 		for _, n := range r.Granted {
 			granted[n]++
 			if granted[n] == set.Quorum() {
-				o.slots[n].extend(epochs[n], before)
+				o.slots[n].extend(epochs[n], sentAt)
 			}
 		}
 	}
 }
 
-// renewAt asks one voter for all leases; the answer is empty without its word.
-func (o *Owner) renewWith(ctx context.Context, c state.Core, q state.RenewRequest, before time.Duration) state.RenewReply {
+// renewWith asks one voter to renew all leases; the reply is empty if the voter refuses or does not answer.
+func (o *Owner) renewWith(ctx context.Context, c state.Core, q state.RenewRequest, sentAt time.Duration) state.RenewReply {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var r state.RenewReply
@@ -53,17 +53,17 @@
 		return state.RenewReply{}
 	}
 	o.mu.Lock()
-	o.lastGrant[c.Name] = before
+	o.lastGrant[c.Name] = sentAt
 	o.mu.Unlock()
 	return r
 }
 
-// prolong makes the lease under an epoch last as long as a renewal sent at this
+// extend moves the end of the lease under an epoch to what a renewal sent at the given
 // time allows.
-func (s *slot) extend(epoch uint64, sent time.Duration) {
+func (s *slot) extend(epoch uint64, sentAt time.Duration) {
 	old := s.leaseUntil.Load()
-	next := int64(sent + state.LeaseDuration - state.LeaseMargin)
-	// Why: a lease given up meanwhile must not come back to life.
+	next := int64(sentAt + state.LeaseDuration - state.LeaseMargin)
+	// A lease that was given up in the meantime must not become valid again.
 	if old > 0 && s.epoch.Load() == epoch && next > old {
 		s.leaseUntil.CompareAndSwap(old, next)
 	}
--- a/internal/state/owner/repair.go
+++ b/internal/state/owner/repair.go
@@ -8,15 +8,15 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// finding is what a look at one voter's copy of a slot came to.
+// repairResult is the result of checking one voter's copy of a slot.
 type repairResult struct {
 	voter    state.Core
-	differed bool // it had missed something
-	current  bool // its copy is whole now
+	differed bool // the copy was different
+	current  bool // the copy is up to date now
 }
 
-// repair hands voters what they missed: those with a hint, and those whose
-// digest differs.
+// repair compares the digest of every other voter with the local records, and sends the
+// full table to voters that differ.
 func (s *slot) repair(set state.CoreSet) {
 	o := s.owner
 	all := make([]state.Record, 0, len(s.records))
@@ -46,7 +46,7 @@
 	}
 }
 
-// repairVoter compares one voter's digest with sum, and hands it all records if
+// repairVoter compares one voter's digest with sum, and sends it all records if
 // they differ.
 func (s *slot) repairVoter(ctx context.Context, c state.Core, q state.Request, all []state.Record, sum []byte) repairResult {
 	o := s.owner
--- a/internal/state/owner/slot.go
+++ b/internal/state/owner/slot.go
@@ -11,7 +11,7 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// slot is one slot of the control state as this core sees it. Its plain fields
+// slot is one slot of the control state as seen by this core. Its plain fields
 // belong to its actor; readers outside the actor use the atomic ones.
 type slot struct {
 	owner                   *Owner
@@ -19,34 +19,35 @@
 	actor                   *run.Actor
 	changes                 changeQueue
 	epoch                   atomic.Uint64
-	leaseUntil              atomic.Int64            // lease good until, on our clock; 0 when not held
-	orderFrom               atomic.Int64            // from when on orders may be sent, on our clock
-	unleasedFor             atomic.Int64            // how long nobody had held the slot for sure when it was taken
-	orders                  orderActivity           // that are sent under the lease
+	leaseUntil              atomic.Int64            // end of the lease on the local clock; 0 when not held
+	orderFrom               atomic.Int64            // orders may be sent from this time on the local clock
+	unleasedFor             atomic.Int64            // minimum time without a holder before the slot was acquired
+	orders                  orderActivity           // activity of orders sent under the lease
 	version                 uint64                  // of the newest write in the slot
 	records                 map[string]state.Record // nil when not held
-	highestEpoch            uint64                  // highest epoch heard of
-	retryAt                 time.Duration           // the slot is not asked for before
-	preferredElsewhereSince time.Duration           // since when another core is preferred
+	highestEpoch            uint64                  // highest epoch seen in replies
+	retryAt                 time.Duration           // no attempt to acquire the slot before this time
+	preferredElsewhereSince time.Duration           // since when another core is preferred; 0 if none is
 	ticks                   int
-	missed                  map[string]map[state.Stamp]bool // by voter: writes that it has not answered for
+	missed                  map[string]map[state.Stamp]bool // by voter name: writes that the voter has not confirmed
 }
 
+// held reports whether the lease on the slot is valid now.
 func (s *slot) held() bool {
 	return s.owner.d.Clock.Since() < time.Duration(s.leaseUntil.Load())
 }
 
-// giveUp ends the lease on the slot; release tells the grantors.
-func (s *slot) giveUp(why string, release bool) { s.giveUpTo("", why, release) }
+// giveUp ends the lease on the slot; with release it also notifies the voters.
+func (s *slot) giveUp(reason string, release bool) { s.giveUpTo("", reason, release) }
 
-// giveUpFor is giveUp for the core that is to hold the slot next.
-func (s *slot) giveUpTo(next, why string, release bool) {
+// giveUpTo is giveUp with the name of the core that should hold the slot next.
+func (s *slot) giveUpTo(next, reason string, release bool) {
 	wasHeld := s.leaseUntil.Swap(0) > 0
 	if !wasHeld {
 		return
 	}
 	o := s.owner
-	o.d.Log.Info("slot given up", "slot", s.index, "epoch", s.epoch.Load(), "why", why)
+	o.d.Log.Info("slot given up", "slot", s.index, "epoch", s.epoch.Load(), "why", reason)
 	s.records = nil
 	s.backOff(200, 400)
 	if release {
@@ -56,18 +57,18 @@
 	}
 }
 
-// tryAgainIn lets the slot be for low to low+spread milliseconds.
-// Why: cores that ask for it at the same moment get in each other's way.
+// backOff delays the next attempt to acquire the slot by a random time from low to low+spread
+// milliseconds, because cores that ask for it at the same time block each other.
 func (s *slot) backOff(low, spread int) {
 	s.retryAt = s.owner.d.Clock.Since() + time.Duration(low+rand.IntN(spread))*time.Millisecond
 }
 
-// onTick takes the slot, gives it up or repairs it, as is due.
+// onTick acquires the slot, gives it up or repairs its copies, as needed.
 func (s *slot) onTick() {
 	o := s.owner
 	s.ticks++
 	if s.records != nil && !s.held() {
-		s.giveUp("hold ran out", false)
+		s.giveUp("lease expired", false)
 		s.records = nil
 	}
 	st := o.d.Acceptor.Membership()
@@ -84,31 +85,31 @@
 	}
 }
 
-// takeOrHandBack takes the slot if this core should hold it, and gives it up if
-// another should and can.
+// acquireOrHandBack acquires the slot if this core should hold it, and gives it up if
+// another core is preferred and able to hold it.
 func (s *slot) acquireOrHandBack(set state.CoreSet) {
 	o := s.owner
 	now := o.d.Clock.Since()
-	rank := o.d.Rank(s.index)
-	me := slices.IndexFunc(rank, func(c state.Core) bool { return c.SameVoter(o.d.Self()) })
-	known := me >= 0
+	ranking := o.d.Rank(s.index)
+	position := slices.IndexFunc(ranking, func(c state.Core) bool { return c.SameVoter(o.d.Self()) })
+	known := position >= 0
 	switch {
-	case s.records == nil && known && now >= s.retryAt && s.mayAcquireNow(me, now):
+	case s.records == nil && known && now >= s.retryAt && s.mayAcquireNow(position, now):
 		s.acquire(set)
-	case s.records != nil && me > 0 && o.SinceLastGrant(rank[0]) < 2*time.Second:
-		// Why: opinions of who is alive flap; a slot moves only when one holds for a while, and only to a
-		// core that grants us our own leases.
+	case s.records != nil && position > 0 && o.SinceLastGrant(ranking[0]) < 2*time.Second:
+		// Failure detection may flap, so a slot moves only after the preference has been stable for a while, and only to a
+		// core that answers this core's lease renewals.
 		if s.preferredElsewhereSince == 0 {
 			s.preferredElsewhereSince = now
 		} else if now-s.preferredElsewhereSince > s.handbackDelay(now) {
-			s.giveUpTo(rank[0].Name, "another core is preferred", true)
+			s.giveUpTo(ranking[0].Name, "another core is preferred", true)
 		}
 	default:
 		s.preferredElsewhereSince = 0
 	}
 }
 
-// handback is how long the slot is kept that another core is preferred for.
+// handbackDelay returns how long the slot is kept while another core is preferred.
 func (s *slot) handbackDelay(now time.Duration) time.Duration {
 	if s.orders.idleFor(now) >= s.owner.d.Quarantine {
 		return min(idleHandbackDelay, s.owner.d.HandbackDelay)
@@ -116,15 +117,15 @@
 	return s.owner.d.HandbackDelay
 }
 
-// inTurn says whether the core at this place of the rank may take the slot now.
-// Why: who should hold it may be alive for some and cut off from the other cores;
-// a slot that nobody holds goes to the next in rank.
-func (s *slot) mayAcquireNow(me int, now time.Duration) bool {
-	return me == 0 || s.heldBeforeStart(now) || s.owner.d.Acceptor.UnleasedFor(s.index) > takeoverDelay*time.Duration(me)
+// mayAcquireNow reports whether the core at this position of the ranking may acquire the slot now.
+// The preferred core may be alive for some cores and unreachable for others, so
+// a slot without a holder goes to the next in rank after a delay.
+func (s *slot) mayAcquireNow(position int, now time.Duration) bool {
+	return position == 0 || s.heldBeforeStart(now) || s.owner.d.Acceptor.UnleasedFor(s.index) > takeoverDelay*time.Duration(position)
 }
 
-// heldBeforeStart says that this core held the slot last, before it was started.
-// Why: the others keep everybody else out until that lease has run out.
+// heldBeforeStart reports whether this core was the last holder of the slot before its restart.
+// Until that lease expires the voters refuse the slot to all other cores.
 func (s *slot) heldBeforeStart(now time.Duration) bool {
 	return now-s.owner.startedAt < state.LeaseDuration && s.owner.d.Acceptor.LastHolder(s.index).SameVoter(s.owner.d.Self())
 }
--- a/internal/state/owner/write.go
+++ b/internal/state/owner/write.go
@@ -8,15 +8,15 @@
 	"drumstall.example/internal/state"
 )
 
-// Get reads a key under the lease. It gives state.ErrNotOwner without one, and
-// state.ErrNoQuorum when ctx ended first.
+// Get reads a key under the lease. It returns state.ErrNotOwner without a valid lease, and
+// state.ErrNoQuorum when ctx ends first.
 func (o *Owner) Get(ctx context.Context, key string) (state.Record, bool, error) {
 	s := o.slots[state.SlotOf(key)]
 	var rec state.Record
 	var found, held bool
 	err := s.actor.Ask(ctx, func() {
 		rec, found = s.records[key]
-		// Why: the lease is looked at after the read, so a late tick cannot give out a value of the past.
+		// The lease is checked after the read, so that an expired lease that no tick has noticed yet cannot yield a stale value.
 		held = s.held()
 	})
 	if err != nil {
@@ -28,66 +28,66 @@
 	return rec, found && !rec.Deleted, nil
 }
 
-// write sends records to every voter and returns when a majority synced them.
+// write sends records to every voter and returns when a majority has synced them.
 func (s *slot) write(recs []state.Record, full bool) error {
 	o := s.owner
 	set := o.d.Acceptor.Membership().Set
-	at := s.version
+	newest := s.version
 	for _, r := range recs {
-		at = max(at, r.Stamp.Version)
+		newest = max(newest, r.Stamp.Version)
 	}
-	q := state.Request{SetVersion: set.Version, From: o.d.Self(), Slot: s.index, Epoch: s.epoch.Load(), Version: at, Full: full, Records: recs}
-	yes, noes, missed, late := o.pollWithLate(set, "/state/accept", q, o.d.Acceptor.Accept, true)
-	written := state.Stamp{Epoch: q.Epoch, Version: at}
+	q := state.Request{SetVersion: set.Version, From: o.d.Self(), Slot: s.index, Epoch: s.epoch.Load(), Version: newest, Full: full, Records: recs}
+	accepted, refused, missed, late := o.pollWithLate(set, "/state/accept", q, o.d.Acceptor.Accept, true)
+	written := state.Stamp{Epoch: q.Epoch, Version: newest}
 	for _, c := range missed {
 		s.noteMissed(c.Name, written)
 	}
 	s.awaitLateReplies(set, late, written)
-	if len(yes) < set.Quorum() {
-		for _, n := range noes {
+	if len(accepted) < set.Quorum() {
+		for _, n := range refused {
 			s.highestEpoch = max(s.highestEpoch, n.Epoch)
 		}
-		// Why: a majority said no and the rest are too few to keep it: surely not kept. Else nobody can know.
-		surely := len(yes) == 0 && len(noes) >= set.Quorum()
-		s.giveUp("write found no majority", false)
-		if surely {
+		// If a majority refused, the others are too few to store the write, so it failed. Otherwise its outcome is unknown.
+		notWritten := len(accepted) == 0 && len(refused) >= set.Quorum()
+		s.giveUp("write reached no majority", false)
+		if notWritten {
 			return state.ErrNoQuorum
 		}
 		return state.ErrOutcomeUnknown
 	}
-	s.version = at
+	s.version = newest
 	for _, r := range recs {
 		s.records[r.Key] = r
 	}
 	if !s.held() {
-		// Why: it is kept, but another may have taken over since; only a new look can tell.
+		// The write is stored, but another core may have acquired the slot since; only a new read can tell.
 		return state.ErrOutcomeUnknown
 	}
 	return nil
 }
 
-// owe notes that a voter has not answered for a write.
+// noteMissed records that a voter has not confirmed a write.
 func (s *slot) noteMissed(voter string, written state.Stamp) {
-	switch owed := s.missed[voter]; {
-	case owed == nil:
+	switch misses := s.missed[voter]; {
+	case misses == nil:
 		s.missed[voter] = map[state.Stamp]bool{written: true}
-	case owed[untracked]:
-	case len(owed) >= maxTrackedMisses:
+	case misses[untracked]:
+	case len(misses) >= maxTrackedMisses:
 		s.missed[voter] = map[state.Stamp]bool{untracked: true}
 	default:
-		owed[written] = true
+		misses[written] = true
 	}
 }
 
-// mostOwed is how many writes of a voter are told apart; one that owes more is
-// behind until its copy has been looked at.
+// maxTrackedMisses is how many unconfirmed writes are tracked for each voter. A voter with more
+// counts as behind until its copy has been checked.
 const maxTrackedMisses = 64
 
-// untold stands for writes that are not told apart; no answer settles it.
+// untracked stands for all unconfirmed writes of a voter beyond the limit; no late reply clears it.
 var untracked = state.Stamp{}
 
-// awaitLate strikes off what voters confirm after a majority has. Why: a majority is
-// the quicker half; the others have nearly always kept the write a moment later, and need no repair.
+// awaitLateReplies clears the writes that voters confirm after a majority already has. The
+// slower voters nearly always store a write shortly after the majority, and need no repair.
 func (s *slot) awaitLateReplies(set state.CoreSet, late lateReplies, written state.Stamp) {
 	if late.remaining == 0 {
 		return
@@ -95,14 +95,14 @@
 	s.owner.d.Group.Go(func(context.Context) {
 		for range late.remaining {
 			if a := <-late.answers; a.err == nil && a.reply.OK {
-				// Why: if the actor has no room for this, the hint stays, and a look at the voter's digest settles it.
+				// If the actor's queue is full the entry remains, and the next digest comparison clears it.
 				_ = s.actor.Tell(func() { s.clearMissed(set.Cores[a.voter].Name, written) })
 			}
 		}
 	})
 }
 
-// confirmed strikes off one write that a voter owed an answer for.
+// clearMissed removes one write from those that a voter has not confirmed.
 func (s *slot) clearMissed(voter string, written state.Stamp) {
 	delete(s.missed[voter], written)
 	if len(s.missed[voter]) == 0 {
