--- a/internal/state/coremembers/admission.go
+++ b/internal/state/coremembers/admission.go
@@ -8,18 +8,18 @@
 	"drumstall.example/internal/state"
 )
 
-// askToJoin asks any core of a formed fleet for a place.
+// requestJoin asks a core of the existing set for membership.
 func (k *Manager) requestJoin(ctx context.Context, c state.Core) {
 	if _, ok := k.d.Addr(c); !ok {
 		return
 	}
 	q := JoinRequest{Core: k.d.Self(), Replaces: k.d.Replaces}
 	if _, err := call[JoinRequest, None](ctx, k, c, "/state/join", q); err != nil {
-		k.d.Log.Info("asked to join", "at", c.Name, "error", err)
+		k.d.Log.Info("join request failed", "at", c.Name, "error", err)
 	}
 }
 
-// join is answered by the owner of the core membership; others pass it on.
+// join handles a join request if this core holds the slot of the core set, and forwards it otherwise.
 func (k *Manager) join(ctx context.Context, q JoinRequest) (None, error) {
 	if !k.d.Owner.Holds(Key) {
 		return k.forwardJoin(ctx, q)
@@ -40,8 +40,8 @@
 	return None{}, nil
 }
 
-// passOn hands a joining to whoever holds the core membership; the refusal "not-owner"
-// says that nobody does.
+// forwardJoin forwards a join request to the core that holds the slot of the core set. It refuses
+// with the code "not-owner" if no core does.
 func (k *Manager) forwardJoin(ctx context.Context, q JoinRequest) (None, error) {
 	for c := range k.d.Live() {
 		if c.SameVoter(k.d.Self()) {
@@ -52,10 +52,10 @@
 			return call[JoinRequest, None](ctx, k, c, "/state/join", q)
 		}
 	}
-	return None{}, wire.Refuse("not-owner", "nobody holds the core set")
+	return None{}, wire.Refuse("not-owner", "no core holds the core set")
 }
 
-// replace gives a core the place of the member that it names, or of its own past.
+// replace substitutes a core for the member that it names, or for the member with its own name.
 func (k *Manager) replace(set state.CoreSet, q JoinRequest) (state.CoreSet, error) {
 	name := q.Replaces
 	if name == "" {
@@ -69,12 +69,12 @@
 			continue
 		}
 		if _, alive := k.d.Live()[c]; alive {
-			return next, wire.Refuse("alive", "member "+name+" is alive; it is not replaced")
+			return next, wire.Refuse("alive", "member "+name+" is alive and cannot be replaced")
 		}
 		next.Cores = append(next.Cores, q.Core)
 		replaced = true
 	}
-	// Why: after a rescue the set is smaller than it should be, and takes in whoever comes.
+	// After a rescue the set is smaller than configured, and admits any core.
 	if !replaced && k.d.Replaces == "" && len(set.Cores) < k.d.Want {
 		next.Cores = append(next.Cores, q.Core)
 		replaced = true
@@ -85,21 +85,21 @@
 	return next, nil
 }
 
-// admit takes a core in: in the place of its own past, of a voter that is gone,
-// or beside the others.
+// admit adds a core to the set: in place of the member with its own name, in place of a lost voter,
+// or as an additional member.
 func (k *Manager) admit(set state.CoreSet, joiner state.Core) (state.CoreSet, error) {
-	out, found := k.lost(set)
+	removed, found := k.lost(set)
 	for _, c := range set.Cores {
 		if c.Name == joiner.Name {
-			out, found = c, true
+			removed, found = c, true
 		}
 	}
 	if !found && k.suspectsVoter(set) {
-		return set, wire.Refuse("doubt", "a member may be gone; its place is given when that is sure")
+		return set, wire.Refuse("doubt", "a member may be lost; it is replaced once that is certain")
 	}
 	next := state.CoreSet{Version: set.Version + 1}
 	for _, c := range set.Cores {
-		if !found || !c.SameVoter(out) {
+		if !found || !c.SameVoter(removed) {
 			next.Cores = append(next.Cores, c)
 		}
 	}
@@ -107,14 +107,14 @@
 	return next, nil
 }
 
-// doubts says that a voter is silent and may be gone. Why: a set that grew beside
-// one that is gone would need more of the others for a majority, until it is let go of.
+// suspectsVoter reports whether a voter has been silent and may be lost. A set that grows while
+// one member is lost needs more of the others for a majority, until the lost one is removed.
 func (k *Manager) suspectsVoter(set state.CoreSet) bool {
 	for _, c := range set.Cores {
 		if c.SameVoter(k.d.Self()) {
 			continue
 		}
-		// Why: one that was never heard has only just come.
+		// A voter without any contact so far has only just joined.
 		if heard := k.d.SinceContact(c); heard > suspectAfter && heard < time.Hour {
 			return true
 		}
--- a/internal/state/coremembers/bootstrap.go
+++ b/internal/state/coremembers/bootstrap.go
@@ -10,7 +10,7 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// found offers the first set to all founders, if this core is the one to do so.
+// bootstrap proposes the first set to all initial cores, if it is this core's turn.
 func (k *Manager) bootstrap(ctx context.Context, st acceptor.Membership, live map[state.Core]acceptor.Phase) {
 	cores, ready := k.initialCores(st, live)
 	if !ready {
@@ -29,26 +29,26 @@
 	if !ok {
 		return
 	}
-	// Why: all founders agree on disk before any votes, so two sets can never both be formed.
+	// All initial cores store their agreement on disk before any of them votes, so two sets can never both be formed.
 	if k.propose(ctx, Formation{Set: set}) {
 		k.propose(ctx, Formation{Set: set, Committed: true})
 	}
 }
 
-// offerTicks is for how many intervals each of the founders, in the order of their names, is left to
-// offer the set before the next one does too.
+// proposalTicks is the number of rounds that each initial core, in the order of names, has to
+// propose the set before the next one proposes too.
 const proposalTicks = 4
 
-// turnToOffer says whether this core is to offer the first set to all founders. Why: one at a time
-// is enough and the others only agree; but the one whose turn it is may have been started anew, and may not found any more.
+// turnToPropose reports whether this core should propose the first set. One proposer
+// is enough, and the others only agree; but the core whose turn it is may have been restarted and no longer be allowed to.
 func (k *Manager) turnToPropose(founders []state.Core) bool {
 	rank := slices.IndexFunc(founders, func(c state.Core) bool { return c.SameVoter(k.d.Self()) })
 	k.readyTicks++
 	return rank >= 0 && k.readyTicks > rank*proposalTicks
 }
 
-// noteFirstStart keeps on disk that this core may found the first set, so that it still
-// may when it is started again before there is one. What is not kept now is kept in a later round.
+// persistFirstStart stores on disk that this core may form the first set, so that it still
+// may after a restart before the set exists. A failed write is retried in the next round.
 func (k *Manager) persistFirstStart(ctx context.Context) {
 	if st := k.d.Acceptor.Membership(); !k.d.MayBootstrap || st.Phase != acceptor.Empty || st.MayBootstrap {
 		return
@@ -59,8 +59,8 @@
 	})
 }
 
-// propose sends a formation to its members, and says whether all agreed. The
-// first refusal ends an offer; what is firm goes to all in any case.
+// propose sends a formation to its members, and reports whether all agreed. A proposal
+// ends at the first refusal; a commit is sent to all members in any case.
 func (k *Manager) propose(ctx context.Context, f Formation) bool {
 	agreed := true
 	for _, c := range f.Set.Cores {
@@ -71,7 +71,7 @@
 			_, err = call[Formation, None](ctx, k, c, "/state/form", f)
 		}
 		if err != nil {
-			k.d.Log.Info("formation waits", "for", c.Name, "firm", f.Committed, "error", err)
+			k.d.Log.Info("formation not agreed yet", "for", c.Name, "firm", f.Committed, "error", err)
 			agreed = false
 			if !f.Committed {
 				break
@@ -81,7 +81,7 @@
 	return agreed
 }
 
-// founders are the cores that form the first set, once all of them are there.
+// initialCores returns the cores that form the first set, and whether all of them are present.
 func (k *Manager) initialCores(st acceptor.Membership, live map[state.Core]acceptor.Phase) ([]state.Core, bool) {
 	var cores []state.Core
 	if !k.unattended() {
@@ -90,7 +90,7 @@
 		}
 		return cores, len(live) == k.d.Want
 	}
-	// Why: a core that starts empty later must never found a second fleet; one that had agreed to found goes on.
+	// A core that starts empty later must never form a second set; one that has agreed to a formation continues with it.
 	if !st.MayBootstrap && st.Phase != acceptor.Pending {
 		return nil, false
 	}
@@ -102,8 +102,8 @@
 	return cores, len(cores) > 0 && len(cores) == len(k.d.InitialAddrs)
 }
 
-// offer is the set to be formed from these cores: the one that all have agreed
-// to, or else one under a higher version than any of them has.
+// proposedSet returns the set to form from these cores: with the highest version among them if that version
+// was agreed for the same cores, and with the next version otherwise.
 func (k *Manager) proposedSet(ctx context.Context, cores []state.Core) (state.CoreSet, bool) {
 	set := state.CoreSet{Cores: cores}
 	agreed := false
@@ -116,7 +116,7 @@
 				return set, false
 			}
 		}
-		// Why: what the others tell of each other may be old; one that votes by now ends all founding.
+		// Phases learned indirectly may be outdated; a core that already votes or is being filled ends the formation.
 		if theirs.Phase != acceptor.Empty && theirs.Phase != acceptor.Pending {
 			return set, false
 		}
@@ -130,7 +130,7 @@
 	return set, true
 }
 
-// alike says whether two sets are the same.
+// sameSet reports whether two sets have the same version and members.
 func sameSet(a, b state.CoreSet) bool {
 	if a.Version != b.Version || len(a.Cores) != len(b.Cores) {
 		return false
@@ -143,21 +143,21 @@
 	return true
 }
 
-// refounds says whether next may take the place of a formation that was agreed
-// to and never became firm: the same machines, of which a minority came back with other disks.
-// Why: a majority of the old set stands here or there as agreed and not voting, so nobody can have been
-// acknowledged anything under it; and under the lower version nobody ever will be.
+// mayReplaceFormation reports whether next may replace a formation that was agreed to but never
+// committed: it has the same machines, a minority of which have returned with different disks.
+// A majority of the old set has agreed without voting, so no write can have been acknowledged under the old set;
+// and none ever will be under its lower version.
 func mayReplaceFormation(old, next state.CoreSet) bool {
 	lost := 0
 	for _, c := range old.Cores {
 		if next.Has(c) {
 			continue
 		}
-		anew := false
+		returned := false
 		for _, n := range next.Cores {
-			anew = anew || n.Name == c.Name
+			returned = returned || n.Name == c.Name
 		}
-		if !anew {
+		if !returned {
 			return false
 		}
 		lost++
@@ -165,14 +165,14 @@
 	return next.Version > old.Version && len(next.Cores) == len(old.Cores) && lost < old.Quorum()
 }
 
-// form takes what a founder offers or makes firm; a refusal has the code "formation".
+// form handles a proposed or committed formation; a refusal has the code "formation".
 func (k *Manager) form(ctx context.Context, f Formation) (None, error) {
-	why := ""
+	reason := ""
 	_, err := k.d.Acceptor.UpdateMembership(ctx, func(st acceptor.Membership) (acceptor.Membership, bool) {
 		same := sameSet(st.Set, f.Set)
 		switch {
 		case !f.Set.Has(k.d.Self()) || f.Set.Version < 1:
-			why = "not a member"
+			reason = "not a member"
 		case st.Phase == acceptor.Empty && !f.Committed:
 			return acceptor.Membership{Phase: acceptor.Pending, Set: f.Set}, true
 		case st.Phase == acceptor.Pending && same && f.Committed:
@@ -181,12 +181,12 @@
 			return acceptor.Membership{Phase: acceptor.Pending, Set: f.Set}, true
 		case same:
 		default:
-			why = "agreed to another set"
+			reason = "agreed to another set"
 		}
 		return st, false
 	})
-	if err == nil && why != "" {
-		err = wire.Refuse("formation", why)
+	if err == nil && reason != "" {
+		err = wire.Refuse("formation", reason)
 	}
 	return None{}, err
 }
--- a/internal/state/coremembers/catchup.go
+++ b/internal/state/coremembers/catchup.go
@@ -9,8 +9,8 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// catchUp asks another core for its set now and then. Why: one that was away
-// while the set went on without it is told by nobody.
+// pollForNewerSet periodically asks another core for its set. A core that was removed from the
+// set during an absence receives no updates.
 func (k *Manager) pollForNewerSet(ctx context.Context, st acceptor.Membership) {
 	if k.ticks%setPollTicks != 0 {
 		return
@@ -23,7 +23,7 @@
 		if err != nil || a.Phase != acceptor.Voter || !a.Set.Has(c) || a.Set.Version <= st.Set.Version {
 			return
 		}
-		// Why: a core that was let go of while it was being filled is no member, and asks for a place again.
+		// A core that was removed while it was being filled is no member, and must ask to join again.
 		if st.Phase == acceptor.Filling && !a.Set.Has(k.d.Self()) {
 			_ = k.d.Acceptor.Reset(ctx)
 			return
@@ -33,8 +33,8 @@
 	}
 }
 
-// lookForUs adopts a formed set that counts us as a member: our formation
-// became firm elsewhere, or our joining was agreed.
+// adoptIfMember adopts another core's set if this core is a member of it: the formation
+// was committed elsewhere, or the join request was accepted. It reports whether that succeeded.
 func (k *Manager) adoptIfMember(ctx context.Context, c state.Core) bool {
 	a, err := k.askSet(ctx, c)
 	if err != nil || !a.Set.Has(k.d.Self()) {
@@ -48,8 +48,8 @@
 	return err == nil
 }
 
-// fill reads every slot from a majority of the old set, each of which already
-// refuses the old version, and only then votes.
+// fill copies every slot from a majority of the old set, whose members already
+// refuse the old version, and makes this core a voter after that.
 func (k *Manager) fill(ctx context.Context, st acceptor.Membership) {
 	for slot := range state.SlotCount {
 		replies, current := k.readSlot(ctx, st, slot)
@@ -72,12 +72,12 @@
 		now.Phase = acceptor.Voter
 		return now, true
 	})
-	k.d.Log.Info("filled; votes from now on", "set", st.Set.Version)
+	k.d.Log.Info("filled; voting from now on", "set", st.Set.Version)
 }
 
-// dumps reads one slot from the voters of the old set, side by side, until a
-// majority has given it. Why: one of them may be gone without a word, and a call to it takes its whole time.
-// It tells those that do not know the new set yet; current is false where this core's own set is outdated.
+// readSlot requests one slot from the voters of the old set in parallel, because a call to an unreachable
+// voter takes the whole timeout, and collects the replies until a majority has answered.
+// It sends the new set to voters that do not have it yet; current is false if this core's own set is outdated.
 func (k *Manager) readSlot(ctx context.Context, st acceptor.Membership, slot int) (replies []state.Reply, current bool) {
 	type answer struct {
 		from  state.Core
--- a/internal/state/coremembers/change.go
+++ b/internal/state/coremembers/change.go
@@ -9,7 +9,7 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// decide changes the set through a majority of the old one and spreads it.
+// decide changes the set through a majority of the old one and distributes the new set.
 func (k *Manager) decide(ctx context.Context, change func(set state.CoreSet) (state.CoreSet, error)) error {
 	var next state.CoreSet
 	_, err := k.d.Owner.Update(ctx, Key, func(old state.Record, found bool) ([]byte, error) {
@@ -17,7 +17,7 @@
 		if found {
 			var kept state.CoreSet
 			if err := wire.Unpack(old.Value, &kept); err == nil && kept.Version > set.Version {
-				return nil, wire.Refuse("busy", "a change is under way")
+				return nil, wire.Refuse("busy", "another change is in progress")
 			}
 		}
 		var err error
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// follow spreads a decided change that its author could not finish.
+// finishDecided distributes a decided set that the deciding core did not finish distributing.
 func (k *Manager) finishDecided(ctx context.Context, st acceptor.Membership) {
 	if !k.d.Owner.Holds(Key) {
 		return
@@ -48,7 +48,7 @@
 	}
 }
 
-// spread hands a decided set to the voters of the old one and to its own.
+// distribute sends a decided set to the members of the old set and of the new one.
 func (k *Manager) distribute(ctx context.Context, next state.CoreSet) {
 	old := k.d.Acceptor.Membership().Set
 	if old.Version >= next.Version {
@@ -56,8 +56,8 @@
 	}
 	a := SetUpdate{Set: next, Previous: old}
 	to := append(append([]state.Core{}, old.Cores...), next.Cores...)
-	// Why: a voter that is gone without a word must not keep the others from being told.
-	told := run.Fan(k.d.Group, len(to), func(ctx context.Context, i int) bool {
+	// The set is sent in parallel, so that an unreachable voter does not delay the others.
+	sent := run.Fan(k.d.Group, len(to), func(ctx context.Context, i int) bool {
 		if to[i].SameVoter(k.d.Self()) {
 			_, _ = k.adopt(ctx, a)
 		} else {
@@ -66,17 +66,17 @@
 		return true
 	})
 	for range to {
-		<-told
+		<-sent
 	}
 }
 
-// tell hands a set to one core; whoever misses it is told again when it is behind.
+// sendSet sends a set to one core. A core that misses it receives it again once it is found to be behind.
 func (k *Manager) sendSet(ctx context.Context, c state.Core, a SetUpdate) {
 	_, _ = call[SetUpdate, None](ctx, k, c, "/state/adopt", a)
 }
 
-// adopt takes a newer set: a voter goes on voting under it, any other core is
-// filled first and takes only a set that counts it in.
+// adopt switches to a newer set. A voter continues to vote under it; any other core
+// accepts only a set that it is a member of, and is filled first.
 func (k *Manager) adopt(ctx context.Context, a SetUpdate) (None, error) {
 	_, err := k.d.Acceptor.UpdateMembership(ctx, func(st acceptor.Membership) (acceptor.Membership, bool) {
 		if a.Set.Version <= st.Set.Version || len(a.Set.Cores) == 0 {
@@ -93,7 +93,7 @@
 	return None{}, err
 }
 
-// Behind hands our set to a voter that knows an older one; it does not wait for that.
+// UpdateBehind sends this core's set to a voter with an older one, without waiting for the result.
 func (k *Manager) UpdateBehind(c state.Core) {
 	_ = k.actor.Tell(func() {
 		ctx, cancel := context.WithTimeout(k.d.Group.Context(), roundTimeout)
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -1,12 +1,13 @@
-// Package coremembers forms the first set of voters, and changes it one member at
-// a time: agreed by a majority of the old set, then filled, then voting.
+// Package coremembers forms the first core set, and changes it one member at a
+// time. A change is agreed by a majority of the old set; a new member then copies
+// all slots and only then votes.
 //
-// Each core makes one Keeper, which acts by itself, answers the other cores'
-// keepers and, for the operators' interface, rescues a core that has lost the
-// others. The set that this core goes by is its acceptor's standing, which is
-// changed here alone. It never takes part in reading or writing slots beyond
-// filling a new member, and never decides a change without a majority of the
-// old set, but for a rescue.
+// Each core creates one Manager, which runs periodically, answers the managers of
+// other cores and, for the operator interface, rescues a core after the loss of all
+// others. A core's current set is stored in its acceptor's membership, which is
+// changed only by this package. The package reads and writes slots only to fill a
+// new member, and decides no change without a majority of the old set, except in a
+// rescue.
 package coremembers
 
 import (
@@ -22,63 +23,63 @@
 	"drumstall.example/internal/state/owner"
 )
 
-// Key is where a change of the core membership is decided; it lies so on disk.
+// Key is the control state key that holds the decided core set. It is stored on disk.
 const Key = "coreset"
 
 const (
-	// limit bounds one round of the keeper, and what it sends in it.
+	// roundTimeout bounds one round of the manager and the messages sent in it.
 	roundTimeout = 2 * time.Second
-	// callLimit bounds one message to another core.
+	// callTimeout bounds one message to another core.
 	callTimeout = 900 * time.Millisecond
 )
 
-// Deps is what a keeper needs from the rest of the core.
+// Deps holds the dependencies and settings of a Manager.
 type Deps struct {
 	Self         func() state.Core
-	Want         int      // how many cores the first formation waits for; 0 goes by Founders, and the set changes unattended
+	Want         int      // how many cores form the first set; 0 means the cores at InitialAddrs, and changes of the set without an operator
 	InitialAddrs []string // addresses of the cores that form the first set
-	MayBootstrap bool     // this start may be the first of all
-	TargetSize   int      // size that an unattended set is brought back to
-	Replaces     string   // name of the member whose place this core takes
+	MayBootstrap bool     // this may be the first start of the fleet
+	TargetSize   int      // size that a set without an operator is reduced to
+	Replaces     string   // name of the member that this core replaces
 	Group        *run.Group
 	Log          *slog.Logger
 	Caller       *wire.Caller
 	Acceptor     *acceptor.Acceptor
 	Owner        *owner.Owner
-	// Live are the cores thought alive, with the phase each reports.
+	// Live returns the cores that are believed to be alive, with the phase that each reports.
 	Live func() map[state.Core]acceptor.Phase
 	Addr func(state.Core) (string, bool)
-	// Gone says whether a voter has left on purpose, and how long it has been away.
+	// Gone reports whether a voter has left deliberately, and how long it has been absent.
 	Gone func(state.Core) (left bool, away time.Duration)
-	// Heard is how long ago a voter answered this core; an hour or more is never.
+	// SinceContact returns the time since a voter last answered this core; an hour or more means never.
 	SinceContact func(state.Core) time.Duration
 }
 
-// Keeper keeps the core membership.
+// Manager forms and changes the core set.
 type Manager struct {
 	d     Deps
 	actor *run.Actor
 	ticks int
-	// readyTicks is for how many intervals all founders have been there without a set.
+	// readyTicks counts the rounds in which all initial cores were present but no set was formed.
 	readyTicks int
 
 	stopped atomic.Bool
 }
 
 const (
-	// goneAfter is how long a voter must have been away before an unattended set goes on without it.
+	// lostAfter is how long a voter must have been absent before it may be removed or replaced without an operator.
 	lostAfter = 2500 * time.Millisecond
-	// doubtAfter is how long a voter must not have been heard for nobody to be taken in beside it.
+	// suspectAfter is how long a voter must have been silent for additional cores to be refused.
 	suspectAfter = 700 * time.Millisecond
-	// interval is the time between two rounds of the keeper.
+	// tickInterval is the time between two rounds of the manager.
 	tickInterval = 500 * time.Millisecond
-	// settleTicks is for how many intervals a core looks around before it thinks of anybody as gone.
+	// settleTicks is the number of rounds after the start before a core removes lost voters.
 	settleTicks = 12
-	// lookTicks is every how many intervals a voter asks another whether it knows a newer set.
+	// setPollTicks is the number of rounds between two requests to another core for a newer set.
 	setPollTicks = 4
 )
 
-// New starts to keep the core membership, and answers the other cores on mux, until the
+// New creates a Manager, registers its handlers for other cores on mux, and runs it until the
 // group of d stops.
 func New(d Deps, mux *wire.Mux) *Manager {
 	k := &Manager{d: d}
@@ -90,7 +91,7 @@
 		return SetUpdate{Set: st.Set, Previous: st.Previous, Phase: st.Phase}, nil
 	})
 	k.actor = run.NewActor(d.Group, 32, tickInterval, k.onTick)
-	// Why: a core that is started anew before its first round must still know that it may found.
+	// A core that is restarted before its first round must still know that it may form the first set.
 	_ = k.actor.Tell(func() {
 		ctx, cancel := context.WithTimeout(d.Group.Context(), roundTimeout)
 		defer cancel()
@@ -99,14 +100,14 @@
 	return k
 }
 
-// Stop leaves the set as it is from now on. Why: a core that is going away must not
-// come back as a new member when the others go on without it.
+// Stop ends the periodic rounds. A core that is shutting down must not
+// rejoin as a new member when the others remove it.
 func (k *Manager) Stop() { k.stopped.Store(true) }
 
-// unattended says that the set changes without an operator.
+// unattended reports whether the set changes without an operator.
 func (k *Manager) unattended() bool { return k.d.Want == 0 }
 
-// onTick does what this core's phase asks for.
+// onTick runs one round, depending on the phase of this core.
 func (k *Manager) onTick() {
 	if k.stopped.Load() {
 		return
@@ -129,12 +130,12 @@
 	}
 }
 
-// enter seeks a place for a core that has no vote yet: in a formed set, or else
-// among the founders of the first.
+// seekMembership tries to make a core without a vote a member: of an existing set, or else
+// of the first set.
 func (k *Manager) seekMembership(ctx context.Context, st acceptor.Membership) {
 	live := k.d.Live()
 	for c, phase := range live {
-		// Why: where a fleet is formed already, an empty disk is a new member, never a founder.
+		// Once a set exists, a core with an empty disk joins as a new member and never forms a set.
 		if phase == acceptor.Voter || phase == acceptor.Filling {
 			if k.adoptIfMember(ctx, c) {
 				return
@@ -148,14 +149,14 @@
 	k.bootstrap(ctx, st, live)
 }
 
-// keep is a voter's round: it finishes what was decided, and where no operator
-// does, looks for newer sets and for voters that are gone.
+// maintain is a voter's round: it completes decided changes and, without an operator,
+// polls for newer sets and removes lost voters.
 func (k *Manager) maintain(ctx context.Context, st acceptor.Membership) {
 	k.finishDecided(ctx, st)
 	member := st.Set.Has(k.d.Self())
 	switch {
 	case !member && k.unattended():
-		k.d.Log.Warn("this core was replaced in the core set; it comes back as a new member", "set", st.Set.Version)
+		k.d.Log.Warn("this core was replaced in the core set; rejoining as a new member", "set", st.Set.Version)
 		if err := k.d.Acceptor.Reset(ctx); err != nil {
 			k.d.Log.Warn("reset", "error", err)
 		}
@@ -167,8 +168,8 @@
 	}
 }
 
-// call sends one message to another core; wire.ErrUnreachable is given for one
-// that is thought gone.
+// call sends one message to another core. It returns wire.ErrUnreachable for a core
+// that is believed to be down.
 func call[Q, A any](ctx context.Context, k *Manager, c state.Core, path string, q Q) (A, error) {
 	addr, ok := k.d.Addr(c)
 	if !ok {
@@ -180,7 +181,7 @@
 	return wire.Call[Q, A](ctx, k.d.Caller, addr, path, q)
 }
 
-// askSet asks another core for its set and phase.
+// askSet requests another core's set and phase.
 func (k *Manager) askSet(ctx context.Context, c state.Core) (SetUpdate, error) {
 	return call[None, SetUpdate](ctx, k, c, "/state/set", None{})
 }
--- a/internal/state/coremembers/trim.go
+++ b/internal/state/coremembers/trim.go
@@ -9,8 +9,8 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// trim takes a voter that is gone out of a set that is larger than it need be.
-// Why: each voter that does not answer makes a majority harder to find.
+// trim removes a lost voter from a set that is larger than the target size, because
+// each voter that does not answer makes a majority harder to reach.
 func (k *Manager) trim(ctx context.Context, st acceptor.Membership) {
 	if !k.d.Owner.Holds(Key) || k.ticks < settleTicks || len(st.Set.Cores) <= k.d.TargetSize {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// lost is the voter that has been away longest, if one is gone.
+// lost returns the voter that has been absent longest among those that have left or been absent too long.
 func (k *Manager) lost(set state.CoreSet) (state.Core, bool) {
 	var lost state.Core
 	longest := time.Duration(0)
