--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -21,8 +21,8 @@
 	_, _ = atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.Granting{Who: who, Afloat: true}, c.planner.Grant)
 }
 
-func (c *Core) grant(ctx context.Context, l order.Leave) (time.Duration, bool) {
-	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.Granting{Who: l.Who, Worth: l.Worth, Start: l.Start}, c.planner.Grant)
+func (c *Core) grant(ctx context.Context, l order.GrantRequest) (time.Duration, bool) {
+	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.Granting{Who: l.Who, Worth: l.Penalty, Start: l.StartID}, c.planner.Grant)
 	return time.Duration(g.WaitMs) * time.Millisecond, err == nil && g.OK
 }
 
@@ -66,7 +66,7 @@
 	for id, one := range c.controllers {
 		_, there := listed[id]
 		if there && c.own.Holds(order.Key(id)) {
-			one.controller.Listed(listed[id])
+			one.controller.SetListed(listed[id])
 			continue
 		}
 		gone := !there && c.own.Holds(order.Key(id))
@@ -83,8 +83,8 @@
 		}
 		g := c.group.Child()
 		c.controllers[id] = &controlled{group: g, controller: order.NewController(g, order.Deps{Clock: c.env.Clock, Log: c.log, Self: c.s.Name, Boot: c.boot,
-			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.own, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, Requests: c.planner.Requests,
-			Others: c.views.Views, Agents: c.agents, Platform: c.watch.HeardFor, Grant: c.grant, Afloat: c.afloat}, l)}
+			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.own, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, PredictedRequests: c.planner.Requests,
+			Others: c.views.Views, LiveAgents: c.agents, PlatformAge: c.watch.HeardFor, Grant: c.grant, Afloat: c.afloat}, l)}
 	}
 	snap := map[string]*order.Controller{}
 	for id, one := range c.controllers {
--- a/internal/place/plan/ask.go
+++ b/internal/place/plan/ask.go
@@ -9,19 +9,19 @@
 )
 
 // question is what is asked about a decision's load on a replica.
-func (d Decision) question(replica string, dry bool) order.Consider {
-	return order.Consider{Replica: replica, Item: d.Item, Penalty: d.Penalty, Alone: d.Pass, Claim: d.claim, Dry: dry, CostMs: int(d.CheapestMs)}
+func (d Decision) question(replica string, dry bool) order.ConsiderRequest {
+	return order.ConsiderRequest{Replica: replica, Item: d.Item, Penalty: d.Penalty, SkipTest: d.Pass, Claim: d.claim, DryRun: dry, CostMs: int(d.CheapestMs)}
 }
 
 // ask asks the controller of one replica. unsure says that it may have taken the load
 // on without our hearing of it. Several are asked at once, so asking writes nothing that is shared.
-func (p *Planner) ask(ctx context.Context, d Decision, controller, replica string, dry bool) (a order.Considered, unsure bool) {
+func (p *Planner) ask(ctx context.Context, d Decision, controller, replica string, dry bool) (a order.ConsiderResponse, unsure bool) {
 	one, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 	defer cancel()
 	a, err := p.d.Ask(one, controller, d.question(replica, dry))
 	if err != nil {
 		// Why: one that gave no answer may have taken it; its status will tell before the next decision.
-		return order.Unheard(err), !dry && wire.Code(err) != "not-owner"
+		return order.NoAnswer(err), !dry && wire.Code(err) != "not-owner"
 	}
 	return a, false
 }
@@ -50,11 +50,11 @@
 }
 
 // askDry asks the controllers of all replicas at once what would go there.
-func (p *Planner) askDry(ctx context.Context, d Decision, names []string, by map[string]order.Status) []order.Considered {
-	answers := make([]order.Considered, len(names))
+func (p *Planner) askDry(ctx context.Context, d Decision, names []string, by map[string]order.Status) []order.ConsiderResponse {
+	answers := make([]order.ConsiderResponse, len(names))
 	type answered struct {
 		of []int
-		as []order.Considered
+		as []order.ConsiderResponse
 	}
 	todo := batches(names, by)
 	ch := run.Fan(p.d.Group, len(todo), func(_ context.Context, n int) answered {
@@ -74,16 +74,16 @@
 }
 
 // askBatch asks one controller about several replicas, dry.
-func (p *Planner) askBatch(ctx context.Context, d Decision, controller string, replicas []string) []order.Considered {
+func (p *Planner) askBatch(ctx context.Context, d Decision, controller string, replicas []string) []order.ConsiderResponse {
 	if p.d.AskAll != nil && len(replicas) > 1 {
 		one, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 		defer cancel()
-		return p.d.AskAll(one, controller, order.ConsiderAll{Ask: d.question("", true), Replicas: replicas})
+		return p.d.AskAll(one, controller, order.ConsiderBatchRequest{Request: d.question("", true), Replicas: replicas})
 	}
-	answers := make([]order.Considered, len(replicas))
+	answers := make([]order.ConsiderResponse, len(replicas))
 	type answered struct {
 		i int
-		a order.Considered
+		a order.ConsiderResponse
 	}
 	ch := run.Fan(p.d.Group, len(replicas), func(_ context.Context, i int) answered {
 		a, _ := p.ask(ctx, d, controller, replicas[i], true)
--- a/internal/place/plan/breadth.go
+++ b/internal/place/plan/breadth.go
@@ -17,12 +17,12 @@
 func (b *breadth) now() int { return max(tries-int(b.fewer.Load()), busyTries) }
 
 // heard notes the answers of one decision.
-func (b *breadth) heard(answers []order.Considered) {
+func (b *breadth) heard(answers []order.ConsiderResponse) {
 	if len(answers) == 0 {
 		return
 	}
 	now := b.now()
-	if slices.ContainsFunc(answers, func(a order.Considered) bool { return a.Silent }) {
+	if slices.ContainsFunc(answers, func(a order.ConsiderResponse) bool { return a.Unanswered }) {
 		now = max(now/2, busyTries)
 	} else {
 		now = min(now+1, tries)
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -44,16 +44,16 @@
 		p.asked.settle(names[best])
 		undecided = undecided || unsure
 		answers[best] = a
-		if a.Taken {
+		if a.Accepted {
 			d.Taken, ready = names[best], a.ReadyMs
 		}
 	}
 	p.breadth.heard(answers)
 	soon := false
 	for i, a := range answers {
-		soon = soon || a.Soon
+		soon = soon || a.Temporary
 		d.Tried = append(d.Tried, Tried{names[i], a})
-		undecided = undecided || a.Silent
+		undecided = undecided || a.Unanswered
 	}
 	p.d.Log.Info("decision", "item", d.Item, "cause", d.Cause, "penalty", d.Penalty, "alone", d.Alone, "taken", d.Taken, "why", d.reasons())
 	e := Expect{ReadyMs: ready}
@@ -63,7 +63,7 @@
 			e.RetryS, e.Why = int(cfg.Limits.PassEvery/time.Second)/4+1, "what it would drive out is wanted more now"
 			// Why: the store may have time to spare again well before the next pass is due.
 			if cfg.Limits.PassSlack > 0 {
-				e.RetryS = min(e.RetryS, int(pace.UseSpan/time.Second)/3)
+				e.RetryS = min(e.RetryS, int(pace.UtilizationSpan/time.Second)/3)
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 
 // heardOfAny says whether any replica of models is known that answers its controller.
 func heardOfAny(views order.Statuses) bool {
-	return slices.ContainsFunc(views.All, func(v order.Status) bool { return v.Listed.Model && !v.Dark })
+	return slices.ContainsFunc(views.All, func(v order.Status) bool { return v.Listed.Model && !v.Stale })
 }
 
 // reasons counts why candidates did not take an item.
@@ -137,7 +137,7 @@
 
 // better says whether a load is rather ordered where a was answered than where b was; so many other decisions are
 // asking for a load there at this moment.
-func better(a order.Considered, askedA int, b order.Considered, askedB int) bool {
+func better(a order.ConsiderResponse, askedA int, b order.ConsiderResponse, askedB int) bool {
 	switch {
 	case a.Starts != b.Starts:
 		return a.Starts < b.Starts
@@ -148,7 +148,7 @@
 	case b.ReadyMs+clearly < a.ReadyMs:
 		return false
 	}
-	return a.Sum < b.Sum
+	return a.VictimPenalty < b.VictimPenalty
 }
 
 // Explain gives the newest decisions first, about one item or all.
--- a/internal/place/plan/messages.go
+++ b/internal/place/plan/messages.go
@@ -38,8 +38,8 @@
 
 // Tried is one candidate that was asked, and what it said.
 type Tried struct {
-	Replica string           `json:"replica"`
-	Answer  order.Considered `json:"answer"`
+	Replica string                 `json:"replica"`
+	Answer  order.ConsiderResponse `json:"answer"`
 }
 
 // Decision is kept so that it can be explained.
--- a/internal/place/plan/miss.go
+++ b/internal/place/plan/miss.go
@@ -35,7 +35,7 @@
 	rule := p.rule()
 	requests := i.series.Next(rule, minute, waiting)
 	acc, _ := i.series.Accuracy(rule, minute)
-	cheapest := order.Cheapest(views, "", it, p.d.Reports, now, cfg)
+	cheapest := order.CheapestServeTime(views, "", it, p.d.Reports, now, cfg)
 	alone := cheapest == 0
 	// Why: where proxies go by what controllers tell, a request whose item is there waits no longer; a report that
 	// still counts it is from before.
@@ -65,9 +65,9 @@
 // copiesOf counts the replicas that hold an item or will; coming says that one of them does not hold it yet.
 func copiesOf(it conf.Item, views order.Statuses) (copies int, coming bool) {
 	name := it.String()
-	for _, i := range views.Having(name) {
+	for _, i := range views.WithItem(name) {
 		v := &views.All[i]
-		if v.Dark || v.Listed.Leaving {
+		if v.Stale || v.Listed.Leaving {
 			continue
 		}
 		switch v.Items[name] {
@@ -84,14 +84,14 @@
 func (p *Planner) candidates(cfg conf.Effective, it conf.Item, m conf.Model, views order.Statuses, now time.Duration, in labels.Selector) []judge.Ranked {
 	zones := map[string]int{}
 	name := it.String()
-	for _, i := range views.Having(name) {
+	for _, i := range views.WithItem(name) {
 		if v := &views.All[i]; v.Items[name] == backend.Loaded {
 			zones[v.Listed.Zone]++
 		}
 	}
 	var facts []judge.Replica
 	for _, v := range views.All {
-		if !v.Listed.Model || v.Dark || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !in.Matches(labels.Set(v.Listed.Labels)) {
+		if !v.Listed.Model || v.Stale || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !in.Matches(labels.Set(v.Listed.Labels)) {
 			continue
 		}
 		need := m.SizeMib
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -21,7 +21,7 @@
 // pacer is the keeper of the store's pace that this core has, under an epoch.
 type pacer struct {
 	epoch  uint64
-	keeper *pace.Keeper
+	keeper *pace.Limiter
 	given  uint64 // grants so far, under this epoch and those before
 	kept   int    // grants in what was written down last
 }
@@ -58,10 +58,10 @@
 		return g, mark, false
 	}
 	if q.Afloat {
-		p.pacer.keeper.Afloat(now, q.Who)
+		p.pacer.keeper.NoteOutstanding(now, q.Who)
 		return g, mark, false
 	}
-	wait, granted := p.pacer.keeper.Grant(now, p.starts(), pace.Request{Who: q.Who, Start: q.Start, Worth: q.Worth})
+	wait, granted := p.pacer.keeper.Grant(now, p.starts(), pace.Request{LoadID: q.Who, StartID: q.Start, Priority: q.Worth})
 	g.WaitMs = int(wait.Milliseconds())
 	if granted {
 		p.pacer.given++
@@ -96,7 +96,7 @@
 	if p.pacer.keeper == nil {
 		return w, mark
 	}
-	for _, age := range p.pacer.keeper.Ages(p.d.Clock.Since()) {
+	for _, age := range p.pacer.keeper.GrantAges(p.d.Clock.Since()) {
 		w.AgesMs = append(w.AgesMs, age.Milliseconds())
 	}
 	p.pacer.kept = len(w.AgesMs)
@@ -133,7 +133,7 @@
 		if p.pacer.keeper == nil || !p.d.Owner.Holds(PaceKey) {
 			return
 		}
-		for who, since := range p.pacer.keeper.Floats(p.d.Clock.Since()) {
+		for who, since := range p.pacer.keeper.Outstanding(p.d.Clock.Since()) {
 			out[who] = int(since.Seconds())
 		}
 	})
@@ -150,7 +150,7 @@
 	if !p.keeperFor(p.d.Group.Context(), epoch, now) {
 		return -1
 	}
-	return p.pacer.keeper.Use(now, p.starts())
+	return p.pacer.keeper.Utilization(now, p.starts())
 }
 
 // keeperFor sees to it that there is a keeper under an epoch.
@@ -166,7 +166,7 @@
 	switch {
 	case epoch == 1:
 		p.pacer.kept = 0
-		p.pacer.keeper = pace.NewKeeper(now, p.d.Store.Window, true)
+		p.pacer.keeper = pace.NewLimiter(now, p.d.Store.Window, true)
 	case found && wire.Unpack(rec.Value, &before) == nil:
 		ages := make([]time.Duration, len(before.AgesMs))
 		for i, ms := range before.AgesMs {
@@ -175,7 +175,7 @@
 		p.pacer.kept = len(ages)
 		p.pacer.keeper = pace.Resume(now, p.d.Store.Window, ages)
 	default:
-		p.pacer.keeper = pace.NewKeeper(now, p.d.Store.Window, false)
+		p.pacer.keeper = pace.NewLimiter(now, p.d.Store.Window, false)
 	}
 	p.pacer.epoch = epoch
 	// Why: from here on there is a word to go by, also if nothing is ever granted.
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -48,10 +48,10 @@
 	Conf    func() conf.Effective
 	Views   func() order.Statuses
 	// Ask reaches the controller of a replica, on whichever core it is.
-	Ask func(ctx context.Context, controller string, q order.Consider) (order.Considered, error)
+	Ask func(ctx context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error)
 	// AskAll asks the controller of several replicas at once, dry; order.Unheard stands for an answer that did not
 	// come. Nil asks one by one.
-	AskAll func(ctx context.Context, controller string, q order.ConsiderAll) []order.Considered
+	AskAll func(ctx context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse
 	// Tell shares predictions with the other cores.
 	Tell func(ctx context.Context, s Shared)
 	// Busy says that this core has no processor time to spare; nil is never.
--- a/internal/place/plan/plan_test.go
+++ b/internal/place/plan/plan_test.go
@@ -27,8 +27,8 @@
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(context.Context, string, order.Consider) (order.Considered, error) {
-			return order.Considered{}, errors.New("no answer")
+		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
+			return order.ConsiderResponse{}, errors.New("no answer")
 		}}, items: map[conf.Item]*item{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	p.decide(t.Context(), conf.Effective{}, Decision{Item: "m", Alone: true, Candidates: []judge.Ranked{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}}, order.Statuses{})
@@ -38,7 +38,7 @@
 		t.Fatalf("%+v", got)
 	}
 	for _, x := range got[0].Tried {
-		if !x.Answer.Silent {
+		if !x.Answer.Unanswered {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -49,7 +49,7 @@
 func TestAPlannerThatHasHeardOfNoReplicaRefusesNothing(t *testing.T) {
 	for name, views := range map[string][]order.Status{
 		"no word of any":       nil,
-		"none that answers":    {{Listed: inventory.Listed{ID: "a", Model: true}, Dark: true}},
+		"none that answers":    {{Listed: inventory.Listed{ID: "a", Model: true}, Stale: true}},
 		"only other services'": {{Listed: inventory.Listed{ID: "b"}}},
 	} {
 		g := run.NewGroup(context.Background())
--- a/internal/place/plan/schedule.go
+++ b/internal/place/plan/schedule.go
@@ -150,12 +150,12 @@
 
 // choose gives the place of the best answer that agrees, and counts its replica as asked until it is settled; -1 when
 // none agrees. Why: decisions that are made side by side see the same free replicas, and must not all choose one.
-func (a *askedReplicas) choose(names []string, answers []order.Considered) int {
+func (a *askedReplicas) choose(names []string, answers []order.ConsiderResponse) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	best := -1
 	for i, answer := range answers {
-		if answer.Taken && (best < 0 || better(answer, a.of[names[i]], answers[best], a.of[names[best]])) {
+		if answer.Accepted && (best < 0 || better(answer, a.of[names[i]], answers[best], a.of[names[best]])) {
 			best = i
 		}
 	}
--- a/internal/place/plan/schedule_test.go
+++ b/internal/place/plan/schedule_test.go
@@ -44,7 +44,7 @@
 	replicas map[string]int
 }
 
-func (l *takenLoads) add(q order.Consider) {
+func (l *takenLoads) add(q order.ConsiderRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.items[q.Item] = true
@@ -78,12 +78,12 @@
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: cadence, Owner: own,
 			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return views },
 			Tell: func(context.Context, Shared) {},
-			Ask: func(ctx context.Context, _ string, q order.Consider) (order.Considered, error) {
+			Ask: func(ctx context.Context, _ string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 				run.Wait(ctx, slow(q.Item))
-				if !q.Dry {
+				if !q.DryRun {
 					loads.add(q)
 				}
-				return order.Considered{Taken: true, Starts: 1, ReadyMs: 1000}, nil
+				return order.ConsiderResponse{Accepted: true, Starts: 1, ReadyMs: 1000}, nil
 			}})
 		for slot, epoch := range own.Held() {
 			p.OnTake(slot, epoch, nil)
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -86,9 +86,9 @@
 		return size(q)
 	})
 	fit("book of a replica", "item held", []int{2, 10, 20, 40}, func(x int) float64 {
-		b := order.Book{Incarnation: ReplicaID(1), Lines: map[string]order.Line{}}
+		b := order.Contents{Incarnation: ReplicaID(1), Entries: map[string]order.Entry{}}
 		for k := range replicaStatus(1, x).Items {
-			b.Lines[k] = order.Line{State: "loaded", SizeMib: 140000}
+			b.Entries[k] = order.Entry{State: "loaded", SizeMib: 140000}
 		}
 		return size(b)
 	})
