--- a/internal/place/order/execute.go
+++ b/internal/place/order/execute.go
@@ -14,7 +14,7 @@
 // sendOrder sends one order if the lease allows it at this moment.
 func (c *Controller) sendOrder(verb string, item conf.Item, size int, timeout time.Duration) error {
 	c.orderCount++
-	ended := c.d.Owner.Ordering(Key(c.listed.ID))
+	ended := c.d.Owner.BeginOrder(Key(c.listed.ID))
 	defer ended()
 	epoch, left, ok := c.d.Owner.MayOrder(Key(c.listed.ID))
 	// An order must time out before the lease expires.
--- a/internal/state/acceptor/acceptor_test.go
+++ b/internal/state/acceptor/acceptor_test.go
@@ -17,37 +17,37 @@
 	"drumstall.example/internal/state"
 )
 
-var voters = state.CoreMembers{Version: 1, Cores: []state.Core{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
+var voters = state.CoreSet{Version: 1, Cores: []state.Core{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
 
 func open(t *testing.T, g *run.Group, fs vfs.FS) *Acceptor {
 	t.Helper()
-	a, err := Open(g, "d", Whose{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 100).Logger())
+	a, err := Open(g, "d", FolderOwner{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 100).Logger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := a.SetStanding(t.Context(), func(Standing) (Standing, bool) { return Standing{Phase: Voter, Set: voters}, true }); err != nil {
+	if _, err := a.UpdateMembership(t.Context(), func(Membership) (Membership, bool) { return Membership{Phase: Voter, Set: voters}, true }); err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-func ask(from string, epoch, at uint64, full bool, recs ...state.Record) state.Ask {
-	return state.Ask{Set: 1, From: state.Core{Name: from}, Epoch: epoch, At: at, Full: full, Records: recs}
+func request(from string, epoch, at uint64, full bool, recs ...state.Record) state.Request {
+	return state.Request{SetVersion: 1, From: state.Core{Name: from}, Epoch: epoch, Version: at, Full: full, Records: recs}
 }
 
-func rec(key, value string, epoch, version uint64) state.Record {
+func record(key, value string, epoch, version uint64) state.Record {
 	return state.Record{Key: key, Value: []byte(value), Stamp: state.Stamp{Epoch: epoch, Version: version}}
 }
 
-func yes(t *testing.T, r state.Reply, err error) state.Reply {
+func mustAccept(t *testing.T, r state.Reply, err error) state.Reply {
 	t.Helper()
 	if err != nil || !r.OK {
-		t.Fatalf("refused: %v %v", r.Why, err)
+		t.Fatalf("refused: %v %v", r.Reason, err)
 	}
 	return r
 }
 
-func bubble(t *testing.T, f func(t *testing.T, as []*Acceptor)) {
+func withAcceptors(t *testing.T, f func(t *testing.T, as []*Acceptor)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		var as []*Acceptor
@@ -62,173 +62,173 @@
 	})
 }
 
-// What reached a minority is carried forward or never seen again, also when it
-// is a key that nobody else ever had.
-func TestAMinoritysValueDoesNotComeBack(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+// A write that reached only a minority is either carried over by the next owner or never
+// returned again, also for a key that no other voter has stored.
+func TestMinorityWriteDoesNotReappear(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx := t.Context()
-		all := func(f func(a *Acceptor) (state.Reply, error), who ...int) (out []state.Reply) {
-			for _, i := range who {
+		all := func(f func(a *Acceptor) (state.Reply, error), members ...int) (out []state.Reply) {
+			for _, i := range members {
 				r, err := f(as[i])
-				out = append(out, yes(t, r, err))
+				out = append(out, mustAccept(t, r, err))
 			}
 			return out
 		}
-		take := func(from string, epoch uint64, who ...int) []state.Record {
-			time.Sleep(state.HoldFor)
-			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, ask(from, epoch, 0, false)) }, who...))
+		acquire := func(from string, epoch uint64, members ...int) []state.Record {
+			time.Sleep(state.LeaseDuration)
+			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, request(from, epoch, 0, false)) }, members...))
 			for i := range recs {
 				recs[i].Stamp.Epoch = epoch
 			}
 			all(func(a *Acceptor) (state.Reply, error) {
-				return a.Accept(ctx, ask(from, epoch, pr.Version+1, true, recs...))
-			}, who...)
+				return a.Accept(ctx, request(from, epoch, pr.Version+1, true, recs...))
+			}, members...)
 			return recs
 		}
-		take("a", 1, 0, 1, 2)
+		acquire("a", 1, 0, 1, 2)
 		all(func(a *Acceptor) (state.Reply, error) {
-			return a.Accept(ctx, ask("a", 1, 2, false, rec("x", "old", 1, 2)))
+			return a.Accept(ctx, request("a", 1, 2, false, record("x", "old", 1, 2)))
 		}, 0, 1, 2)
 		all(func(a *Acceptor) (state.Reply, error) {
-			return a.Accept(ctx, ask("a", 1, 4, false, rec("x", "new", 1, 3), rec("y", "new", 1, 4)))
+			return a.Accept(ctx, request("a", 1, 4, false, record("x", "new", 1, 3), record("y", "new", 1, 4)))
 		}, 0)
-		take("b", 2, 1, 2) // its owner has served x=old from here on
-		for _, r := range take("c", 3, 0, 1) {
+		acquire("b", 2, 1, 2) // this owner serves x=old from here on
+		for _, r := range acquire("c", 3, 0, 1) {
 			if r.Key == "y" || string(r.Value) != "old" {
-				t.Errorf("came back: %s=%s", r.Key, r.Value)
+				t.Errorf("a later owner found the minority write %s=%s", r.Key, r.Value)
 			}
 		}
 	})
 }
 
-// A single write overtakes the whole table that its holder sent before it.
-func TestAWholeTableThatWasOvertakenTakesNoLaterWriteAway(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+// A single write arrives before the full table that its holder sent earlier. The table must not remove the write.
+func TestDelayedFullTableKeepsLaterWrites(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 4, false, rec("x", "later", 1, 3), rec("y", "later", 1, 4)))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 2, true, rec("x", "before", 1, 1), rec("z", "before", 1, 2)))
-		yes(t, r, err)
+		time.Sleep(state.LeaseDuration)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 4, false, record("x", "later", 1, 3), record("y", "later", 1, 4)))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 2, true, record("x", "before", 1, 1), record("z", "before", 1, 2)))
+		mustAccept(t, r, err)
 		got, err := a.records(0)
 		values := map[string]string{}
 		for _, rec := range got {
 			values[rec.Key] = string(rec.Value)
 		}
 		if want := map[string]string{"x": "later", "y": "later", "z": "before"}; err != nil || !maps.Equal(values, want) {
-			t.Errorf("%v, %v", values, err)
+			t.Errorf("stored values: %v, error: %v", values, err)
 		}
-		if r := yes(t, must(a.Digest(ctx, ask("a", 1, 0, false))), nil); r.Full != 1 {
-			t.Errorf("the whole table counts as under epoch %d", r.Full)
+		if r := mustAccept(t, ignoreError(a.Digest(ctx, request("a", 1, 0, false))), nil); r.FullEpoch != 1 {
+			t.Errorf("the full table has epoch %d, want 1", r.FullEpoch)
 		}
 	})
 }
 
-func must(r state.Reply, _ error) state.Reply { return r }
+func ignoreError(r state.Reply, _ error) state.Reply { return r }
 
-func TestAnOlderWholeTableTakesNothingAway(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestOutdatedFullTableRemovesNothing(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 1, true))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 2, false, rec("x", "v", 1, 2)))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 1, true))
-		yes(t, r, err)
-		if d, _ := a.Dump(ctx, ask("a", 1, 0, false)); len(d.Records) != 1 {
-			t.Error("a late repair took a newer record away")
+		time.Sleep(state.LeaseDuration)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 1, true))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 2, false, record("x", "v", 1, 2)))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 1, true))
+		mustAccept(t, r, err)
+		if d, _ := a.Dump(ctx, request("a", 1, 0, false)); len(d.Records) != 1 {
+			t.Error("a delayed repair removed a newer record")
 		}
 	})
 }
 
-func TestAHoldIsWaitedOutAlsoAfterARestart(t *testing.T) {
+func TestLeaseIsHonouredAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		fs := vfs.NewMem()
 		g := run.NewGroup(ctx)
 		a := open(t, g, fs)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Prepare(ctx, ask("b", 2, 0, false)); r.OK || r.Why != state.WhyHeld {
-			t.Errorf("promised under a live lease: %+v", r)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Prepare(ctx, request("b", 2, 0, false)); r.OK || r.Reason != state.ReasonHeld {
+			t.Errorf("promised while another core held a lease: %+v", r)
 		}
 		g.Stop()
 		_ = a.Close()
-		time.Sleep(state.HoldFor - time.Second)
+		time.Sleep(state.LeaseDuration - time.Second)
 		g = run.NewGroup(ctx)
 		a = open(t, g, fs)
 		time.Sleep(2 * time.Second)
-		if r, _ := a.Prepare(ctx, ask("b", 2, 0, false)); r.OK {
-			t.Error("a restarted grantor did not wait a whole lease")
+		if r, _ := a.Prepare(ctx, request("b", 2, 0, false)); r.OK {
+			t.Error("a restarted voter did not wait for a full lease duration")
 		}
 		time.Sleep(time.Second)
-		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Accept(ctx, ask("a", 1, 9, false, rec("x", "late", 1, 9))); r.OK {
-			t.Error("a write of the old owner was taken")
+		r, err = a.Prepare(ctx, request("b", 2, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Accept(ctx, request("a", 1, 9, false, record("x", "late", 1, 9))); r.OK {
+			t.Error("a write of the previous owner was accepted")
 		}
-		if r, _ := a.Prepare(ctx, state.Ask{Set: 0, From: state.Core{Name: "c"}, Epoch: 9}); r.OK || r.Why != state.WhySet {
-			t.Errorf("an older core set was heeded: %+v", r)
+		if r, _ := a.Prepare(ctx, state.Request{SetVersion: 0, From: state.Core{Name: "c"}, Epoch: 9}); r.OK || r.Reason != state.ReasonOlderCoreSet {
+			t.Errorf("a request with an older core set version was not refused: %+v", r)
 		}
 		g.Stop()
 		_ = a.Close()
 	})
 }
 
-// Messages overtake each other: what belongs to a bid that was let go of keeps
-// nobody out, whenever it is read.
-func TestWhatWasLetGoOfStaysSo(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+// Messages may be reordered: a message of a released claim, whenever it is processed, must not
+// block other cores.
+func TestReleasedLeaseStaysReleased(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Release(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		if got, err := a.Renew(ctx, state.Renewal{Set: 1, From: state.Core{Name: "a"}, Epochs: map[int]uint64{0: 1}}); err != nil || len(got.Slots) > 0 {
-			t.Errorf("a renewal read after its release was granted: %+v %v", got, err)
+		time.Sleep(state.LeaseDuration)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Release(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		if got, err := a.Renew(ctx, state.RenewRequest{SetVersion: 1, From: state.Core{Name: "a"}, Epochs: map[int]uint64{0: 1}}); err != nil || len(got.Granted) > 0 {
+			t.Errorf("a renewal processed after its release was granted: %+v %v", got, err)
 		}
-		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
-		yes(t, r, err)
-		// A bid whose end is read before its beginning.
-		time.Sleep(state.HoldFor)
-		r, err = a.Release(ctx, ask("c", 3, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Prepare(ctx, ask("c", 3, 0, false)); r.OK {
-			t.Error("a bid read after its own end was granted")
+		r, err = a.Prepare(ctx, request("b", 2, 0, false))
+		mustAccept(t, r, err)
+		// The release of a claim is processed before its prepare.
+		time.Sleep(state.LeaseDuration)
+		r, err = a.Release(ctx, request("c", 3, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Prepare(ctx, request("c", 3, 0, false)); r.OK {
+			t.Error("a prepare processed after its own release was granted")
 		}
-		r, err = a.Prepare(ctx, ask("b", 3, 0, false))
-		yes(t, r, err)
-		// Who let go may come again.
-		r, err = a.Release(ctx, ask("b", 3, 0, false))
-		yes(t, r, err)
-		r, err = a.Prepare(ctx, ask("b", 4, 0, false))
-		yes(t, r, err)
+		r, err = a.Prepare(ctx, request("b", 3, 0, false))
+		mustAccept(t, r, err)
+		// A core that released the slot may claim it again under a higher epoch.
+		r, err = a.Release(ctx, request("b", 3, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Prepare(ctx, request("b", 4, 0, false))
+		mustAccept(t, r, err)
 	})
 }
 
-// Random owners come and go over three acceptors, messages get lost; what was
-// acknowledged by a majority is what every later owner finds.
-func TestAcknowledgedIsNeverLost(t *testing.T) {
+// Random owners replace each other over three acceptors and messages are lost. Every later owner
+// must find the value that a majority acknowledged.
+func TestAcknowledgedWritesSurviveOwnerChanges(t *testing.T) {
 	for seed := range uint64(20) {
-		bubble(t, func(t *testing.T, as []*Acceptor) {
+		withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 			ctx := t.Context()
 			rnd := rand.New(rand.NewPCG(seed, 5))
-			acked, maybe := "", map[string]bool{}
-			epoch, n, takes := uint64(0), 0, 0
+			acknowledged, uncertain := "", map[string]bool{}
+			epoch, n, acquired := uint64(0), 0, 0
 			for range 60 {
-				time.Sleep(state.HoldFor)
+				time.Sleep(state.LeaseDuration)
 				epoch++
-				who := fmt.Sprintf("o%d", rnd.IntN(3))
+				holder := fmt.Sprintf("o%d", rnd.IntN(3))
 				var got []state.Reply
 				for _, a := range as {
 					if rnd.IntN(3) > 0 {
-						if r, _ := a.Prepare(ctx, ask(who, epoch, 0, false)); r.OK {
+						if r, _ := a.Prepare(ctx, request(holder, epoch, 0, false)); r.OK {
 							got = append(got, r)
 						}
 					}
@@ -240,7 +240,7 @@
 				for i := range recs {
 					recs[i].Stamp.Epoch = epoch
 				}
-				send := func(q state.Ask) bool {
+				send := func(q state.Request) bool {
 					ok := 0
 					for _, a := range as {
 						if rnd.IntN(4) > 0 {
@@ -251,34 +251,34 @@
 					}
 					return ok >= 2
 				}
-				if !send(ask(who, epoch, pr.Version+1, true, recs...)) {
+				if !send(request(holder, epoch, pr.Version+1, true, recs...)) {
 					continue
 				}
-				takes++
+				acquired++
 				found := ""
 				for _, r := range recs {
 					found = string(r.Value)
 				}
-				if found != acked && !maybe[found] {
-					t.Fatalf("seed %d: owner %d finds %q, acknowledged was %q", seed, epoch, found, acked)
+				if found != acknowledged && !uncertain[found] {
+					t.Fatalf("seed %d: owner of epoch %d found %q, acknowledged was %q", seed, epoch, found, acknowledged)
 				}
-				// What this owner serves is settled: nothing from before it may come up again.
-				acked, maybe = found, map[string]bool{}
+				// The value that this owner serves is final: no earlier value may appear again.
+				acknowledged, uncertain = found, map[string]bool{}
 				version := pr.Version + 1
 				for range 1 + rnd.IntN(3) {
 					n++
 					version++
 					v := fmt.Sprint(n)
-					if send(ask(who, epoch, version, false, rec("k", v, epoch, version))) {
-						acked, maybe = v, map[string]bool{}
+					if send(request(holder, epoch, version, false, record("k", v, epoch, version))) {
+						acknowledged, uncertain = v, map[string]bool{}
 					} else {
-						maybe[v] = true
+						uncertain[v] = true
 						break
 					}
 				}
 			}
-			if takes < 10 {
-				t.Fatalf("seed %d: only %d owners", seed, takes)
+			if acquired < 10 {
+				t.Fatalf("seed %d: only %d owners acquired the slot, want at least 10", seed, acquired)
 			}
 		})
 	}
--- a/internal/state/acceptor/records.go
+++ b/internal/state/acceptor/records.go
@@ -13,78 +13,78 @@
 	"drumstall.example/internal/state"
 )
 
-// Accept keeps records from the holder of the highest epoch.
-func (a *Acceptor) Accept(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
-		if q.Epoch < t.pr.Epoch || q.Epoch == t.pr.Epoch && !t.pr.Holder.Is(q.From) {
-			r.Why = state.WhyLower
+// Accept stores records sent by the holder of the highest epoch.
+func (a *Acceptor) Accept(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
+		if q.Epoch < t.promise.Epoch || q.Epoch == t.promise.Epoch && !t.promise.Holder.SameVoter(q.From) {
+			r.Reason = state.ReasonLowerEpoch
 			return
 		}
-		// Why: a whole table that is older than what came since must not take that away.
-		if q.Full && q.Epoch == t.pr.Full && q.At < t.pr.Version {
+		// A full table older than writes stored since must not remove them.
+		if q.Full && q.Epoch == t.promise.FullEpoch && q.Version < t.promise.Version {
 			r.OK = true
 			return
 		}
-		next := t.pr
+		next := t.promise
 		if q.Epoch > next.Epoch {
 			next.Epoch, next.Holder, next.Version = q.Epoch, q.From, 0
 		}
-		next.Version = max(next.Version, q.At)
+		next.Version = max(next.Version, q.Version)
 		if q.Full {
-			next.Full, next.FullBy = q.Epoch, q.From
+			next.FullEpoch, next.FullWriter = q.Epoch, q.From
 		}
 		err := a.commit(func(b *pebble.Batch) error {
-			if err := a.write(b, q, t.pr); err != nil {
+			if err := a.writeAccepted(b, q, t.promise); err != nil {
 				return err
 			}
 			return b.Set(keyPromise(q.Slot), wire.Pack(next), nil)
 		})
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		t.keep(next)
+		t.setPromise(next)
 		r.OK = true
 	})
 }
 
-// write writes what the holder of a slot sends: single records, or the whole table.
-func (a *Acceptor) write(b *pebble.Batch, q state.Ask, here promise) error {
+// writeAccepted adds the records or the full table of an accept request to a batch.
+func (a *Acceptor) writeAccepted(b *pebble.Batch, q state.Request, stored promise) error {
 	switch {
 	case !q.Full:
-		return a.addRecords(b, q.Slot, q.Records)
-	case q.Epoch != here.Epoch || q.At >= here.Version:
+		return a.writeNewer(b, q.Slot, q.Records)
+	case q.Epoch != stored.Epoch || q.Version >= stored.Version:
 		return replaceRecords(b, q.Slot, q.Records)
 	}
-	later, err := a.writtenAfter(q)
+	later, err := a.recordsAfter(q)
 	if err != nil {
 		return err
 	}
 	return replaceRecords(b, q.Slot, append(slices.Clip(q.Records), later...))
 }
 
-// writtenAfter is the records here that the holder wrote after the whole table that it sends. Why: messages
-// overtake each other, and what was confirmed here may be on just a majority of disks.
-func (a *Acceptor) writtenAfter(table state.Ask) ([]state.Record, error) {
-	here, err := a.records(table.Slot)
+// recordsAfter returns the stored records that the holder wrote after the full table that it now sends. Messages
+// may be reordered, and a write confirmed here may be stored by a bare majority, so it must not be dropped.
+func (a *Acceptor) recordsAfter(full state.Request) ([]state.Record, error) {
+	stored, err := a.records(full.Slot)
 	if err != nil {
 		return nil, err
 	}
-	sent := make(map[string]state.Stamp, len(table.Records))
-	for _, rec := range table.Records {
+	sent := make(map[string]state.Stamp, len(full.Records))
+	for _, rec := range full.Records {
 		sent[rec.Key] = rec.Stamp
 	}
 	var later []state.Record
-	for _, rec := range here {
-		if rec.Stamp.Epoch == table.Epoch && rec.Stamp.Version > table.At && rec.Stamp.Newer(sent[rec.Key]) {
+	for _, rec := range stored {
+		if rec.Stamp.Epoch == full.Epoch && rec.Stamp.Version > full.Version && rec.Stamp.Newer(sent[rec.Key]) {
 			later = append(later, rec)
 		}
 	}
 	return later, nil
 }
 
-// addRecords writes those records that are newer than what is there.
-func (a *Acceptor) addRecords(b *pebble.Batch, slot int, recs []state.Record) error {
+// writeNewer writes the records that are newer than the stored ones.
+func (a *Acceptor) writeNewer(b *pebble.Batch, slot int, recs []state.Record) error {
 	for _, rec := range recs {
 		k := keyRecord(slot, rec.Key)
 		var old state.Record
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// replaceRecords writes a whole table in place of what is there.
+// replaceRecords replaces all records of a slot.
 func replaceRecords(b *pebble.Batch, slot int, recs []state.Record) error {
-	o := bounds(slot)
+	o := recordBounds(slot)
 	if err := b.DeleteRange(o.LowerBound, o.UpperBound, nil); err != nil {
 		return err
 	}
@@ -116,32 +116,32 @@
 	return nil
 }
 
-// Digest sums up the records of a slot.
-func (a *Acceptor) Digest(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
+// Digest returns a digest of the records of a slot.
+func (a *Acceptor) Digest(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		recs, err := a.records(q.Slot)
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		r.OK, r.Sum, r.Full = true, Sum(recs), t.pr.Full
+		r.OK, r.Digest, r.FullEpoch = true, Sum(recs), t.promise.FullEpoch
 	})
 }
 
-// Dump gives a whole slot to a core that is being filled.
-func (a *Acceptor) Dump(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
+// Dump returns all records of a slot to a core that is being filled.
+func (a *Acceptor) Dump(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		recs, err := a.records(q.Slot)
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		r.OK, r.Records, r.Full, r.Version, r.FullBy = true, recs, t.pr.Full, t.pr.Version, t.pr.FullBy
+		r.OK, r.Records, r.FullEpoch, r.Version, r.FullWriter = true, recs, t.promise.FullEpoch, t.promise.Version, t.promise.FullWriter
 	})
 }
 
-// Fill takes a slot as read from a majority, before this core votes; state.ErrSick
-// says that the disk did not keep it.
+// Fill stores a slot as read from a majority, before this core votes. It returns
+// state.ErrDiskFailed if the records may not have been stored.
 func (a *Acceptor) Fill(ctx context.Context, slot int, replies []state.Reply) error {
 	t := a.slots[slot]
 	return inActor(ctx, t.actor, func() error {
@@ -155,16 +155,16 @@
 		if err != nil {
 			return err
 		}
-		t.keep(pr)
-		t.anew = true
-		t.grant(a.clock.Since() + state.HoldFor)
+		t.setPromise(pr)
+		t.noGrantYet = true
+		t.setLeaseEnd(a.clock.Since() + state.LeaseDuration)
 		return nil
 	})
 }
 
-// records reads all records of a slot from the disk.
+// records reads all records of a slot from disk.
 func (a *Acceptor) records(slot int) ([]state.Record, error) {
-	it, err := a.db.NewIter(bounds(slot))
+	it, err := a.db.NewIter(recordBounds(slot))
 	if err != nil {
 		return nil, err
 	}
@@ -180,8 +180,8 @@
 	return out, it.Close()
 }
 
-// Merge is what a majority's answers say of a slot. Records under an epoch
-// older than the newest whole table are leftovers of writes nobody was told of.
+// Merge combines the replies of a majority into the state of a slot. Records with an
+// epoch older than the newest full table belong to writes that were never acknowledged, and are dropped.
 func Merge(replies []state.Reply) ([]state.Record, promise) {
 	var pr promise
 	newest := map[string]state.Record{}
@@ -189,14 +189,14 @@
 		if r.Epoch > pr.Epoch {
 			pr.Epoch, pr.Holder = r.Epoch, r.Holder
 		}
-		if r.Full > pr.Full {
-			pr.Full, pr.FullBy = r.Full, r.FullBy
+		if r.FullEpoch > pr.FullEpoch {
+			pr.FullEpoch, pr.FullWriter = r.FullEpoch, r.FullWriter
 		}
 		pr.Version = max(pr.Version, r.Version)
 	}
 	for _, r := range replies {
 		for _, rec := range r.Records {
-			if old, found := newest[rec.Key]; rec.Stamp.Epoch >= pr.Full && (!found || rec.Stamp.Newer(old.Stamp)) {
+			if old, found := newest[rec.Key]; rec.Stamp.Epoch >= pr.FullEpoch && (!found || rec.Stamp.Newer(old.Stamp)) {
 				newest[rec.Key] = rec
 			}
 		}
@@ -209,13 +209,13 @@
 	return out, pr
 }
 
-// Sum is a digest over records in any order.
+// Sum computes a digest of records that does not depend on their order.
 func Sum(recs []state.Record) []byte {
 	var total [sha256.Size]byte
 	for _, r := range recs {
-		one := sha256.Sum256(wire.Pack(r))
+		sum := sha256.Sum256(wire.Pack(r))
 		for i := range total {
-			total[i] ^= one[i]
+			total[i] ^= sum[i]
 		}
 	}
 	return bytes.Clone(total[:])
--- a/internal/state/coremembers/admission.go
+++ b/internal/state/coremembers/admission.go
@@ -8,23 +8,23 @@
 	"drumstall.example/internal/state"
 )
 
-// askToJoin asks any core of a formed fleet for a place.
-func (k *Keeper) askToJoin(ctx context.Context, c state.Core) {
+// requestJoin asks a core of the existing set for membership.
+func (k *Manager) requestJoin(ctx context.Context, c state.Core) {
 	if _, ok := k.d.Addr(c); !ok {
 		return
 	}
-	q := Joining{Core: k.d.Self(), Replaces: k.d.Replaces}
-	if _, err := call[Joining, None](ctx, k, c, "/state/join", q); err != nil {
-		k.d.Log.Info("asked to join", "at", c.Name, "error", err)
+	q := JoinRequest{Core: k.d.Self(), Replaces: k.d.Replaces}
+	if _, err := call[JoinRequest, None](ctx, k, c, "/state/join", q); err != nil {
+		k.d.Log.Info("join request failed", "at", c.Name, "error", err)
 	}
 }
 
-// join is answered by the owner of the core membership; others pass it on.
-func (k *Keeper) join(ctx context.Context, q Joining) (None, error) {
+// join handles a join request if this core holds the slot of the core set, and forwards it otherwise.
+func (k *Manager) join(ctx context.Context, q JoinRequest) (None, error) {
 	if !k.d.Owner.Holds(Key) {
-		return k.passOn(ctx, q)
+		return k.forwardJoin(ctx, q)
 	}
-	err := k.decide(ctx, func(set state.CoreMembers) (state.CoreMembers, error) {
+	err := k.decide(ctx, func(set state.CoreSet) (state.CoreSet, error) {
 		if set.Has(q.Core) {
 			return set, nil
 		}
@@ -40,28 +40,28 @@
 	return None{}, nil
 }
 
-// passOn hands a joining to whoever holds the core membership; the refusal "not-owner"
-// says that nobody does.
-func (k *Keeper) passOn(ctx context.Context, q Joining) (None, error) {
+// forwardJoin forwards a join request to the core that holds the slot of the core set. It refuses
+// with the code "not-owner" if no core does.
+func (k *Manager) forwardJoin(ctx context.Context, q JoinRequest) (None, error) {
 	for c := range k.d.Live() {
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			continue
 		}
 		held, err := call[None, map[int]uint64](ctx, k, c, "/state/held", None{})
 		if _, holds := held[state.SlotOf(Key)]; err == nil && holds {
-			return call[Joining, None](ctx, k, c, "/state/join", q)
+			return call[JoinRequest, None](ctx, k, c, "/state/join", q)
 		}
 	}
-	return None{}, wire.Refuse("not-owner", "nobody holds the core set")
+	return None{}, wire.Refuse("not-owner", "no core holds the core set")
 }
 
-// replace gives a core the place of the member that it names, or of its own past.
-func (k *Keeper) replace(set state.CoreMembers, q Joining) (state.CoreMembers, error) {
+// replace substitutes a core for the member that it names, or for the member with its own name.
+func (k *Manager) replace(set state.CoreSet, q JoinRequest) (state.CoreSet, error) {
 	name := q.Replaces
 	if name == "" {
 		name = q.Core.Name
 	}
-	next := state.CoreMembers{Version: set.Version + 1}
+	next := state.CoreSet{Version: set.Version + 1}
 	replaced := false
 	for _, c := range set.Cores {
 		if c.Name != name {
@@ -69,12 +69,12 @@
 			continue
 		}
 		if _, alive := k.d.Live()[c]; alive {
-			return next, wire.Refuse("alive", "member "+name+" is alive; it is not replaced")
+			return next, wire.Refuse("alive", "member "+name+" is alive and cannot be replaced")
 		}
 		next.Cores = append(next.Cores, q.Core)
 		replaced = true
 	}
-	// Why: after a rescue the set is smaller than it should be, and takes in whoever comes.
+	// After a rescue the set is smaller than configured, and admits any core.
 	if !replaced && k.d.Replaces == "" && len(set.Cores) < k.d.Want {
 		next.Cores = append(next.Cores, q.Core)
 		replaced = true
@@ -85,21 +85,21 @@
 	return next, nil
 }
 
-// admit takes a core in: in the place of its own past, of a voter that is gone,
-// or beside the others.
-func (k *Keeper) admit(set state.CoreMembers, joiner state.Core) (state.CoreMembers, error) {
-	out, found := k.lost(set)
+// admit adds a core to the set: in place of the member with its own name, in place of a lost voter,
+// or as an additional member.
+func (k *Manager) admit(set state.CoreSet, joiner state.Core) (state.CoreSet, error) {
+	removed, found := k.lost(set)
 	for _, c := range set.Cores {
 		if c.Name == joiner.Name {
-			out, found = c, true
+			removed, found = c, true
 		}
 	}
-	if !found && k.doubts(set) {
-		return set, wire.Refuse("doubt", "a member may be gone; its place is given when that is sure")
+	if !found && k.suspectsVoter(set) {
+		return set, wire.Refuse("doubt", "a member may be lost; it is replaced once that is certain")
 	}
-	next := state.CoreMembers{Version: set.Version + 1}
+	next := state.CoreSet{Version: set.Version + 1}
 	for _, c := range set.Cores {
-		if !found || !c.Is(out) {
+		if !found || !c.SameVoter(removed) {
 			next.Cores = append(next.Cores, c)
 		}
 	}
@@ -107,15 +107,15 @@
 	return next, nil
 }
 
-// doubts says that a voter is silent and may be gone. Why: a set that grew beside
-// one that is gone would need more of the others for a majority, until it is let go of.
-func (k *Keeper) doubts(set state.CoreMembers) bool {
+// suspectsVoter reports whether a voter has been silent and may be lost. A set that grows while
+// one member is lost needs more of the others for a majority, until the lost one is removed.
+func (k *Manager) suspectsVoter(set state.CoreSet) bool {
 	for _, c := range set.Cores {
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			continue
 		}
-		// Why: one that was never heard has only just come.
-		if heard := k.d.Heard(c); heard > doubtAfter && heard < time.Hour {
+		// A voter without any contact so far has only just joined.
+		if heard := k.d.SinceContact(c); heard > suspectAfter && heard < time.Hour {
 			return true
 		}
 	}
--- a/internal/state/coremembers/catchup.go
+++ b/internal/state/coremembers/catchup.go
@@ -9,21 +9,21 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// catchUp asks another core for its set now and then. Why: one that was away
-// while the set went on without it is told by nobody.
-func (k *Keeper) catchUp(ctx context.Context, st acceptor.Standing) {
-	if k.ticks%lookTicks != 0 {
+// pollForNewerSet periodically asks another core for its set. A core that was removed from the
+// set during an absence receives no updates.
+func (k *Manager) pollForNewerSet(ctx context.Context, st acceptor.Membership) {
+	if k.ticks%setPollTicks != 0 {
 		return
 	}
 	for c := range k.d.Live() {
-		if _, ok := k.d.Addr(c); !ok || c.Is(k.d.Self()) {
+		if _, ok := k.d.Addr(c); !ok || c.SameVoter(k.d.Self()) {
 			continue
 		}
 		a, err := k.askSet(ctx, c)
 		if err != nil || a.Phase != acceptor.Voter || !a.Set.Has(c) || a.Set.Version <= st.Set.Version {
 			return
 		}
-		// Why: a core that was let go of while it was being filled is no member, and asks for a place again.
+		// A core that was removed while it was being filled is no member, and must ask to join again.
 		if st.Phase == acceptor.Filling && !a.Set.Has(k.d.Self()) {
 			_ = k.d.Acceptor.Reset(ctx)
 			return
@@ -33,30 +33,30 @@
 	}
 }
 
-// lookForUs adopts a formed set that counts us as a member: our formation
-// became firm elsewhere, or our joining was agreed.
-func (k *Keeper) lookForUs(ctx context.Context, c state.Core) bool {
+// adoptIfMember adopts another core's set if this core is a member of it: the formation
+// was committed elsewhere, or the join request was accepted. It reports whether that succeeded.
+func (k *Manager) adoptIfMember(ctx context.Context, c state.Core) bool {
 	a, err := k.askSet(ctx, c)
 	if err != nil || !a.Set.Has(k.d.Self()) {
 		return false
 	}
-	if st := k.d.Acceptor.Standing(); st.Phase == acceptor.Pending && alike(st.Set, a.Set) {
-		_, err = k.form(ctx, Formation{Set: a.Set, Firm: true})
+	if st := k.d.Acceptor.Membership(); st.Phase == acceptor.Pending && sameSet(st.Set, a.Set) {
+		_, err = k.form(ctx, Formation{Set: a.Set, Committed: true})
 	} else {
 		_, err = k.adopt(ctx, a)
 	}
 	return err == nil
 }
 
-// fill reads every slot from a majority of the old set, each of which already
-// refuses the old version, and only then votes.
-func (k *Keeper) fill(ctx context.Context, st acceptor.Standing) {
-	for slot := range state.Slots {
-		replies, current := k.dumps(ctx, st, slot)
+// fill copies every slot from a majority of the old set, whose members already
+// refuse the old version, and makes this core a voter after that.
+func (k *Manager) fill(ctx context.Context, st acceptor.Membership) {
+	for slot := range state.SlotCount {
+		replies, current := k.readSlot(ctx, st, slot)
 		if !current {
 			return
 		}
-		if len(replies) < st.Old.Quorum() {
+		if len(replies) < st.Previous.Quorum() {
 			k.d.Log.Info("filling waits for a majority", "slot", slot, "have", len(replies))
 			return
 		}
@@ -65,32 +65,32 @@
 			return
 		}
 	}
-	_, _ = k.d.Acceptor.SetStanding(ctx, func(now acceptor.Standing) (acceptor.Standing, bool) {
+	_, _ = k.d.Acceptor.UpdateMembership(ctx, func(now acceptor.Membership) (acceptor.Membership, bool) {
 		if now.Phase != acceptor.Filling || now.Set.Version != st.Set.Version {
 			return now, false
 		}
 		now.Phase = acceptor.Voter
 		return now, true
 	})
-	k.d.Log.Info("filled; votes from now on", "set", st.Set.Version)
+	k.d.Log.Info("filled; voting from now on", "set", st.Set.Version)
 }
 
-// dumps reads one slot from the voters of the old set, side by side, until a
-// majority has given it. Why: one of them may be gone without a word, and a call to it takes its whole time.
-// It tells those that do not know the new set yet; current is false where this core's own set is outdated.
-func (k *Keeper) dumps(ctx context.Context, st acceptor.Standing, slot int) (replies []state.Reply, current bool) {
+// readSlot requests one slot from the voters of the old set in parallel, because a call to an unreachable
+// voter takes the whole timeout, and collects the replies until a majority has answered.
+// It sends the new set to voters that do not have it yet; current is false if this core's own set is outdated.
+func (k *Manager) readSlot(ctx context.Context, st acceptor.Membership, slot int) (replies []state.Reply, current bool) {
 	type answer struct {
 		from  state.Core
 		reply state.Reply
 		err   error
 	}
-	q := state.Ask{Set: st.Set.Version, From: k.d.Self(), Slot: slot}
-	voters := st.Old.Cores
+	q := state.Request{SetVersion: st.Set.Version, From: k.d.Self(), Slot: slot}
+	voters := st.Previous.Cores
 	answers := run.Fan(k.d.Group, len(voters), func(ctx context.Context, i int) answer {
-		if voters[i].Is(k.d.Self()) {
+		if voters[i].SameVoter(k.d.Self()) {
 			return answer{err: wire.ErrUnreachable}
 		}
-		r, err := call[state.Ask, state.Reply](ctx, k, voters[i], "/state/dump", q)
+		r, err := call[state.Request, state.Reply](ctx, k, voters[i], "/state/dump", q)
 		return answer{voters[i], r, err}
 	})
 	for range voters {
@@ -99,13 +99,13 @@
 		case a.err != nil:
 		case a.reply.OK:
 			replies = append(replies, a.reply)
-		case a.reply.Why == state.WhyBehind:
-			k.tell(ctx, a.from, Adoption{Set: st.Set, Old: st.Old})
-		case a.reply.Why == state.WhySet:
-			_ = k.lookForUs(ctx, a.from)
+		case a.reply.Reason == state.ReasonBehindCoreSet:
+			k.sendSet(ctx, a.from, SetUpdate{Set: st.Set, Previous: st.Previous})
+		case a.reply.Reason == state.ReasonOlderCoreSet:
+			_ = k.adoptIfMember(ctx, a.from)
 			return nil, false
 		}
-		if len(replies) >= st.Old.Quorum() {
+		if len(replies) >= st.Previous.Quorum() {
 			break
 		}
 	}
