--- a/internal/place/order/consider.go
+++ b/internal/place/order/consider.go
@@ -87,8 +87,8 @@
 	if needMib > 0 {
 		order, idle, used := c.idle(cfg, item, false)
 		out.IdleModels = idle
-		v := penalty.Test(needMib, wanted, cfg.Limits.Csf, alone, order)
-		out.Why, out.Sum = v.Why, v.Sum
+		v := penalty.Evaluate(needMib, wanted, cfg.Limits.Csf, alone, order)
+		out.Why, out.Sum = v.Reason, v.VictimPenalty
 		if !v.Load {
 			out.Soon = soon(needMib, used, order)
 			return out
@@ -113,13 +113,13 @@
 				rest = append(rest, x)
 			}
 		}
-		v := penalty.Test(needPlaces, wanted-out.Sum*cfg.Limits.Csf, cfg.Limits.Csf, alone, rest)
-		out.Why = v.Why
+		v := penalty.Evaluate(needPlaces, wanted-out.Sum*cfg.Limits.Csf, cfg.Limits.Csf, alone, rest)
+		out.Why = v.Reason
 		if !v.Load {
 			out.Soon = soon(needPlaces, used, rest)
 			return out
 		}
-		out.Sum += v.Sum
+		out.Sum += v.VictimPenalty
 		for _, x := range v.Victims {
 			victims = append(victims, conf.ParseItem(x.Item))
 		}
--- a/internal/place/order/messages.go
+++ b/internal/place/order/messages.go
@@ -58,8 +58,8 @@
 	Soon    bool           `cbor:"9,keyasint,omitempty" json:"soon"`    // what stands in the way will pass by itself
 	Starts  int            `cbor:"10,keyasint,omitempty" json:"starts"` // loads it takes, a model's and an adapter's
 	// IdleModels and IdleAdapters are what might have gone.
-	IdleModels   []judge.Idle `cbor:"11,keyasint,omitempty" json:"-"`
-	IdleAdapters []judge.Idle `cbor:"12,keyasint,omitempty" json:"-"`
+	IdleModels   []judge.IdleItem `cbor:"11,keyasint,omitempty" json:"-"`
+	IdleAdapters []judge.IdleItem `cbor:"12,keyasint,omitempty" json:"-"`
 }
 
 // Leave is what a controller asks the store's keeper for: that a load may start.
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -15,10 +15,10 @@
 
 // idle ranks the items that may go: loaded, nobody using or waiting for them,
 // not pinned by a claim; and sums up those that may but for being used.
-func (c *Controller) idle(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.Idle, used int) {
+func (c *Controller) idle(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.IdleItem, used int) {
 	now := c.d.Clock.Since()
 	others := c.d.Others()
-	facts := map[string]judge.Idle{}
+	facts := map[string]judge.IdleItem{}
 	for item, l := range c.book {
 		if (item.Adapter != "") != adapters || l.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
 			continue
@@ -56,7 +56,7 @@
 			used += size
 			continue
 		}
-		f := judge.Idle{Name: item.String(), SizeMib: size, Penalty: pen, IdleFor: now - l.lastUsed, Copies: copies(others, c.listed.ID, item), Adapters: kids}
+		f := judge.IdleItem{Name: item.String(), SizeMib: size, Penalty: pen, IdleFor: now - l.lastUsed, Copies: copies(others, c.listed.ID, item), Adapters: kids}
 		list = append(list, f)
 		facts[f.Name] = f
 	}
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -170,13 +170,13 @@
 func (d Decision) explained() Decision {
 	d.Candidates = slices.Clone(d.Candidates)
 	for i, c := range d.Candidates {
-		d.Candidates[i] = c.Explained(d.weights)
+		d.Candidates[i] = c.WithBreakdown(d.weights)
 	}
 	d.Tried = slices.Clone(d.Tried)
 	for i := range d.Tried {
 		a := &d.Tried[i].Answer
 		if len(a.IdleModels)+len(a.IdleAdapters) > 0 {
-			a.Idle = append(judge.Victims(d.weights, a.IdleModels), judge.Victims(d.weights, a.IdleAdapters)...)
+			a.Idle = append(judge.RankVictimsWithBreakdown(d.weights, a.IdleModels), judge.RankVictimsWithBreakdown(d.weights, a.IdleAdapters)...)
 		}
 	}
 	return d
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -22,16 +22,16 @@
 	dirty  map[int64]bool
 }
 
-func (p *Planner) rule() demand.Rule {
+func (p *Planner) rule() demand.Params {
 	l := p.d.Conf().Limits
-	return demand.Rule{Day: int64(l.Epoch), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
+	return demand.Params{UnitsPerDay: int64(l.Epoch), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
 }
 
 // clock counts units of the length now in force.
-func (p *Planner) clock(cfg conf.Effective) *demand.Minutes {
+func (p *Planner) clock(cfg conf.Effective) *demand.MinuteClock {
 	if p.minutes == nil || p.unit != cfg.Limits.Unit {
 		p.unit = cfg.Limits.Unit
-		p.minutes = demand.NewMinutes(p.d.Clock.Wall(), p.d.Clock.Since(), p.unit)
+		p.minutes = demand.NewMinuteClock(p.d.Clock.Wall(), p.d.Clock.Since(), p.unit)
 	}
 	return p.minutes
 }
@@ -74,10 +74,10 @@
 		if h.Hour >= newest[it] {
 			newest[it] = h.Hour
 			i.seen = map[string]uint64{}
-			maps.Copy(i.seen, h.Seen)
+			maps.Copy(i.seen, h.ReporterTotals)
 		}
-		h.Seen = nil
-		i.series.Lay(h)
+		h.ReporterTotals = nil
+		i.series.Restore(h)
 	}
 	p.loaded[slot] = epoch
 	now := p.d.Clock.Since()
@@ -212,7 +212,7 @@
 			}
 			for hour := range i.dirty {
 				if h, found := i.series.Hour(hour); found {
-					h.Seen = maps.Clone(i.seen)
+					h.ReporterTotals = maps.Clone(i.seen)
 					todo = append(todo, work{it, h})
 				}
 			}
--- a/internal/place/plan/miss.go
+++ b/internal/place/plan/miss.go
@@ -33,7 +33,7 @@
 	}
 	minute, _ := p.clock(cfg).Now(p.d.Clock.Wall(), now)
 	rule := p.rule()
-	requests := i.series.Next(rule, minute, waiting)
+	requests := i.series.PredictHorizon(rule, minute, waiting)
 	acc, _ := i.series.Accuracy(rule, minute)
 	cheapest := order.Cheapest(views, "", it, p.d.Reports, now, cfg)
 	alone := cheapest == 0
@@ -89,7 +89,7 @@
 			zones[v.Listed.Zone]++
 		}
 	}
-	var facts []judge.Replica
+	var facts []judge.Candidate
 	for _, v := range views.All {
 		if !v.Listed.Model || v.Dark || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !in.Matches(labels.Set(v.Listed.Labels)) {
 			continue
@@ -98,11 +98,11 @@
 		if v.Items[it.Model] != "" {
 			need = 0
 		}
-		facts = append(facts, judge.Replica{Name: v.Listed.ID, Inflight: p.d.Reports.InflightOn(v.Listed.ID, now), Slots: v.Slots,
-			ServeFor: time.Duration(v.ServeMs) * time.Millisecond, Leaving: v.Listed.Leaving, FreeMib: v.FreeMib, NeedMib: need,
-			Fits: m.SizeMib <= v.CapacityMib && (it.Adapter == "" || v.AdapterPlaces > 0), AdFree: v.AdapterFree, Copies: zones[v.Listed.Zone]})
+		facts = append(facts, judge.Candidate{Name: v.Listed.ID, Inflight: p.d.Reports.InflightOn(v.Listed.ID, now), Slots: v.Slots,
+			ServeTime: time.Duration(v.ServeMs) * time.Millisecond, Leaving: v.Listed.Leaving, FreeMib: v.FreeMib, NeedMib: need,
+			Fits: m.SizeMib <= v.CapacityMib && (it.Adapter == "" || v.AdapterPlaces > 0), FreeAdapterPlaces: v.AdapterFree, Copies: zones[v.Listed.Zone]})
 	}
-	ranked := judge.RankLoad(cfg.Weights, facts)
+	ranked := judge.RankForLoad(cfg.Weights, facts)
 	// Why: a replica carries out one order at a time, and only the first candidates are asked.
 	before := pending(views)
 	slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return queuedFor(a, before) - queuedFor(b, before) })
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -63,7 +63,7 @@
 	d         Deps
 	actor     *run.Actor
 	items     map[conf.Item]*item
-	minutes   *demand.Minutes
+	minutes   *demand.MinuteClock
 	unit      time.Duration
 	soon      *run.Nudge
 	work      workRates
--- a/internal/place/plan/share.go
+++ b/internal/place/plan/share.go
@@ -24,7 +24,7 @@
 		waiting := p.d.Reports.Waiting(now)
 		for it, i := range p.items {
 			if p.holds(it) {
-				s.Next[it.String()] = i.series.Next(rule, minute, waiting[it])
+				s.Next[it.String()] = i.series.PredictHorizon(rule, minute, waiting[it])
 			}
 		}
 		p.lay(s)
--- a/internal/replay/load.go
+++ b/internal/replay/load.go
@@ -17,15 +17,15 @@
 	wanted := penalty.Of(r.requests(q.item)+1, r.cost(q.item, -1))
 	last, passed := r.passed[q.item]
 	pass := alone && r.c.PassMin >= 0 && (!passed || r.now-last >= int64(r.c.PassMin)*60_000 || r.use() < r.c.Slack)
-	best, victims := -1, penalty.Verdict{}
-	for n, c := range judge.Load(r.c.Weights, facts) {
+	best, victims := -1, penalty.Result{}
+	for n, c := range judge.RankForLoadWithBreakdown(r.c.Weights, facts) {
 		if n >= r.c.Ask {
 			break
 		}
 		i := number(c.Name)
 		p := r.reps[i]
-		v := penalty.Test(p.used+size-capMib, wanted, r.c.Csf, pass || r.c.Policy != Paper, r.idle(i))
-		if v.Load && (best < 0 || v.Sum < victims.Sum) {
+		v := penalty.Evaluate(p.used+size-capMib, wanted, r.c.Csf, pass || r.c.Policy != Paper, r.idle(i))
+		if v.Load && (best < 0 || v.VictimPenalty < victims.VictimPenalty) {
 			best, victims = i, v
 		}
 		if best >= 0 && !r.c.Least {
@@ -43,22 +43,22 @@
 }
 
 // candidates are the replicas that could load the item of a request.
-func (r *run) candidates(q request) []judge.Replica {
-	var facts []judge.Replica
+func (r *run) candidates(q request) []judge.Candidate {
+	var facts []judge.Candidate
 	for i, p := range r.reps {
 		if p.items[q.item] != nil || r.c.Policy == Always && i != q.home {
 			continue
 		}
-		facts = append(facts, judge.Replica{
-			Name: fmt.Sprintf("%03d", i), Inflight: len(p.busy), Slots: r.w.d.Replica.Slots, ServeFor: time.Duration(r.serveMs()) * time.Millisecond,
-			Fits: true, FreeMib: r.w.d.Replica.CapacityMib - p.used, NeedMib: r.w.size[q.item], AdFree: 1,
+		facts = append(facts, judge.Candidate{
+			Name: fmt.Sprintf("%03d", i), Inflight: len(p.busy), Slots: r.w.d.Replica.Slots, ServeTime: time.Duration(r.serveMs()) * time.Millisecond,
+			Fits: true, FreeMib: r.w.d.Replica.CapacityMib - p.used, NeedMib: r.w.size[q.item], FreeAdapterPlaces: 1,
 		})
 	}
 	return facts
 }
 
 // put loads an item on a replica in place of the victims.
-func (r *run) put(on, item int, victims penalty.Verdict) {
+func (r *run) put(on, item int, victims penalty.Result) {
 	p := r.reps[on]
 	for _, x := range victims.Victims {
 		it := number(x.Item)
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -47,11 +47,11 @@
 
 // candidates are the replicas that can serve a request.
 type candidates struct {
-	answering []judge.Replica // those with a free place that answer
-	quiet     []judge.Replica // those with a free place that were last heard of by their silence
-	held      int             // those that hold the item, with a free place or not
-	places    int             // of all those
-	serve     time.Duration   // sum of the time that each takes to serve one request
+	answering []judge.Candidate // those with a free place that answer
+	quiet     []judge.Candidate // those with a free place that were last heard of by their silence
+	held      int               // those that hold the item, with a free place or not
+	places    int               // of all those
+	serve     time.Duration     // sum of the time that each takes to serve one request
 }
 
 // Choose ranks the replicas that can serve now. held says whether any holds
@@ -76,7 +76,7 @@
 	if len(facts) > 0 && t.Route.Kind == "model" {
 		facts = k.warmest(t, s, facts, now)
 	}
-	i := judge.Best(s.Conf.Weights, facts)
+	i := judge.BestForRequest(s.Conf.Weights, facts)
 	if i < 0 {
 		return nil, c.held, serve
 	}
@@ -107,7 +107,7 @@
 		if steer.crowds(r) {
 			continue
 		}
-		f := judge.Replica{Name: id, Inflight: r.elsewhere() + mine, Slots: r.Slots, ServeFor: r.ServeFor, SameZone: r.Listed.Zone == zone, Share: steer.verdict(id)}
+		f := judge.Candidate{Name: id, Inflight: r.elsewhere() + mine, Slots: r.Slots, ServeTime: r.ServeFor, SameZone: r.Listed.Zone == zone, TenantShare: steer.verdict(id)}
 		// Why: silence is no proof. It only ranks a replica behind all that answer, until a report that was asked for
 		// later comes.
 		if !r.answers(now) || id == t.Avoid {
@@ -121,7 +121,7 @@
 
 // warmest adds how much of the prompt is warm at each replica and how long its
 // reading would take there, and leaves out those that have enough prompts to read.
-func (k *Keeper) warmest(t Target, s *Snapshot, facts []judge.Replica, now time.Duration) []judge.Replica {
+func (k *Keeper) warmest(t Target, s *Snapshot, facts []judge.Candidate, now time.Duration) []judge.Candidate {
 	isTold := s.Replicas[facts[0].Name].Told
 	// Why: many calls have one replica to go to; the memory of prompts is not asked for those.
 	if len(facts) == 1 && !isTold {
@@ -130,13 +130,13 @@
 	warm, home := k.warmth.warm(t.Prompt), binary.LittleEndian.AppendUint64(nil, t.Prompt.home())
 	out := facts[:0]
 	for _, f := range facts {
-		f.Warm, f.Home = warm[f.Name], float64(share.Draw(home, f.Name)>>11)/(1<<53)
+		f.WarmShare, f.RendezvousShare = warm[f.Name], float64(share.Draw(home, f.Name)>>11)/(1<<53)
 		if r := s.Replicas[f.Name]; r.Told {
-			uncached := t.Prompt.uncached(f.Warm)
+			uncached := t.Prompt.uncached(f.WarmShare)
 			if k.swamped(r, uncached, t.Route.GapTarget, now) {
 				continue
 			}
-			f.Wait = k.wait(r, uncached, now)
+			f.PredictedWait = k.wait(r, uncached, now)
 		}
 		out = append(out, f)
 	}
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -85,13 +85,13 @@
 			t.Put(aReport(i, 0, 0, 8), 0)
 		}
 		return func() {
-			var facts []judge.Replica
+			var facts []judge.Candidate
 			for _, v := range views.All {
 				if cfg.Allowed("model-0001", v.Listed.Labels) {
-					facts = append(facts, judge.Replica{Name: v.Listed.ID, Inflight: t.InflightOn(v.Listed.ID, 0), Slots: v.Slots, FreeMib: v.FreeMib, NeedMib: 140000, Fits: true})
+					facts = append(facts, judge.Candidate{Name: v.Listed.ID, Inflight: t.InflightOn(v.Listed.ID, 0), Slots: v.Slots, FreeMib: v.FreeMib, NeedMib: 140000, Fits: true})
 				}
 			}
-			sink = judge.Load(cfg.Weights, facts)
+			sink = judge.RankForLoadWithBreakdown(cfg.Weights, facts)
 		}
 	})
 	costs("demand.Series.Next, 7 epochs", "unit of horizon", []int{3, 12, 60, 180}, func(x int) func() {
@@ -99,8 +99,8 @@
 		for m := range int64(8 * 1440) {
 			s.Add(m, 2)
 		}
-		r := demand.Rule{Day: 1440, DayWeights: []float64{0.4, 0.2, 0.12, 0.1, 0.08, 0.06, 0.04}, WarmupMinutes: 2, HorizonMinutes: x}
-		return func() { sink = s.Next(r, 8*1440-200, 0) }
+		r := demand.Params{UnitsPerDay: 1440, DayWeights: []float64{0.4, 0.2, 0.12, 0.1, 0.08, 0.06, 0.04}, WarmupMinutes: 2, HorizonMinutes: x}
+		return func() { sink = s.PredictHorizon(r, 8*1440-200, 0) }
 	})
 	costs("news.Put (stamp newer)", "key in table", its, func(x int) func() {
 		t := gossipTable(600, 10, x, nil)
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -67,12 +67,12 @@
 	})
 	fmt.Printf("expect entry %.0f bytes\n", size(gossip.Entry{Key: plan.ExpectKey(ItemName(1)), Stamp: stamp(1), Value: wire.Pack(plan.Expect{ReadyMs: 43000})}))
 	hour := func(seen int) demand.Hour {
-		h := demand.Hour{Hour: 1 << 27, Seen: map[string]uint64{}}
+		h := demand.Hour{Hour: 1 << 27, ReporterTotals: map[string]uint64{}}
 		for i := range h.Counts {
 			h.Counts[i] = uint32(i % 4)
 		}
 		for i := range seen {
-			h.Seen[NodeName(i)+"/0123456789abcdef"] = uint64(1000 + i)
+			h.ReporterTotals[NodeName(i)+"/0123456789abcdef"] = uint64(1000 + i)
 		}
 		return h
 	}
--- a/internal/sim/capacity/slots_test.go
+++ b/internal/sim/capacity/slots_test.go
@@ -61,9 +61,9 @@
 // largest tells up to how many items in use one slot's table can still be answered in one message.
 func largest() {
 	fmt.Println("== whole table of a slot, as an acceptor answers it")
-	h := demand.Hour{Hour: 1 << 27, Seen: map[string]uint64{}}
+	h := demand.Hour{Hour: 1 << 27, ReporterTotals: map[string]uint64{}}
 	for i := range 410 {
-		h.Seen[NodeName(i)+"/0123456789abcdef"] = uint64(1000 + i)
+		h.ReporterTotals[NodeName(i)+"/0123456789abcdef"] = uint64(1000 + i)
 	}
 	v := h.Pack()
 	for _, items := range []int{1, 4, 13, 14} {
