--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -264,7 +264,7 @@
 					refuse(w, queue.Answer{Why: "it will be loaded too late", RetryS: retry(ready.Sub(now))})
 				case coming:
 				case told && x.Refused:
-					refuse(w, queue.Answer{Why: x.Why, RetryS: max(1, x.RetryS)})
+					refuse(w, queue.Answer{Why: x.Reason, RetryS: max(1, x.RetryAfterS)})
 				case now.Sub(later(w.Since, l.Empty)) > ac.hold:
 					refuse(w, queue.Answer{Why: "nobody has it and no controller answers", RetryS: 2})
 				}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -101,7 +101,7 @@
 	reports        *report.Table
 	relay          *relay.Relay
 	lag            *load.Lag
-	views          *plan.ViewCache
+	views          *plan.StatusCache
 	watch          *inventory.Watch
 	replicas       backend.Client
 	caller         *wire.Caller
@@ -191,7 +191,7 @@
 	c.reading = conf.ReadingRest()
 	c.confSoon = run.NewNudge(run.NewActor(c.group, 4, readEvery, c.takeConf), c.takeConf)
 	c.gossip.OnNew(c.onGossip)
-	c.views = plan.NewViewCache(c.gossip)
+	c.views = plan.NewStatusCache(c.gossip)
 	c.spread = gossip.NewSpreader(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
 	c.acc.Serve(c.mux)
 	ownQuarantine := s.Bounds.Lease
@@ -202,7 +202,7 @@
 		Addr: c.addrOf, Rank: c.voters, Behind: func(v state.Core) { c.set.Behind(v) }, Quarantine: s.Bounds.Lease, OwnQuarantine: ownQuarantine, Handback: s.Cadence.Handback, OnTake: c.onTake})
 	c.lag = load.NewLag(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.own, Gossip: c.gossip,
-		Reports: c.reports, Conf: c.effective, Views: c.views.Views, Ask: c.consider, AskAll: c.considerAll, Tell: c.tellShared, Busy: c.lag.Busy})
+		Reports: c.reports, Conf: c.effective, Statuses: c.views.Statuses, Consider: c.consider, ConsiderAll: c.considerAll, SharePredictions: c.tellShared, Busy: c.lag.Busy})
 	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
 		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Taken, error) {
 			return wire.CallLarge[relay.Taken](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -17,7 +17,7 @@
 		c.tendSoon.Now()
 	}
 	epoch := c.own.Held()[slot]
-	c.planner.OnTake(slot, epoch, recs)
+	c.planner.OnSlotAcquired(slot, epoch, recs)
 	for _, r := range recs {
 		if r.Key == conf.Key {
 			// Why: the owner before us may have died between keeping it and telling it.
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -28,7 +28,7 @@
 	now      time.Duration
 	replicas copyOnWrite[*Replica]
 	acked    copyOnWrite[state.Stamp]
-	expect   sharded.Draft[plan.Expect]
+	expect   sharded.Draft[plan.Expectation]
 	index    indexing
 	isNew    bool // a newer configuration is in force
 	coming   bool // what is on its way is to be found anew
@@ -238,7 +238,7 @@
 // takeExpect takes a planner's word.
 func (k *Keeper) takeExpect(d *draft, e gossip.Entry) {
 	item := e.Key[len(expectPrefix):]
-	var x plan.Expect
+	var x plan.Expectation
 	if e.Gone || wire.Unpack(e.Value, &x) != nil {
 		delete(k.expects.latest, item)
 		d.expect.Drop(item)
--- a/internal/route/renew_reference_test.go
+++ b/internal/route/renew_reference_test.go
@@ -43,14 +43,14 @@
 
 type plainTable struct {
 	Rows   map[string]plainRow
-	Expect map[string]plan.Expect
+	Expect map[string]plan.Expectation
 	Coming map[string]time.Duration
 	Acked  map[string]state.Stamp
 	Stamp  state.Stamp
 }
 
 func emptyTable() plainTable {
-	return plainTable{Rows: map[string]plainRow{}, Expect: map[string]plan.Expect{}, Coming: map[string]time.Duration{}, Acked: map[string]state.Stamp{}}
+	return plainTable{Rows: map[string]plainRow{}, Expect: map[string]plan.Expectation{}, Coming: map[string]time.Duration{}, Acked: map[string]state.Stamp{}}
 }
 
 func readyItems(ready map[string]bool) string {
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, e := range w.gossip.List(expectPrefix) {
-		var x plan.Expect
+		var x plan.Expectation
 		if at := seen(e); now-at < expectLasts && wire.Unpack(e.Value, &x) == nil {
 			out.Expect[e.Key[len(expectPrefix):]] = x
 		}
--- a/internal/route/renew_world_test.go
+++ b/internal/route/renew_world_test.go
@@ -90,7 +90,7 @@
 	case 4:
 		w.gossip.Put(gossip.Entry{Key: order.Key(w.id()), Stamp: w.stamp(), Gone: true})
 	case 5, 6:
-		w.gossip.Put(gossip.Entry{Key: plan.ExpectKey(w.item()), Stamp: w.stamp(), Value: wire.Pack(plan.Expect{ReadyMs: w.rnd.IntN(9)}), Gone: w.rnd.IntN(4) == 0})
+		w.gossip.Put(gossip.Entry{Key: plan.ExpectationKey(w.item()), Stamp: w.stamp(), Value: wire.Pack(plan.Expectation{ReadyMs: w.rnd.IntN(9)}), Gone: w.rnd.IntN(4) == 0})
 	case 7:
 		inventory.Mark(w.gossip, w.id())
 	case 8:
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -63,8 +63,8 @@
 	Serial   uint64
 	Stamp    state.Stamp
 	Replicas map[string]*Replica
-	Expect   sharded.Map[plan.Expect] // of items that nobody holds: planners' words
-	Coming   map[string]time.Duration // items on their way: when they should be there, on our clock
+	Expect   sharded.Map[plan.Expectation] // of items that nobody holds: planners' words
+	Coming   map[string]time.Duration      // items on their way: when they should be there, on our clock
 	Acked    map[string]state.Stamp
 	Version  uint64 // rises when the configuration or what is told of a replica changes
 	index    index
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -62,12 +62,12 @@
 		}
 		return func() { sink = t.Waiting(0) }
 	})
-	costs("plan.Views (10 items each)", "replica", reps, func(x int) func() { t := gossipTable(x, 10, 0, nil); return func() { sink = plan.Views(t) } })
-	costs("plan.Views (600 replicas)", "item held", []int{2, 10, 20, 40}, func(x int) func() { t := gossipTable(600, x, 0, nil); return func() { sink = plan.Views(t) } })
-	costs("plan.Views (75 replicas)", "expect entry", its, func(x int) func() { t := gossipTable(75, 10, x, nil); return func() { sink = plan.Views(t) } })
+	costs("plan.Views (10 items each)", "replica", reps, func(x int) func() { t := gossipTable(x, 10, 0, nil); return func() { sink = plan.DecodeStatuses(t) } })
+	costs("plan.Views (600 replicas)", "item held", []int{2, 10, 20, 40}, func(x int) func() { t := gossipTable(600, x, 0, nil); return func() { sink = plan.DecodeStatuses(t) } })
+	costs("plan.Views (75 replicas)", "expect entry", its, func(x int) func() { t := gossipTable(75, 10, x, nil); return func() { sink = plan.DecodeStatuses(t) } })
 	cfg, _ := conf.Effect(kept(1200, 40000, 200, 12))
 	costs("order.Cheapest, 417 nodes, 1 holder in 100", "replica", reps, func(x int) func() {
-		views := plan.Views(gossipTable(x, 10, 0, nil))
+		views := plan.DecodeStatuses(gossipTable(x, 10, 0, nil))
 		for i := 0; i < x; i += 100 {
 			views.All[i].Items["model-0001"] = "loaded"
 		}
@@ -79,7 +79,7 @@
 		return func() { sink = order.Cheapest(views, "", it, t, 0, cfg) }
 	})
 	costs("candidates: InflightOn each, judge.Load", "replica", reps, func(x int) func() {
-		views := plan.Views(gossipTable(x, 10, 0, nil))
+		views := plan.DecodeStatuses(gossipTable(x, 10, 0, nil))
 		t := report.NewTable()
 		for i := range 417 {
 			t.Put(aReport(i, 0, 0, 8), 0)
@@ -183,16 +183,16 @@
 		return func() { b, held, _ := k.Choose(target); sink = b; _ = held }
 	})
 	costs("plan.Shared read and laid in (clone)", "item", its, func(x int) func() {
-		s := plan.Shared{From: "core-1", Next: map[string]float64{}}
+		s := plan.SharedPredictions{From: "core-1", Requests: map[string]float64{}}
 		for i := range x {
-			s.Next[ItemName(i)] = 12.25 + float64(i)/7
+			s.Requests[ItemName(i)] = 12.25 + float64(i)/7
 		}
 		b := wire.Pack(s)
 		held := map[string]float64{}
 		return func() {
-			var in plan.Shared
+			var in plan.SharedPredictions
 			_ = wire.Unpack(b, &in)
-			for k, v := range in.Next {
+			for k, v := range in.Requests {
 				held[k] = v
 			}
 			next := make(map[string]float64, len(held))
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -65,7 +65,7 @@
 		}
 		return size(b)
 	})
-	fmt.Printf("expect entry %.0f bytes\n", size(gossip.Entry{Key: plan.ExpectKey(ItemName(1)), Stamp: stamp(1), Value: wire.Pack(plan.Expect{ReadyMs: 43000})}))
+	fmt.Printf("expect entry %.0f bytes\n", size(gossip.Entry{Key: plan.ExpectationKey(ItemName(1)), Stamp: stamp(1), Value: wire.Pack(plan.Expectation{ReadyMs: 43000})}))
 	hour := func(seen int) demand.Hour {
 		h := demand.Hour{Hour: 1 << 27, ReporterTotals: map[string]uint64{}}
 		for i := range h.Counts {
@@ -94,9 +94,9 @@
 	})
 	fmt.Printf("renewal of 3 slots %.0f bytes\n", size(state.Renewal{Set: 7, From: state.Core{Name: "core-1", Disk: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Epochs: map[int]uint64{1: 40, 2: 41, 3: 42}}))
 	fit("predictions told (plan.Shared)", "item", its, func(x int) float64 {
-		s := plan.Shared{From: "core-1", Next: map[string]float64{}}
+		s := plan.SharedPredictions{From: "core-1", Requests: map[string]float64{}}
 		for i := range x {
-			s.Next[ItemName(i)] = 12.25 + float64(i)/7
+			s.Requests[ItemName(i)] = 12.25 + float64(i)/7
 		}
 		return size(s)
 	})
