--- a/internal/place/demand/demand.go
+++ b/internal/place/demand/demand.go
@@ -1,5 +1,5 @@
-// Package demand keeps requests per minute of one item over the past days and
-// predicts the next ones: the paper's section 6.1 and 6.2 (NAC).
+// Package demand records the requests per minute for one item over the past days
+// and predicts future requests, as in sections 6.1 and 6.2 (NAC) of the paper.
 package demand
 
 import (
@@ -8,23 +8,23 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// DayMinutes is the length of an epoch where a rule gives none.
+// DefaultUnitsPerDay is the length of a demand epoch where Params set none.
 const DefaultUnitsPerDay = 1440
 
-// Minute is the unit that requests are counted by where a rule gives none.
+// DefaultUnit is the counting unit where the configuration sets none.
 const DefaultUnit = time.Minute
 
-// KeptHours is how many hours are kept: the seven days that predict, and
-// today's. Hours are stored in a ring of that many keys.
+// KeptHours is the number of hours of history kept: the seven days used for
+// prediction plus today. Hours are stored in a ring of that many keys.
 const KeptHours = 8 * 24
 
-// Rule is the free part of the design: weights and lengths.
+// Params holds the configurable weights and lengths of the prediction.
 //
-// A rule's minute is its unit of counting and its day the epoch; a deployment
-// that lives faster may make both shorter.
+// Minutes are counting units and a day is one demand epoch; a deployment whose
+// demand changes faster may configure both to be shorter.
 type Params struct {
-	UnitsPerDay    int64     // units in an epoch; 0 is DayMinutes
-	DayWeights     []float64 // yesterday first, seven of them
+	UnitsPerDay    int64     // counting units in an epoch; 0 means DefaultUnitsPerDay
+	DayWeights     []float64 // seven weights, yesterday first
 	WarmupMinutes  int
 	HorizonMinutes int
 }
@@ -36,42 +36,43 @@
 	return DefaultUnitsPerDay
 }
 
-// Hour is the requests of one hour by minute, and how far each reporter had
-// counted when they were added up.
+// Hour holds the requests of one hour by minute, and the running total of each
+// reporter at the time the requests were added.
 type Hour struct {
 	Hour           int64             `cbor:"1,keyasint"`
 	Counts         [60]uint32        `cbor:"2,keyasint"`
 	ReporterTotals map[string]uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Pack encodes for the control state.
+// Pack encodes the hour for the control state.
 func (h Hour) Pack() []byte { return wire.Pack(h) }
 
-// UnpackHour reads what Pack wrote.
+// UnpackHour decodes an hour encoded by Pack.
 func UnpackHour(b []byte) (Hour, error) {
 	var h Hour
 	err := wire.Unpack(b, &h)
 	return h, err
 }
 
-// Series is the history of one item.
+// Series is the demand history of one item.
 type Series struct {
 	hours map[int64]*Hour
-	// Sums of today's observed and first-predicted requests, up to accAt.
+	// Sums of today's observed and initially predicted requests, up to and including
+	// the minute accuracyThrough; accuracyDay -1 means that they must be recomputed.
 	accuracyDay, accuracyThrough int64
 	observedSum, predictedSum    float64
 }
 
-// NewSeries has no history.
+// NewSeries returns a series without history.
 func NewSeries() *Series { return &Series{hours: map[int64]*Hour{}, accuracyDay: -1} }
 
-// MinuteOf is the number of a wall-clock unit.
+// MinuteOf returns the number of the counting unit that contains t.
 func MinuteOf(t time.Time, unit time.Duration) int64 { return t.UnixNano() / int64(unit) }
 
-// Lay puts back an hour that was kept.
+// Restore adds an hour that was loaded from the control state.
 func (s *Series) Restore(h Hour) { s.hours[h.Hour] = &h; s.accuracyDay = -1 }
 
-// Hour gives a copy of an hour for keeping.
+// Hour returns a copy of hour n, to be stored.
 func (s *Series) Hour(n int64) (Hour, bool) {
 	h, found := s.hours[n]
 	if !found {
@@ -80,7 +81,7 @@
 	return *h, true
 }
 
-// Add counts n requests in a minute.
+// Add counts n requests in a minute, and drops hours older than KeptHours.
 func (s *Series) Add(minute int64, n uint32) {
 	if n == 0 {
 		return
@@ -96,13 +97,13 @@
 		}
 	}
 	h.Counts[minute%60] += n
-	// Why: a minute already summed into today's accuracy has changed.
+	// A minute already included in today's accuracy sums has changed.
 	if minute <= s.accuracyThrough {
 		s.accuracyDay = -1
 	}
 }
 
-// At is what was observed in a minute.
+// Observed returns the number of requests counted in a minute.
 func (s *Series) Observed(minute int64) uint32 {
 	if h := s.hours[minute/60]; h != nil {
 		return h.Counts[minute%60]
@@ -110,7 +111,7 @@
 	return 0
 }
 
-// Initial is the weighted sum of the same minute on the past seven days.
+// InitialPrediction returns the weighted sum of the same minute over the past seven days.
 func (s *Series) InitialPrediction(r Params, minute int64) float64 {
 	sum := 0.0
 	for d, w := range r.DayWeights {
@@ -121,14 +122,15 @@
 	return sum
 }
 
-// Accuracy is today's observed over first-predicted requests up to now; known
-// is false while it says nothing: in the warm-up, or with nothing predicted.
+// Accuracy returns the ratio of today's observed requests to the initially
+// predicted ones up to now. known is false, and acc 1, during the warm-up and
+// when nothing was predicted.
 func (s *Series) Accuracy(r Params, now int64) (acc float64, known bool) {
 	start := now - now%r.unitsPerDay()
 	if now < start+int64(r.WarmupMinutes) {
 		return 1, false
 	}
-	// Why: computed once a minute by adding the minutes that have ended since.
+	// The sums are extended incrementally by the minutes that have ended since the last call.
 	if s.accuracyDay != start || s.accuracyThrough > now-1 {
 		s.accuracyDay, s.accuracyThrough, s.observedSum, s.predictedSum = start, start-1, 0, 0
 	}
@@ -143,12 +145,12 @@
 	return s.observedSum / s.predictedSum, true
 }
 
-// Predict is the requests expected in a minute, as seen from now.
+// Predict returns the requests expected in a minute, as predicted at now.
 func (s *Series) Predict(r Params, now, minute int64) float64 {
 	start := minute - minute%r.unitsPerDay()
 	if warm := int64(r.WarmupMinutes); minute < start+warm {
-		// Why: held constant through the warm-up. The paper prints the sum over the
-		// warm-up as each minute's value; its mean keeps the unit a minute.
+		// The prediction is constant throughout the warm-up. The paper gives the sum over
+		// the warm-up as the value of each minute; the mean keeps the unit per minute.
 		sum := 0.0
 		for m := start; m < start+warm; m++ {
 			sum += s.InitialPrediction(r, m)
@@ -159,8 +161,9 @@
 	return s.InitialPrediction(r, minute) * acc
 }
 
-// Next is the requests expected over the horizon from now on. Where the past
-// says nothing, it is what the last horizon saw and what waits now (ours).
+// PredictHorizon returns the requests expected over the horizon that starts now.
+// Without a prediction from history it returns the requests observed over the last
+// horizon plus those waiting now; this fallback is not part of the paper.
 func (s *Series) PredictHorizon(r Params, now int64, waiting int) float64 {
 	sum := 0.0
 	for m := now; m < now+int64(r.HorizonMinutes); m++ {
@@ -175,45 +178,47 @@
 	return sum + float64(waiting)
 }
 
-// Minutes is a clock of minutes that follows the wall but never runs twice
-// through the same one.
+// MinuteClock counts minutes by the wall clock but never reports the same minute
+// as fresh again after the wall clock was set back.
 type MinuteClock struct {
 	unit          time.Duration
 	anchorWall    time.Time
 	anchorElapsed time.Duration
 	latest        int64
-	setBack       bool          // the clock was set back behind highest
-	skewedSince   time.Duration // since when the wall has disagreed
+	setBack       bool          // the clock was set back to before latest
+	skewedSince   time.Duration // when the wall clock began to disagree; -1 while it agrees
 }
 
-// sound is how far the wall may differ before it is doubted, and patience for
-// how long it must go on differing before it is believed.
+// The wall clock is distrusted when it differs by maxClockSkew or more from the
+// clock derived from elapsed time, and adopted again once it has kept differing
+// for longer than skewConfirmation.
 const (
 	maxClockSkew     = 90 * time.Second
 	skewConfirmation = 10 * time.Minute
 )
 
-// NewMinutes starts at the wall's time.
+// NewMinuteClock returns a clock that starts at the given wall time, where since is
+// the elapsed time of the process and unit the length of a minute.
 func NewMinuteClock(wall time.Time, since, unit time.Duration) *MinuteClock {
 	return &MinuteClock{unit: unit, anchorWall: wall, anchorElapsed: since, skewedSince: -1}
 }
 
-// Now is the current minute; fresh is false while the minute was already
-// counted before the clock was set back, so that nothing is added to it.
+// Now returns the current minute. fresh is false if the minute had already passed
+// before the clock was set back, in which case nothing may be added to it.
 func (m *MinuteClock) Now(wall time.Time, since time.Duration) (minute int64, fresh bool) {
-	own := m.anchorWall.Add(since - m.anchorElapsed)
-	diff := wall.Sub(own)
+	derived := m.anchorWall.Add(since - m.anchorElapsed)
+	diff := wall.Sub(derived)
 	switch {
 	case diff < maxClockSkew && diff > -maxClockSkew:
 		m.skewedSince = -1
 	case m.skewedSince < 0:
 		m.skewedSince = since
 	case since-m.skewedSince > skewConfirmation:
-		// Why: a wall that keeps its new time is right; one that jumps and comes back was not.
-		m.anchorWall, m.anchorElapsed, m.skewedSince, own = wall, since, -1, wall
+		// A wall clock that keeps its new time is right; a jump that is reverted sooner is ignored.
+		m.anchorWall, m.anchorElapsed, m.skewedSince, derived = wall, since, -1, wall
 	}
-	minute = MinuteOf(own, m.unit)
-	// Why: once set back, the minute that was counted last is over too.
+	minute = MinuteOf(derived, m.unit)
+	// Once the clock was set back, the minute counted last is complete as well.
 	if minute < m.latest {
 		m.setBack = true
 		return minute, false
--- a/internal/place/demand/demand_test.go
+++ b/internal/place/demand/demand_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// week fills seven days with n requests a minute.
+// addWeek adds n(minute) requests for each minute of the past seven days.
 func addWeek(s *Series, n func(minute int64) uint32) {
 	for m := firstMinute - 7*DefaultUnitsPerDay; m < firstMinute; m++ {
 		s.Add(m, n(m))
@@ -40,11 +40,11 @@
 	for m := firstMinute; m < firstMinute+30; m += 7 {
 		checkClose(t, "warm-up", s.Predict(testParams, firstMinute+5, m), 15.5)
 	}
-	// Today brings twice as much: after the warm-up everything is scaled by two.
+	// Today's demand is twice the history: after the warm-up predictions are scaled by two.
 	for m := firstMinute; m < firstMinute+120; m++ {
 		s.Add(m, 2*uint32(1+m%DefaultUnitsPerDay%30))
 	}
-	checkClose(t, "warm-up, whatever today brings", s.Predict(testParams, firstMinute+29, firstMinute+29), 15.5)
+	checkClose(t, "warm-up, independent of today", s.Predict(testParams, firstMinute+29, firstMinute+29), 15.5)
 	acc, known := s.Accuracy(testParams, firstMinute+60)
 	if !known {
 		t.Error("accuracy is not known after the warm-up")
@@ -52,26 +52,26 @@
 	checkClose(t, "accuracy", acc, 2)
 	checkClose(t, "prediction", s.Predict(testParams, firstMinute+60, firstMinute+75), 2*16)
 	checkClose(t, "next hour", s.PredictHorizon(testParams, firstMinute+60, 0), 2*60*15.5)
-	// A minute that changes after it was summed counts.
+	// A minute that changes after it was summed is included.
 	s.Add(firstMinute+59, 1000)
 	if acc, _ := s.Accuracy(testParams, firstMinute+60); acc < 2.5 {
 		t.Errorf("a late count changed the accuracy only to %v", acc)
 	}
-	// The next day starts anew.
+	// The next day starts with unknown accuracy.
 	if _, known := s.Accuracy(testParams, firstMinute+DefaultUnitsPerDay+3); known {
-		t.Error("accuracy is carried into the next epoch's warm-up")
+		t.Error("accuracy is still known in the next epoch's warm-up")
 	}
 }
 
 func TestPredictHorizonWithoutHistory(t *testing.T) {
 	s := NewSeries()
-	checkClose(t, "nothing at all", s.PredictHorizon(testParams, firstMinute+100, 0), 0)
-	checkClose(t, "only those waiting", s.PredictHorizon(testParams, firstMinute+100, 7), 7)
+	checkClose(t, "no history and no waiting requests", s.PredictHorizon(testParams, firstMinute+100, 0), 0)
+	checkClose(t, "waiting requests only", s.PredictHorizon(testParams, firstMinute+100, 7), 7)
 	s.Add(firstMinute+50, 3)
 	s.Add(firstMinute+30, 9) // 70 minutes ago
-	checkClose(t, "the last hour and those waiting", s.PredictHorizon(testParams, firstMinute+100, 7), 10)
+	checkClose(t, "the last hour and waiting requests", s.PredictHorizon(testParams, firstMinute+100, 7), 10)
 	if _, known := s.Accuracy(testParams, firstMinute+100); known {
-		t.Error("accuracy over nothing predicted is known")
+		t.Error("accuracy is known although nothing was predicted")
 	}
 }
 
@@ -80,18 +80,18 @@
 	s.Add(firstMinute, 5)
 	h, found := s.Hour(firstMinute / 60)
 	if !found {
-		t.Fatal("no hour")
+		t.Fatal("hour not found")
 	}
-	back, err := UnpackHour(h.Pack())
+	decoded, err := UnpackHour(h.Pack())
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := NewSeries()
-	o.Restore(back)
-	checkClose(t, "after a take-over", float64(o.Observed(firstMinute)), 5)
+	restored := NewSeries()
+	restored.Restore(decoded)
+	checkClose(t, "restored hour", float64(restored.Observed(firstMinute)), 5)
 	s.Add(firstMinute+8*DefaultUnitsPerDay+60, 1)
 	if _, found := s.Hour(firstMinute / 60); found {
-		t.Error("an hour of more than eight days ago is still held")
+		t.Error("an hour older than eight days is still kept")
 	}
 }
 
@@ -99,18 +99,18 @@
 	wall := time.Unix(firstMinute*60, 0)
 	m := NewMinuteClock(wall, 0, DefaultUnit)
 	counted := map[int64]time.Duration{}
-	off := time.Duration(0)
+	offset := time.Duration(0)
 	last := int64(0)
 	for since := time.Duration(0); since < 6*time.Hour; since += 10 * time.Second {
 		switch since {
 		case time.Hour:
-			off = 26 * time.Hour // a jump that comes back
+			offset = 26 * time.Hour // a jump that is reverted
 		case time.Hour + 5*time.Minute:
-			off = 0
+			offset = 0
 		case 2 * time.Hour:
-			off = -3 * time.Hour // one that stays
+			offset = -3 * time.Hour // a jump that persists
 		}
-		minute, fresh := m.Now(wall.Add(since+off), since)
+		minute, fresh := m.Now(wall.Add(since+offset), since)
 		if fresh {
 			if minute < last {
 				t.Fatalf("at %v a fresh minute %d after %d", since, minute, last)
@@ -123,10 +123,10 @@
 			}
 		}
 		if since == time.Hour+4*time.Minute && minute != firstMinute+64 {
-			t.Errorf("a short jump was believed: minute %d", minute-firstMinute)
+			t.Errorf("a short jump was adopted: minute %d", minute-firstMinute)
 		}
 	}
-	if minute, _ := m.Now(wall.Add(6*time.Hour+off), 6*time.Hour); minute != firstMinute+180 {
-		t.Errorf("a jump that stayed was not believed: minute %d", minute-firstMinute)
+	if minute, _ := m.Now(wall.Add(6*time.Hour+offset), 6*time.Hour); minute != firstMinute+180 {
+		t.Errorf("a persistent jump was not adopted: minute %d", minute-firstMinute)
 	}
 }
