--- a/internal/place/penalty/penalty.go
+++ b/internal/place/penalty/penalty.go
@@ -1,50 +1,53 @@
-// Package penalty is the paper's test: a load is worth it only if the idle
-// items that must go are together worth less than the item that comes.
+// Package penalty implements the paper's eviction test: a load is worthwhile only
+// if the idle items to be evicted for it have a lower total penalty than the item
+// to be loaded.
 package penalty
 
 import "time"
 
-// Of is the cost of not holding an item: requests to come times the time to
-// serve one from the cheapest replica that has it (definition 6.1).
+// Of returns the cost of not holding an item: the expected requests times the time
+// to serve one of them from the cheapest replica that holds it (definition 6.1).
 func Of(requests float64, cheapest time.Duration) float64 {
 	return requests * cheapest.Seconds()
 }
 
-// Victim is an idle item that may go.
+// Victim is an idle item that may be evicted.
 type Victim struct {
 	Item    string
 	Size    int
 	Penalty float64
 }
 
-// Verdict is the outcome of the test.
+// Result is the outcome of Evaluate.
 type Result struct {
 	Load          bool
 	Victims       []Victim
-	VictimPenalty float64 // the victims' penalties together
+	VictimPenalty float64 // total penalty of the victims
 	Freed         int
 	Reason        string
 }
 
-// Test walks the victims in the order given, greedily, until need is freed,
-// leaves out those that turned out not to be needed, and compares. Without a
-// holder anywhere (alone) there is nothing to fall back on, so room is enough.
-func Evaluate(need int, wanted float64, csf float64, alone bool, order []Victim) Result {
+// Evaluate selects victims greedily in the order given until the needed size is
+// freed, drops those that turned out to be unnecessary, and compares their total
+// penalty, multiplied by the cache stability factor csf, with that of the wanted
+// item. If no replica holds the item (noHolder), requests have no fallback, so it
+// is enough that the victims free the needed size.
+func Evaluate(needed int, wantedPenalty float64, csf float64, noHolder bool, candidates []Victim) Result {
 	v := Result{}
-	if need > 0 {
-		for _, c := range order {
+	if needed > 0 {
+		for _, c := range candidates {
 			v.Victims = append(v.Victims, c)
-			if v.Freed += c.Size; v.Freed >= need {
+			if v.Freed += c.Size; v.Freed >= needed {
 				break
 			}
 		}
-		if v.Freed < need {
+		if v.Freed < needed {
 			return Result{Reason: "idle items are too few to make room"}
 		}
-		// Why: a greedy walk may have picked small ones before a large one that suffices.
+		// The greedy selection may have picked small victims before a large one that suffices alone.
 		kept := v.Victims[:0:0]
 		for _, c := range v.Victims {
-			if v.Freed-c.Size >= need {
+			if v.Freed-c.Size >= needed {
 				v.Freed -= c.Size
 				continue
 			}
@@ -54,9 +57,9 @@
 		v.Victims = kept
 	}
 	switch {
-	case alone:
+	case noHolder:
 		v.Load, v.Reason = true, "no holder and the victims make room"
-	case csf*v.VictimPenalty < wanted:
+	case csf*v.VictimPenalty < wantedPenalty:
 		v.Load, v.Reason = true, "victims' penalty is below the wanted item's"
 	default:
 		v.Reason = "victims' penalty is not below the wanted item's"
--- a/internal/place/penalty/penalty_test.go
+++ b/internal/place/penalty/penalty_test.go
@@ -20,14 +20,14 @@
 		var w string
 		d.ScanArgs(t, "wanted", &w)
 		fmt.Sscan(w, &wanted)
-		var order []Victim
+		var candidates []Victim
 		for _, l := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 			var v Victim
 			if n, _ := fmt.Sscan(l, &v.Item, &v.Size, &v.Penalty); n == 3 {
-				order = append(order, v)
+				candidates = append(candidates, v)
 			}
 		}
-		v := Evaluate(need, wanted, csf, d.HasArg("alone"), order)
+		v := Evaluate(need, wanted, csf, d.HasArg("alone"), candidates)
 		out := fmt.Sprintf("load=%v sum=%g freed=%d: %s\n", v.Load, v.VictimPenalty, v.Freed, v.Reason)
 		for _, x := range v.Victims {
 			out += x.Item + " goes\n"
