--- a/internal/place/judge/bench_test.go
+++ b/internal/place/judge/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What one choice of a replica costs on a request's path.
+// Measures the choice of a replica on the request path.
 func BenchmarkBestForRequest(b *testing.B) {
 	var rs []Candidate
 	for i := range 12 {
@@ -15,7 +15,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if BestForRequest(evenWeights, rs) < 0 {
-			b.Fatal("none is free")
+			b.Fatal("no candidate was chosen")
 		}
 	}
 }
--- a/internal/place/judge/explain_test.go
+++ b/internal/place/judge/explain_test.go
@@ -17,7 +17,7 @@
 	return rs
 }
 
-// A ranking that is explained later says what it would have said at once.
+// Adding the breakdown later gives the same result as ranking with the breakdown.
 func TestWithBreakdownMatchesImmediateRanking(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -25,10 +25,10 @@
 		later := RankForLoad(evenWeights, rs)
 		for i, at := range RankForLoadWithBreakdown(evenWeights, rs) {
 			if len(later[i].Breakdown) > 0 {
-				t.Fatalf("%s has verdicts that nobody asked for", later[i].Name)
+				t.Fatalf("%s has a breakdown that was not requested", later[i].Name)
 			}
 			if got := later[i].WithBreakdown(evenWeights); !reflect.DeepEqual(got, at) || len(got.Breakdown) != len(loadCriteria) {
-				t.Fatalf("seed %d, place %d: %+v, want %+v", seed, i, got, at)
+				t.Fatalf("seed %d, index %d: %+v, want %+v", seed, i, got, at)
 			}
 		}
 		var idle []IdleItem
@@ -44,7 +44,7 @@
 	}
 }
 
-// A ranking of 140 candidates for a load, with its verdicts and without.
+// Ranks 140 candidates for a load, with and without the breakdown.
 func BenchmarkRankForLoad(b *testing.B) {
 	rs := randomCandidates(rand.New(rand.NewPCG(1, 1)), 140)
 	for name, rank := range map[string]func(map[string]float64, []Candidate) []Ranked{"explained": RankForLoadWithBreakdown, "ranked": RankForLoad} {
--- a/internal/place/judge/judge.go
+++ b/internal/place/judge/judge.go
@@ -1,5 +1,5 @@
-// Package judge weighs the verdicts of many small judges to rank candidate
-// replicas and idle victims.
+// Package judge ranks candidate replicas and eviction victims by the weighted sum
+// of several scoring criteria.
 package judge
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Verdict is one judge's opinion between 0 and 1, with its reason.
+// CriterionScore is the score of one criterion, between 0 and 1, with its reason.
 type CriterionScore struct {
 	Criterion string  `json:"judge" cbor:"1,keyasint"`
 	Value     float64 `json:"value" cbor:"2,keyasint"`
@@ -19,48 +19,50 @@
 	Veto      bool    `json:"veto,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
-// Ranked is a name with what the judges said of it.
+// Ranked is a ranked replica or item with its score.
 type Ranked struct {
 	Name          string           `json:"name" cbor:"1,keyasint"`
 	Score         float64          `json:"score" cbor:"2,keyasint"`
 	Vetoed        bool             `json:"vetoed,omitempty" cbor:"3,keyasint,omitempty"`
-	Breakdown     []CriterionScore `json:"verdicts" cbor:"4,keyasint"` // where they were asked for
-	loadCandidate *Candidate       // what was looked at in a candidate for a load
+	Breakdown     []CriterionScore `json:"verdicts" cbor:"4,keyasint"` // only set where requested
+	loadCandidate *Candidate       // input of the load criteria, for WithBreakdown
 }
 
-// Replica is what judges look at in a candidate replica.
+// Candidate holds the properties of a replica that the criteria score.
 type Candidate struct {
 	Name              string
-	WarmShare         float64 // share of the prompt that is warm there, as far as is known
-	RendezvousShare   float64 // rendezvous share of the prompt
+	WarmShare         float64 // known share of the prompt that is warm on the replica
+	RendezvousShare   float64 // rendezvous hash of the prompt and the replica, between 0 and 1
 	Inflight          int
 	Slots             int
 	ServeTime         time.Duration
 	SameZone          bool
 	Leaving           bool
 	Loaded            bool // model and adapter are loaded
-	Fits              bool // could ever hold it
+	Fits              bool // false if the replica can never hold the item
 	FreeMib           int
 	NeedMib           int
 	FreeAdapterPlaces int
 	Copies            int // copies of the item in the replica's zone
-	// Share is 1 where the request pushes out nothing that another tenant, or a more urgent class, keeps warm; 0 without tenants.
+	// TenantShare is 1 where the request evicts nothing that another tenant, or a more urgent class, keeps warm; 0 without
+	// tenants.
 	TenantShare float64
-	// Wait is how long the first event is predicted to take there, with what it holds up there.
+	// PredictedWait is the predicted time to the first event of the answer, including the delay that the request causes to
+	// others on the replica.
 	PredictedWait time.Duration
 }
 
-// Idle is what judges look at in an idle item that may go.
+// IdleItem holds the properties of an idle item that the victim criteria score.
 type IdleItem struct {
 	Name     string        `cbor:"1,keyasint"`
 	SizeMib  int           `cbor:"2,keyasint"`
 	Penalty  float64       `cbor:"3,keyasint"`
 	IdleFor  time.Duration `cbor:"4,keyasint"`
-	Copies   int           `cbor:"5,keyasint"` // copies of it elsewhere
-	Adapters int           `cbor:"6,keyasint"` // adapters that would go with it
+	Copies   int           `cbor:"5,keyasint"` // copies on other replicas
+	Adapters int           `cbor:"6,keyasint"` // adapters that would be evicted with it
 }
 
-// A replicaJudge looks; why is asked only where the verdict is kept.
+// replicaCriterion scores one property of a candidate replica. reason is called only where a breakdown is requested.
 type replicaCriterion struct {
 	name   string
 	score  func(Candidate) (value float64, veto bool)
@@ -80,17 +82,17 @@
 	return 1, false
 }
 
-// known is how much what is known to be warm counts against where it should be.
+// observedWarmthWeight is the weight of the known warm share relative to the rendezvous share.
 const observedWarmthWeight = 0.5
 
-// waitScale is the predicted wait that halves the verdict on it.
+// halfScoreWait is the predicted wait at which the score is 0.5.
 const halfScoreWait = 100 * time.Millisecond
 
-// forRoute rank the replicas that may serve a request now.
+// routeCriteria rank the replicas that may serve a request now.
 var routeCriteria = []replicaCriterion{
 	{name: "warmth", score: func(r Candidate) (float64, bool) {
-		// Why: of what is warm nowhere the rendezvous share decides, so that all proxies warm the same replica; a
-		// beginning that everybody shares is warm in many places and must not outweigh it.
+		// For a prompt that is warm nowhere the rendezvous share decides, so that all proxies warm the same replica. A
+		// prefix shared by many prompts is warm on many replicas and must not outweigh it.
 		return (1-observedWarmthWeight)*clamp(r.RendezvousShare) + observedWarmthWeight*clamp(r.WarmShare), false
 	}},
 	{name: "wait", score: func(r Candidate) (float64, bool) {
@@ -108,7 +110,7 @@
 	{name: "share", score: func(r Candidate) (float64, bool) { return clamp(r.TenantShare), false }},
 }
 
-// forLoad rank the replicas that might load an item.
+// loadCriteria rank the replicas that may load an item.
 var loadCriteria = []replicaCriterion{
 	{"room", func(r Candidate) (float64, bool) {
 		switch {
@@ -121,17 +123,17 @@
 	}, func(r Candidate) string {
 		switch {
 		case !r.Fits:
-			return "can never hold it"
+			return "unable to hold the item"
 		case r.NeedMib <= 0:
-			return "has the model already"
+			return "already holds the model"
 		}
 		return fmt.Sprintf("%d MiB free of %d needed", r.FreeMib, r.NeedMib)
 	}},
 	{"adapters", func(r Candidate) (float64, bool) { return clamp(float64(r.FreeAdapterPlaces) / 4), false },
 		func(r Candidate) string { return fmt.Sprintf("%d adapter places free", r.FreeAdapterPlaces) }},
 	{"load", func(r Candidate) (float64, bool) { return freeShare(r), false },
-		func(r Candidate) string { return fmt.Sprintf("%d of %d places taken", r.Inflight, r.Slots) }},
-	{"serve", serveTimeScore, func(r Candidate) string { return "serves in " + r.ServeTime.String() }},
+		func(r Candidate) string { return fmt.Sprintf("%d of %d slots in use", r.Inflight, r.Slots) }},
+	{"serve", serveTimeScore, func(r Candidate) string { return "serve time " + r.ServeTime.String() }},
 	{"copies", func(r Candidate) (float64, bool) { return 1 / (1 + float64(r.Copies)), false },
 		func(r Candidate) string { return fmt.Sprintf("%d copies in its zone", r.Copies) }},
 	{"drain", drainScore, func(r Candidate) string {
@@ -142,25 +144,26 @@
 	}},
 }
 
-// Best is the replica to send a request to, by its place in the list; -1 when
-// each is vetoed. Requests wait on it, so no reasons are made.
+// BestForRequest returns the index of the replica to send a request to, or -1 if
+// all are vetoed. It is on the request path, so it builds no breakdown.
 func BestForRequest(weights map[string]float64, rs []Candidate) int {
-	best, top := -1, 0.0
+	best, bestScore := -1, 0.0
 	for i, r := range rs {
-		score, out := 0.0, false
-		for _, j := range routeCriteria {
-			value, veto := j.score(r)
-			score += value * weights[j.name]
-			out = out || veto
+		score, vetoed := 0.0, false
+		for _, c := range routeCriteria {
+			value, veto := c.score(r)
+			score += value * weights[c.name]
+			vetoed = vetoed || veto
 		}
-		if !out && (best < 0 || score > top || score == top && r.Name < rs[best].Name) {
-			best, top = i, score
+		if !vetoed && (best < 0 || score > bestScore || score == bestScore && r.Name < rs[best].Name) {
+			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
-// Load ranks replicas for a load, best first; vetoed ones come last.
+// RankForLoadWithBreakdown ranks replicas for a load, best first and vetoed ones
+// last, and includes the score of each criterion.
 func RankForLoadWithBreakdown(weights map[string]float64, rs []Candidate) []Ranked {
 	out := RankForLoad(weights, rs)
 	for i := range out {
@@ -169,30 +172,32 @@
 	return out
 }
 
-// RankLoad is Load without the verdicts, which Explained gives later; until then
-// nobody may change rs. Why: nearly all rankings are never read, and the verdicts on 140 replicas are 90 KB.
+// RankForLoad is RankForLoadWithBreakdown without the breakdown, which WithBreakdown
+// adds later; until then rs must not be modified. Nearly all rankings are never
+// read, and the breakdown for 140 replicas takes 90 KB.
 func RankForLoad(weights map[string]float64, rs []Candidate) []Ranked {
 	out := make([]Ranked, 0, len(rs))
 	for i, r := range rs {
-		one := Ranked{Name: r.Name, loadCandidate: &rs[i]}
-		for _, j := range loadCriteria {
-			value, veto := j.score(r)
-			one.addScore(value, weights[j.name], veto)
+		entry := Ranked{Name: r.Name, loadCandidate: &rs[i]}
+		for _, c := range loadCriteria {
+			value, veto := c.score(r)
+			entry.addScore(value, weights[c.name], veto)
 		}
-		out = append(out, one)
+		out = append(out, entry)
 	}
 	return sortRanked(out)
 }
 
-// Explained adds the verdicts of the judges for a load, under the weights that it was ranked with.
+// WithBreakdown returns r with the score of each load criterion; weights must be those it was ranked with. A value that
+// RankForLoad did not return is returned unchanged.
 func (r Ranked) WithBreakdown(weights map[string]float64) Ranked {
 	if r.loadCandidate == nil {
 		return r
 	}
 	r.Breakdown = make([]CriterionScore, 0, len(loadCriteria))
-	for _, j := range loadCriteria {
-		value, veto := j.score(*r.loadCandidate)
-		r.Breakdown = append(r.Breakdown, CriterionScore{Criterion: j.name, Value: value, Weight: weights[j.name], Reason: j.reason(*r.loadCandidate), Veto: veto})
+	for _, c := range loadCriteria {
+		value, veto := c.score(*r.loadCandidate)
+		r.Breakdown = append(r.Breakdown, CriterionScore{Criterion: c.name, Value: value, Weight: weights[c.name], Reason: c.reason(*r.loadCandidate), Veto: veto})
 	}
 	return r
 }
@@ -215,74 +220,75 @@
 	return out
 }
 
-// An idleJudge looks at an idle item, whose penalty for each MiB is compared with the dearest.
+// victimCriterion scores one property of an idle item; maxPerMib is the highest penalty per MiB of all items ranked.
 type victimCriterion struct {
 	name   string
-	score  func(i IdleItem, dearest float64) float64
+	score  func(i IdleItem, maxPerMib float64) float64
 	reason func(IdleItem) string
 }
 
-// forVictims rank the idle items that may go.
+// victimCriteria rank the idle items that may be evicted.
 var victimCriteria = []victimCriterion{
-	{"demand", func(i IdleItem, dearest float64) float64 {
-		if dearest <= 0 {
+	{"demand", func(i IdleItem, maxPerMib float64) float64 {
+		if maxPerMib <= 0 {
 			return 1
 		}
-		return clamp(1 - i.penaltyPerMib()/dearest)
+		return clamp(1 - i.penaltyPerMib()/maxPerMib)
 	}, func(i IdleItem) string { return fmt.Sprintf("penalty %.1f for %d MiB", i.Penalty, i.SizeMib) }},
 	{"recency", func(i IdleItem, _ float64) float64 { return clamp(i.IdleFor.Minutes() / 60) },
 		func(i IdleItem) string { return "idle for " + i.IdleFor.Round(time.Second).String() }},
 	{"copies", func(i IdleItem, _ float64) float64 { return clamp(float64(i.Copies) / 2) },
-		func(i IdleItem) string { return fmt.Sprintf("%d copies elsewhere", i.Copies) }},
+		func(i IdleItem) string { return fmt.Sprintf("%d copies on other replicas", i.Copies) }},
 	{"adapters", func(i IdleItem, _ float64) float64 { return 1 / (1 + float64(i.Adapters)) },
-		func(i IdleItem) string { return fmt.Sprintf("%d adapters go with it", i.Adapters) }},
+		func(i IdleItem) string { return fmt.Sprintf("%d adapters evicted with it", i.Adapters) }},
 }
 
 func (i IdleItem) penaltyPerMib() float64 { return i.Penalty / float64(max(i.SizeMib, 1)) }
 
-// dearestOf is the highest penalty for a MiB. Why: penalties have no upper end, so
-// they are compared with the dearest.
+// maxPenaltyPerMib returns the highest penalty per MiB of the items. Penalties have
+// no upper bound, so scores are relative to the highest.
 func maxPenaltyPerMib(idle []IdleItem) float64 {
-	dearest := 0.0
+	maxPerMib := 0.0
 	for _, i := range idle {
-		dearest = math.Max(dearest, i.penaltyPerMib())
+		maxPerMib = math.Max(maxPerMib, i.penaltyPerMib())
 	}
-	return dearest
+	return maxPerMib
 }
 
-// Victims ranks idle items, the one best let go first.
+// RankVictimsWithBreakdown ranks idle items, the best eviction victim first, and
+// includes the score of each criterion.
 func RankVictimsWithBreakdown(weights map[string]float64, idle []IdleItem) []Ranked {
-	dearest := maxPenaltyPerMib(idle)
+	maxPerMib := maxPenaltyPerMib(idle)
 	out := make([]Ranked, 0, len(idle))
 	for _, i := range idle {
-		one := rankVictim(weights, i, dearest)
-		for _, j := range victimCriteria {
-			one.Breakdown = append(one.Breakdown, CriterionScore{Criterion: j.name, Value: j.score(i, dearest), Weight: weights[j.name], Reason: j.reason(i)})
+		entry := rankVictim(weights, i, maxPerMib)
+		for _, c := range victimCriteria {
+			entry.Breakdown = append(entry.Breakdown, CriterionScore{Criterion: c.name, Value: c.score(i, maxPerMib), Weight: weights[c.name], Reason: c.reason(i)})
 		}
-		out = append(out, one)
+		out = append(out, entry)
 	}
 	return sortRanked(out)
 }
 
-// RankVictims is Victims without the verdicts.
+// RankVictims is RankVictimsWithBreakdown without the breakdown.
 func RankVictims(weights map[string]float64, idle []IdleItem) []Ranked {
-	dearest := maxPenaltyPerMib(idle)
+	maxPerMib := maxPenaltyPerMib(idle)
 	out := make([]Ranked, 0, len(idle))
 	for _, i := range idle {
-		out = append(out, rankVictim(weights, i, dearest))
+		out = append(out, rankVictim(weights, i, maxPerMib))
 	}
 	return sortRanked(out)
 }
 
-func rankVictim(weights map[string]float64, i IdleItem, dearest float64) Ranked {
-	one := Ranked{Name: i.Name}
-	for _, j := range victimCriteria {
-		one.addScore(j.score(i, dearest), weights[j.name], false)
+func rankVictim(weights map[string]float64, i IdleItem, maxPerMib float64) Ranked {
+	entry := Ranked{Name: i.Name}
+	for _, c := range victimCriteria {
+		entry.addScore(c.score(i, maxPerMib), weights[c.name], false)
 	}
-	return one
+	return entry
 }
 
-// String puts a ranking on one line for logs.
+// String formats the entry on one line for logs.
 func (r Ranked) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %.2f", r.Name, r.Score)
--- a/internal/place/judge/judge_test.go
+++ b/internal/place/judge/judge_test.go
@@ -20,7 +20,7 @@
 	return strings.Join(out, " ")
 }
 
-// Each judge alone turns a tie, and its weight decides how far.
+// Each criterion alone breaks a tie, unless its weight is 0.
 func TestEachCriterionBreaksATie(t *testing.T) {
 	base := Candidate{Slots: 4, Inflight: 1, ServeTime: time.Second, Fits: true, FreeMib: 5, NeedMib: 10, FreeAdapterPlaces: 1, Copies: 1}
 	with := func(name string, f func(*Candidate)) Candidate {
@@ -29,36 +29,36 @@
 		f(&r)
 		return r
 	}
-	for judge, f := range map[string]func(*Candidate){
+	for criterion, f := range map[string]func(*Candidate){
 		"warmth": func(r *Candidate) { r.WarmShare = 1 }, "load": func(r *Candidate) { r.Inflight = 0 }, "zone": func(r *Candidate) { r.SameZone = true },
 		"serve": func(r *Candidate) { r.ServeTime = 0 }, "share": func(r *Candidate) { r.TenantShare = 1 },
 	} {
 		rs := []Candidate{with("a", func(*Candidate) {}), with("b", f)}
 		if got := BestForRequest(evenWeights, rs); got != 1 {
-			t.Errorf("route, %s: %d", judge, got)
+			t.Errorf("route, %s: got index %d, want 1", criterion, got)
 		}
-		if got := BestForRequest(map[string]float64{judge: 0}, rs); got != 0 {
-			t.Errorf("route, %s without weight: %d", judge, got)
+		if got := BestForRequest(map[string]float64{criterion: 0}, rs); got != 0 {
+			t.Errorf("route, %s with weight 0: got index %d, want 0", criterion, got)
 		}
 	}
-	for judge, f := range map[string]func(*Candidate){
+	for criterion, f := range map[string]func(*Candidate){
 		"room": func(r *Candidate) { r.FreeMib = 10 }, "adapters": func(r *Candidate) { r.FreeAdapterPlaces = 4 }, "load": func(r *Candidate) { r.Inflight = 0 },
 		"serve": func(r *Candidate) { r.ServeTime = 0 }, "copies": func(r *Candidate) { r.Copies = 0 },
 	} {
 		if got := names(RankForLoadWithBreakdown(evenWeights, []Candidate{with("a", func(*Candidate) {}), with("b", f)})); got != "b a" {
-			t.Errorf("load, %s: %s", judge, got)
+			t.Errorf("load, %s: got order %s, want b a", criterion, got)
 		}
 	}
 	vetoes := []Candidate{with("leaves", func(r *Candidate) { r.Leaving = true; r.WarmShare = 1; r.SameZone = true }), with("small", func(r *Candidate) { r.Fits = false }), with("ok", func(*Candidate) {})}
 	if got := names(RankForLoadWithBreakdown(evenWeights, vetoes)); !strings.HasPrefix(got, "ok !") {
-		t.Errorf("vetoed candidates: %s", got)
+		t.Errorf("vetoed candidates are not last: %s", got)
 	}
 	full := with("full", func(r *Candidate) { r.Inflight = 4; r.WarmShare = 1 })
 	if got := BestForRequest(evenWeights, []Candidate{full, with("free", func(*Candidate) {})}); got != 1 {
-		t.Errorf("a full replica: %d", got)
+		t.Errorf("full replica vetoed: got index %d, want 1", got)
 	}
 	if got := BestForRequest(evenWeights, []Candidate{full, vetoes[0]}); got != -1 {
-		t.Errorf("only vetoed ones: %d", got)
+		t.Errorf("all candidates vetoed: got index %d, want -1", got)
 	}
 }
 
@@ -68,16 +68,16 @@
 		{Name: "cheap", SizeMib: 10, Penalty: 1, IdleFor: time.Minute},
 		{Name: "old", SizeMib: 10, Penalty: 1, IdleFor: time.Hour},
 		{Name: "copied", SizeMib: 10, Penalty: 1, IdleFor: time.Minute, Copies: 2},
-		{Name: "laden", SizeMib: 10, Penalty: 1, IdleFor: time.Minute, Adapters: 3},
+		{Name: "with-adapters", SizeMib: 10, Penalty: 1, IdleFor: time.Minute, Adapters: 3},
 	}
 	got := names(RankVictimsWithBreakdown(evenWeights, idle))
-	if !strings.HasSuffix(got, "cheap laden wanted") || !strings.HasPrefix(got, "copied old") {
+	if !strings.HasSuffix(got, "cheap with-adapters wanted") || !strings.HasPrefix(got, "copied old") {
 		t.Errorf("order of victims: %s", got)
 	}
 	for _, r := range RankVictimsWithBreakdown(evenWeights, idle) {
 		for _, v := range r.Breakdown {
 			if v.Value < 0 || v.Value > 1 || v.Reason == "" {
-				t.Errorf("verdict out of bounds or without a reason: %+v", v)
+				t.Errorf("criterion score out of bounds or without a reason: %+v", v)
 			}
 		}
 	}
