--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -202,7 +202,7 @@
 		Addr: c.addrOf, Rank: c.voters, Behind: func(v state.Core) { c.set.Behind(v) }, Quarantine: s.Bounds.Lease, OwnQuarantine: ownQuarantine, Handback: s.Cadence.Handback, OnTake: c.onTake})
 	c.lag = load.NewLag(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.own, Gossip: c.gossip,
-		Reports: c.reports, Conf: c.effective, Statuses: c.views.Statuses, Consider: c.consider, ConsiderAll: c.considerAll, SharePredictions: c.tellShared, Busy: c.lag.Busy})
+		Reports: c.reports, Conf: c.effective, Views: c.views.Statuses, Ask: c.consider, AskAll: c.considerAll, Tell: c.tellShared, Busy: c.lag.Busy})
 	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
 		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Taken, error) {
 			return wire.CallLarge[relay.Taken](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
--- a/internal/place/order/consider.go
+++ b/internal/place/order/consider.go
@@ -88,7 +88,7 @@
 		order, idle, used := c.idle(cfg, item, false)
 		out.IdleModels = idle
 		v := penalty.Evaluate(needMib, wanted, cfg.Limits.Csf, alone, order)
-		out.Why, out.Sum = v.Reason, v.VictimPenalty
+		out.Why, out.Sum = v.Reason, v.Sum
 		if !v.Load {
 			out.Soon = soon(needMib, used, order)
 			return out
@@ -119,7 +119,7 @@
 			out.Soon = soon(needPlaces, used, rest)
 			return out
 		}
-		out.Sum += v.VictimPenalty
+		out.Sum += v.Sum
 		for _, x := range v.Victims {
 			victims = append(victims, conf.ParseItem(x.Item))
 		}
--- a/internal/place/plan/ask.go
+++ b/internal/place/plan/ask.go
@@ -18,7 +18,7 @@
 func (p *Planner) askController(ctx context.Context, d Decision, controller, replica string, dry bool) (a order.Considered, unsure bool) {
 	one, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 	defer cancel()
-	a, err := p.d.Consider(one, controller, d.considerRequest(replica, dry))
+	a, err := p.d.Ask(one, controller, d.considerRequest(replica, dry))
 	if err != nil {
 		// Why: one that gave no answer may have taken it; its status will tell before the next decision.
 		return order.Unheard(err), !dry && wire.Code(err) != "not-owner"
@@ -75,10 +75,10 @@
 
 // askBatch asks one controller about several replicas, dry.
 func (p *Planner) askBatch(ctx context.Context, d Decision, controller string, replicas []string) []order.Considered {
-	if p.d.ConsiderAll != nil && len(replicas) > 1 {
+	if p.d.AskAll != nil && len(replicas) > 1 {
 		one, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 		defer cancel()
-		return p.d.ConsiderAll(one, controller, order.ConsiderAll{Ask: d.considerRequest("", true), Replicas: replicas})
+		return p.d.AskAll(one, controller, order.ConsiderAll{Ask: d.considerRequest("", true), Replicas: replicas})
 	}
 	answers := make([]order.Considered, len(replicas))
 	type answered struct {
--- a/internal/place/plan/ask_test.go
+++ b/internal/place/plan/ask_test.go
@@ -28,7 +28,7 @@
 		return order.Considered{Why: replica, Taken: replica == "d" || replica == "e", Starts: 1, Sum: map[string]float64{"d": 2, "e": 1}[replica]}
 	}
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Consider: func(_ context.Context, controller string, q order.Consider) (order.Considered, error) {
+		Ask: func(_ context.Context, controller string, q order.Consider) (order.Considered, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			if q.Dry {
@@ -38,7 +38,7 @@
 			}
 			return answer(q.Replica), nil
 		},
-		ConsiderAll: func(_ context.Context, controller string, q order.ConsiderAll) []order.Considered {
+		AskAll: func(_ context.Context, controller string, q order.ConsiderAll) []order.Considered {
 			mu.Lock()
 			defer mu.Unlock()
 			var out []order.Considered
@@ -118,7 +118,7 @@
 	g := run.NewGroup(context.Background())
 	t.Cleanup(g.Stop)
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Busy: busy,
-		Consider: func(context.Context, string, order.Consider) (order.Considered, error) { return answer() }}, items: map[conf.Item]*itemState{}}
+		Ask: func(context.Context, string, order.Consider) (order.Considered, error) { return answer() }}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	d := Decision{Item: "m"}
 	for i := range 2 * maxCandidates {
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -78,10 +78,10 @@
 			switch {
 			case d.AcceptedBy != "" || !soon:
 				i.blockedSince = 0
-			case i.blockedSince == 0 || now-i.blockedSince > 2*busyVictimGrace:
+			case i.blockedSince == 0 || now-i.blockedSince > 2*transientBlockGrace:
 				i.blockedSince = now
 			}
-			if i.blockedSince > 0 && now-i.blockedSince < busyVictimGrace {
+			if i.blockedSince > 0 && now-i.blockedSince < transientBlockGrace {
 				e = Expectation{Retrying: true, Reason: "what could make room is in use"}
 			}
 		}
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -24,7 +24,7 @@
 
 func (p *Planner) demandParams() demand.Params {
 	l := p.d.Conf().Limits
-	return demand.Params{UnitsPerDay: int64(l.Epoch), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
+	return demand.Params{Day: int64(l.Epoch), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
 }
 
 // clock counts units of the length now in force.
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	busyVictimGrace    = 5 * time.Second // for what stands in the way of a load and will pass
-	claimRetryInterval = 5 * time.Second // between two looks at a claim that could not be met
-	paceUseTTL         = 6 * time.Second // what the store's keeper told holds so long
-	maxCandidates      = 16              // candidates asked for one decision at most
-	minCandidates      = 5               // candidates asked by a core that has no processor time to spare
-	maxDecisionsKept   = 200             // kept for explaining
-	maxItems           = 20_000
+	transientBlockGrace = 5 * time.Second // for what stands in the way of a load and will pass
+	claimRetryInterval  = 5 * time.Second // between two looks at a claim that could not be met
+	paceUseTTL          = 6 * time.Second // what the store's keeper told holds so long
+	maxCandidates       = 16              // candidates asked for one decision at most
+	minCandidates       = 5               // candidates asked by a core that has no processor time to spare
+	maxDecisionsKept    = 200             // kept for explaining
+	maxItems            = 20_000
 	// pressedFew is how many answers of an item must have been held up lately for another copy to be thought of.
 	// Why: an answer now and then is held up by what others ask of the same replica.
 	minDelayedAnswers = 4
@@ -36,24 +36,24 @@
 
 // Deps is what the planner needs from the core.
 type Deps struct {
-	Group    *run.Group
-	Clock    tick.Clock
-	Log      *slog.Logger
-	Self     string
-	Cadence  bounds.Cadence
-	Store    bounds.Store
-	Owner    *owner.Owner
-	Gossip   *gossip.Table
-	Reports  *report.Table
-	Conf     func() conf.Effective
-	Statuses func() order.Statuses
+	Group   *run.Group
+	Clock   tick.Clock
+	Log     *slog.Logger
+	Self    string
+	Cadence bounds.Cadence
+	Store   bounds.Store
+	Owner   *owner.Owner
+	Gossip  *gossip.Table
+	Reports *report.Table
+	Conf    func() conf.Effective
+	Views   func() order.Statuses
 	// Ask reaches the controller of a replica, on whichever core it is.
-	Consider func(ctx context.Context, controller string, q order.Consider) (order.Considered, error)
+	Ask func(ctx context.Context, controller string, q order.Consider) (order.Considered, error)
 	// AskAll asks the controller of several replicas at once, dry; order.Unheard stands for an answer that did not
 	// come. Nil asks one by one.
-	ConsiderAll func(ctx context.Context, controller string, q order.ConsiderAll) []order.Considered
+	AskAll func(ctx context.Context, controller string, q order.ConsiderAll) []order.Considered
 	// Tell shares predictions with the other cores.
-	SharePredictions func(ctx context.Context, s SharedPredictions)
+	Tell func(ctx context.Context, s SharedPredictions)
 	// Busy says that this core has no processor time to spare; nil is never.
 	Busy func() bool
 }
--- a/internal/place/plan/schedule.go
+++ b/internal/place/plan/schedule.go
@@ -37,7 +37,7 @@
 	if room <= 0 {
 		return // the one that ends first calls for another look
 	}
-	views := p.d.Statuses()
+	views := p.d.Views()
 	var due []Decision
 	for it, n := range waits {
 		if p.inProgress[subject{item: it}] {
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -130,7 +130,7 @@
 	warm, home := k.warmth.warm(t.Prompt), binary.LittleEndian.AppendUint64(nil, t.Prompt.home())
 	out := facts[:0]
 	for _, f := range facts {
-		f.WarmShare, f.RendezvousShare = warm[f.Name], float64(share.Draw(home, f.Name)>>11)/(1<<53)
+		f.WarmShare, f.Home = warm[f.Name], float64(share.Draw(home, f.Name)>>11)/(1<<53)
 		if r := s.Replicas[f.Name]; r.Told {
 			uncached := t.Prompt.uncached(f.WarmShare)
 			if k.swamped(r, uncached, t.Route.GapTarget, now) {
