--- a/internal/place/judge/judge_test.go
+++ b/internal/place/judge/judge_test.go
@@ -68,10 +68,10 @@
 		{Name: "cheap", SizeMib: 10, Penalty: 1, IdleFor: time.Minute},
 		{Name: "old", SizeMib: 10, Penalty: 1, IdleFor: time.Hour},
 		{Name: "copied", SizeMib: 10, Penalty: 1, IdleFor: time.Minute, Copies: 2},
-		{Name: "with-adapters", SizeMib: 10, Penalty: 1, IdleFor: time.Minute, Adapters: 3},
+		{Name: "laden", SizeMib: 10, Penalty: 1, IdleFor: time.Minute, Adapters: 3},
 	}
 	got := names(RankVictimsWithBreakdown(evenWeights, idle))
-	if !strings.HasSuffix(got, "cheap with-adapters wanted") || !strings.HasPrefix(got, "copied old") {
+	if !strings.HasSuffix(got, "cheap laden wanted") || !strings.HasPrefix(got, "copied old") {
 		t.Errorf("order of victims: %s", got)
 	}
 	for _, r := range RankVictimsWithBreakdown(evenWeights, idle) {
--- a/internal/place/plan/ask.go
+++ b/internal/place/plan/ask.go
@@ -8,40 +8,41 @@
 	"drumstall.example/internal/place/order"
 )
 
-// question is what is asked about a decision's load on a replica.
+// considerRequest builds the request that asks whether a replica takes on the load of the decision.
 func (d Decision) considerRequest(replica string, dry bool) order.Consider {
 	return order.Consider{Replica: replica, Item: d.Item, Penalty: d.Penalty, Alone: d.BypassTest, Claim: d.isClaim, Dry: dry, CostMs: int(d.CheapestMs)}
 }
 
-// ask asks the controller of one replica. unsure says that it may have taken the load
-// on without our hearing of it. Several are asked at once, so asking writes nothing that is shared.
+// askController asks the controller of one replica. unsure is true if the controller
+// may have accepted the load although no answer arrived. Several calls run
+// concurrently, so it must not modify shared state.
 func (p *Planner) askController(ctx context.Context, d Decision, controller, replica string, dry bool) (a order.Considered, unsure bool) {
-	one, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
+	askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 	defer cancel()
-	a, err := p.d.Ask(one, controller, d.considerRequest(replica, dry))
+	a, err := p.d.Ask(askCtx, controller, d.considerRequest(replica, dry))
 	if err != nil {
-		// Why: one that gave no answer may have taken it; its status will tell before the next decision.
+		// A controller that did not answer may have accepted the load; its status shows it before the next decision.
 		return order.Unheard(err), !dry && wire.Code(err) != "not-owner"
 	}
 	return a, false
 }
 
-// batch is replicas of one controller, as indexes of the names asked.
+// controllerBatch holds the replicas of one controller, as indexes into the list of candidates.
 type controllerBatch struct {
 	controller string
 	indexes    []int
 }
 
-// batches puts together what one controller is asked.
-func groupByController(names []string, by map[string]order.Status) []controllerBatch {
+// groupByController groups the replicas by their controller.
+func groupByController(names []string, statusOf map[string]order.Status) []controllerBatch {
 	var out []controllerBatch
-	at := map[string]int{}
+	batchOf := map[string]int{}
 	for i, name := range names {
-		controller := by[name].Controller
-		n, known := at[controller]
+		controller := statusOf[name].Controller
+		n, known := batchOf[controller]
 		if !known {
 			n = len(out)
-			at[controller] = n
+			batchOf[controller] = n
 			out = append(out, controllerBatch{controller: controller})
 		}
 		out[n].indexes = append(out[n].indexes, i)
@@ -49,41 +50,42 @@
 	return out
 }
 
-// askDry asks the controllers of all replicas at once what would go there.
-func (p *Planner) askDry(ctx context.Context, d Decision, names []string, by map[string]order.Status) []order.Considered {
+// askDry asks the controllers of all replicas concurrently what the load would evict there, without ordering it. Answers are in
+// the order of names.
+func (p *Planner) askDry(ctx context.Context, d Decision, names []string, statusOf map[string]order.Status) []order.Considered {
 	answers := make([]order.Considered, len(names))
 	type answered struct {
-		of []int
-		as []order.Considered
+		indexes []int
+		answers []order.Considered
 	}
-	todo := groupByController(names, by)
-	ch := run.Fan(p.d.Group, len(todo), func(_ context.Context, n int) answered {
+	batches := groupByController(names, statusOf)
+	ch := run.Fan(p.d.Group, len(batches), func(_ context.Context, n int) answered {
 		var replicas []string
-		for _, i := range todo[n].indexes {
+		for _, i := range batches[n].indexes {
 			replicas = append(replicas, names[i])
 		}
-		return answered{todo[n].indexes, p.askBatch(ctx, d, todo[n].controller, replicas)}
+		return answered{batches[n].indexes, p.askBatch(ctx, d, batches[n].controller, replicas)}
 	})
-	for range todo {
+	for range batches {
 		got := <-ch
-		for k, i := range got.of {
-			answers[i] = got.as[k]
+		for k, i := range got.indexes {
+			answers[i] = got.answers[k]
 		}
 	}
 	return answers
 }
 
-// askBatch asks one controller about several replicas, dry.
+// askBatch asks one controller about several replicas, without ordering a load.
 func (p *Planner) askBatch(ctx context.Context, d Decision, controller string, replicas []string) []order.Considered {
 	if p.d.AskAll != nil && len(replicas) > 1 {
-		one, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
+		askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 		defer cancel()
-		return p.d.AskAll(one, controller, order.ConsiderAll{Ask: d.considerRequest("", true), Replicas: replicas})
+		return p.d.AskAll(askCtx, controller, order.ConsiderAll{Ask: d.considerRequest("", true), Replicas: replicas})
 	}
 	answers := make([]order.Considered, len(replicas))
 	type answered struct {
-		i int
-		a order.Considered
+		index  int
+		answer order.Considered
 	}
 	ch := run.Fan(p.d.Group, len(replicas), func(_ context.Context, i int) answered {
 		a, _ := p.askController(ctx, d, controller, replicas[i], true)
@@ -91,7 +93,7 @@
 	})
 	for range replicas {
 		got := <-ch
-		answers[got.i] = got.a
+		answers[got.index] = got.answer
 	}
 	return answers
 }
--- a/internal/place/plan/ask_test.go
+++ b/internal/place/plan/ask_test.go
@@ -17,8 +17,8 @@
 	"drumstall.example/internal/place/order"
 )
 
-// Candidates are asked with one message for each core that controls several of them,
-// and what each says is kept as that candidate's.
+// A controller of several candidates is asked with one message, and each answer is
+// recorded for its candidate.
 func TestCandidatesOfOneControllerAreAskedInOneBatch(t *testing.T) {
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
@@ -49,23 +49,23 @@
 			return out
 		}}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
-	var views []order.Status
+	var statuses []order.Status
 	d := Decision{Item: "m", isClaim: true}
 	for replica, controller := range map[string]string{"a": "core-1", "b": "core-2", "c": "core-1", "d": "core-3", "e": "core-2"} {
-		views = append(views, order.Status{Listed: inventory.Listed{ID: replica}, Controller: controller})
+		statuses = append(statuses, order.Status{Listed: inventory.Listed{ID: replica}, Controller: controller})
 	}
 	for _, replica := range []string{"a", "b", "c", "d", "e"} {
 		d.Candidates = append(d.Candidates, judge.Ranked{Name: replica})
 	}
-	p.executeDecision(t.Context(), conf.Effective{}, d, order.NewStatuses(views))
+	p.executeDecision(t.Context(), conf.Effective{}, d, order.NewStatuses(statuses))
 	slices.Sort(batches)
 	if want := []string{"core-1 a", "core-1 c", "core-2 b", "core-2 e"}; !slices.Equal(batches, want) {
-		t.Errorf("asked at once: %v, want %v", batches, want)
+		t.Errorf("asked in a batch: %v, want %v", batches, want)
 	}
 	if want := []string{"core-3 d"}; !slices.Equal(singles, want) {
-		t.Errorf("asked alone: %v, want %v", singles, want)
+		t.Errorf("asked singly: %v, want %v", singles, want)
 	}
-	// Why: of those that agree, the one whose victims are worth least.
+	// Of the replicas that accept, the one with the lowest victim penalty is chosen.
 	if want := []string{"core-2 e"}; !slices.Equal(ordered, want) {
 		t.Errorf("ordered: %v, want %v", ordered, want)
 	}
@@ -75,7 +75,7 @@
 	}
 	for i, x := range got[0].Answers {
 		if x.Replica != d.Candidates[i].Name || x.Answer.Why != x.Replica {
-			t.Errorf("%+v at the place of %s", x, d.Candidates[i].Name)
+			t.Errorf("got answer %+v for candidate %s", x, d.Candidates[i].Name)
 		}
 	}
 }
@@ -84,12 +84,13 @@
 	for busy, want := range map[bool]int{false: maxCandidates, true: minCandidates} {
 		asked := newAskCounter(t, func() bool { return busy }, func() (order.Considered, error) { return order.Considered{Why: "no room"}, nil })
 		if got := asked(); got != want {
-			t.Errorf("busy %v: %d candidates were asked, not %d", busy, got, want)
+			t.Errorf("busy %v: %d candidates were asked, want %d", busy, got, want)
 		}
 	}
 }
 
-// Cores that did not answer in time were asked about as many candidates as before, and were later still.
+// Guards against asking overloaded cores, which do not answer in time, about as many candidates again and delaying them
+// further.
 func TestFewerCandidatesAreAskedWhileAnswersTimeOut(t *testing.T) {
 	silent := false
 	asked := newAskCounter(t, nil, func() (order.Considered, error) {
@@ -107,12 +108,12 @@
 	silent = false
 	for want := minCandidates; want <= maxCandidates; want++ {
 		if got := asked(); got != want {
-			t.Errorf("answers come in time again: %d candidates were asked, want %d", got, want)
+			t.Errorf("after answers arrive in time again: %d candidates were asked, want %d", got, want)
 		}
 	}
 }
 
-// asking has a planner make one decision at each call, and gives how many candidates it asked.
+// newAskCounter returns a function that lets a planner make one decision and returns how many candidates it asked.
 func newAskCounter(t *testing.T, busy func() bool, answer func() (order.Considered, error)) func() int {
 	t.Helper()
 	g := run.NewGroup(context.Background())
--- a/internal/place/plan/candidatelimit.go
+++ b/internal/place/plan/candidatelimit.go
@@ -7,27 +7,27 @@
 	"drumstall.example/internal/place/order"
 )
 
-// breadth is how many candidates are asked for one decision, between the fewest and the most: fewer after controllers have
-// not answered in time, and more again, one by one, while they do. Why: each question weighs all that might go at a
-// replica, so cores that come late to their work are later still if they are asked about as many as before.
-// Decisions that are made side by side share it.
+// candidateLimit adapts the number of candidates asked for one decision, between minCandidates and maxCandidates. It is
+// halved when controllers did not answer in time and grows by one for each decision whose answers all arrived. For each
+// question a controller scores all possible victims of a replica, so asking overloaded cores about as many
+// candidates would delay them further. Concurrent decisions share one limit.
 type candidateLimit struct{ reduction atomic.Int32 }
 
-// now is how many candidates are asked.
-func (b *candidateLimit) current() int {
-	return max(maxCandidates-int(b.reduction.Load()), minCandidates)
+// current returns the number of candidates to ask.
+func (l *candidateLimit) current() int {
+	return max(maxCandidates-int(l.reduction.Load()), minCandidates)
 }
 
-// heard notes the answers of one decision.
-func (b *candidateLimit) update(answers []order.Considered) {
+// update adapts the limit to the answers of one decision.
+func (l *candidateLimit) update(answers []order.Considered) {
 	if len(answers) == 0 {
 		return
 	}
-	now := b.current()
+	limit := l.current()
 	if slices.ContainsFunc(answers, func(a order.Considered) bool { return a.Silent }) {
-		now = max(now/2, minCandidates)
+		limit = max(limit/2, minCandidates)
 	} else {
-		now = min(now+1, maxCandidates)
+		limit = min(limit+1, maxCandidates)
 	}
-	b.reduction.Store(int32(maxCandidates - now))
+	l.reduction.Store(int32(maxCandidates - limit))
 }
--- a/internal/place/plan/claims.go
+++ b/internal/place/plan/claims.go
@@ -14,32 +14,32 @@
 	"drumstall.example/internal/place/penalty"
 )
 
-// claims prepares decisions about copies that claims want and that are missing.
-func (p *Planner) claimDecisions(cfg conf.Effective, views order.Statuses, now time.Duration) []Decision {
+// claimDecisions prepares decisions for missing copies that claims require.
+func (p *Planner) claimDecisions(cfg conf.Effective, statuses order.Statuses, now time.Duration) []Decision {
 	var out []Decision
 	unmet := map[string]string{}
 	for _, want := range cfg.Claimed() {
 		if !p.ownsItem(want.Item) {
 			continue
 		}
-		have, ready := 0, 0
-		for _, v := range views.All {
+		copies, ready := 0, 0
+		for _, v := range statuses.All {
 			s := v.Items[want.Item.String()]
 			if v.Dark || v.Listed.Leaving || !want.Group.Matches(labels.Set(v.Listed.Labels)) {
 				continue
 			}
 			if s == backend.Loaded || s == backend.Loading || s == order.Reserved {
-				have++
+				copies++
 			}
 			if s == backend.Loaded {
 				ready++
 			}
 		}
-		at := want.Claim + ": " + want.Item.String()
+		key := want.Claim + ": " + want.Item.String()
 		if ready < want.Copies {
-			unmet[at] = fmt.Sprintf("%d of %d copies are ready, %d on the way", ready, want.Copies, have-ready)
+			unmet[key] = fmt.Sprintf("%d of %d copies are ready, %d loading", ready, want.Copies, copies-ready)
 		}
-		if have >= want.Copies || now-p.claimDecidedAt[want.Item] < claimRetryInterval && p.claimDecidedAt[want.Item] != 0 {
+		if copies >= want.Copies || now-p.claimDecidedAt[want.Item] < claimRetryInterval && p.claimDecidedAt[want.Item] != 0 {
 			continue
 		}
 		m := cfg.Models[want.Item.Model]
@@ -53,7 +53,7 @@
 	return out
 }
 
-// Unmet lists claims whose copies are not all ready.
+// UnmetClaims returns the claims whose copies are not all ready, with the number of copies.
 func (p *Planner) UnmetClaims(ctx context.Context) map[string]string {
 	out := map[string]string{}
 	_ = p.actor.Ask(ctx, func() {
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -17,12 +17,13 @@
 	"drumstall.example/internal/state"
 )
 
-// decide asks the best candidates and keeps the decision; it says whether a load was taken on.
-func (p *Planner) executeDecision(ctx context.Context, cfg conf.Effective, d Decision, views order.Statuses) (taken bool) {
+// executeDecision asks the best candidates, orders the load and records the decision. It reports whether a controller accepted
+// the load.
+func (p *Planner) executeDecision(ctx context.Context, cfg conf.Effective, d Decision, statuses order.Statuses) (accepted bool) {
 	d.weights = cfg.Weights
-	by := map[string]order.Status{}
-	for _, v := range views.All {
-		by[v.Listed.ID] = v
+	statusOf := map[string]order.Status{}
+	for _, v := range statuses.All {
+		statusOf[v.Listed.ID] = v
 	}
 	ready, undecided := 0, false
 	var names []string
@@ -32,15 +33,16 @@
 		}
 		names = append(names, c.Name)
 	}
-	answers := p.askDry(ctx, d, names, by)
-	// Why: of those that agree, the one that takes the store's time the least, then the one that is ready clearly
-	// sooner, then the one whose victims are worth least; the judges' order decides between equals.
+	answers := p.askDry(ctx, d, names, statusOf)
+	// Of the candidates that agree, betterAnswer prefers the one with the fewest load starts on the weight store, then the
+	// one with the fewest concurrent asks, then the one ready clearly sooner, then the one with the lowest victim penalty.
+	// Ties are decided by rank.
 	for len(names) > 0 && d.AcceptedBy == "" && !undecided {
 		best := p.pendingAsks.choose(names, answers)
 		if best < 0 {
 			break
 		}
-		a, unsure := p.askController(ctx, d, by[names[best]].Controller, names[best], false)
+		a, unsure := p.askController(ctx, d, statusOf[names[best]].Controller, names[best], false)
 		p.pendingAsks.release(names[best])
 		undecided = undecided || unsure
 		answers[best] = a
@@ -49,61 +51,61 @@
 		}
 	}
 	p.candidateLimit.update(answers)
-	soon := false
+	transient := false
 	for i, a := range answers {
-		soon = soon || a.Soon
+		transient = transient || a.Soon
 		d.Answers = append(d.Answers, CandidateAnswer{names[i], a})
 		undecided = undecided || a.Silent
 	}
 	p.d.Log.Info("decision", "item", d.Item, "cause", d.Cause, "penalty", d.Penalty, "alone", d.NoHolder, "taken", d.AcceptedBy, "why", d.rejectionReasons())
-	e := Expectation{ReadyMs: ready}
+	expectation := Expectation{ReadyMs: ready}
 	if d.AcceptedBy == "" {
-		e = Expectation{Refused: true, RetryAfterS: 2, Reason: "no replica can load it now"}
+		expectation = Expectation{Refused: true, RetryAfterS: 2, Reason: "no replica can load it now"}
 		if d.NoHolder && !d.BypassTest {
-			e.RetryAfterS, e.Reason = int(cfg.Limits.PassEvery/time.Second)/4+1, "what it would drive out is wanted more now"
-			// Why: the store may have time to spare again well before the next pass is due.
+			expectation.RetryAfterS, expectation.Reason = int(cfg.Limits.PassEvery/time.Second)/4+1, "the items to evict are wanted more now"
+			// The weight store may have spare capacity again well before the next load without the eviction test is due.
 			if cfg.Limits.PassSlack > 0 {
-				e.RetryAfterS = min(e.RetryAfterS, int(pace.UseSpan/time.Second)/3)
+				expectation.RetryAfterS = min(expectation.RetryAfterS, int(pace.UseSpan/time.Second)/3)
 			}
 		}
 	}
 	_ = p.actor.Tell(func() {
 		now := p.d.Clock.Since()
-		if i := p.items[conf.ParseItem(d.Item)]; i != nil && !d.isClaim {
+		if entry := p.items[conf.ParseItem(d.Item)]; entry != nil && !d.isClaim {
 			if d.BypassTest && d.AcceptedBy != "" {
-				i.lastBypass = now
+				entry.lastBypass = now
 			}
-			// Why: what is in use now is idle in a moment, and requests that could be held for it would be turned away
-			// for nothing; but not for ever, for they could go elsewhere.
+			// Items in use become idle shortly, so requests are held for a while instead of being refused needlessly; not
+			// indefinitely, because callers could send them elsewhere.
 			switch {
-			case d.AcceptedBy != "" || !soon:
-				i.blockedSince = 0
-			case i.blockedSince == 0 || now-i.blockedSince > 2*transientBlockGrace:
-				i.blockedSince = now
+			case d.AcceptedBy != "" || !transient:
+				entry.blockedSince = 0
+			case entry.blockedSince == 0 || now-entry.blockedSince > 2*transientBlockGrace:
+				entry.blockedSince = now
 			}
-			if i.blockedSince > 0 && now-i.blockedSince < transientBlockGrace {
-				e = Expectation{Retrying: true, Reason: "what could make room is in use"}
+			if entry.blockedSince > 0 && now-entry.blockedSince < transientBlockGrace {
+				expectation = Expectation{Retrying: true, Reason: "the items that could be evicted are in use"}
 			}
 		}
 		p.decisionLog.PushBack(d)
 		if p.decisionLog.Len() > maxDecisionsKept {
 			p.decisionLog.PopFront()
 		}
-		// Why: a refusal only matters where nobody holds the item, and only if every candidate was heard. A core that
-		// has just started has heard of no replica yet; what it does not know of may hold the item.
-		if d.isClaim || d.AcceptedBy == "" && (!d.NoHolder || undecided || !anyReplicaReachable(views)) {
+		// A refusal is published only if no replica holds the item and every candidate answered. A core that has just
+		// started knows no replicas yet, and an unknown replica may hold the item.
+		if d.isClaim || d.AcceptedBy == "" && (!d.NoHolder || undecided || !anyReplicaReachable(statuses)) {
 			return
 		}
 		it := conf.ParseItem(d.Item)
 		epoch, _, _ := p.d.Owner.MayOrder(DemandKey(it, 0))
 		p.expectationSerial++
-		p.d.Gossip.Put(gossip.Entry{Key: ExpectationKey(d.Item), Stamp: state.Stamp{Epoch: epoch, Version: p.expectationSerial}, Value: wire.Pack(e)})
+		p.d.Gossip.Put(gossip.Entry{Key: ExpectationKey(d.Item), Stamp: state.Stamp{Epoch: epoch, Version: p.expectationSerial}, Value: wire.Pack(expectation)})
 	})
 	return d.AcceptedBy != ""
 }
 
-// mostAsked is how many candidates are asked for one decision. Why: each answer weighs all that might go at a replica; a
-// few good ones now are worth more than the best of many when a core comes late to its work.
+// currentCandidateLimit returns how many candidates are asked for one decision. For each answer a controller scores all
+// possible victims of a replica, so a busy core asks only a few: a good candidate now is better than the best one late.
 func (p *Planner) currentCandidateLimit() int {
 	if p.isBusy() {
 		return minCandidates
@@ -111,19 +113,19 @@
 	return p.candidateLimit.current()
 }
 
-// heardOfAny says whether any replica of models is known that answers its controller.
-func anyReplicaReachable(views order.Statuses) bool {
-	return slices.ContainsFunc(views.All, func(v order.Status) bool { return v.Listed.Model && !v.Dark })
+// anyReplicaReachable reports whether any known model replica answers its controller.
+func anyReplicaReachable(statuses order.Statuses) bool {
+	return slices.ContainsFunc(statuses.All, func(v order.Status) bool { return v.Listed.Model && !v.Dark })
 }
 
-// reasons counts why candidates did not take an item.
+// rejectionReasons summarizes why the candidates rejected the item; it is empty if one accepted it.
 func (d Decision) rejectionReasons() string {
 	if d.AcceptedBy != "" {
 		return ""
 	}
 	count := map[string]int{}
-	for _, t := range d.Answers {
-		count[t.Answer.Why]++
+	for _, candidate := range d.Answers {
+		count[candidate.Answer.Why]++
 	}
 	var out []string
 	for _, why := range slices.Sorted(maps.Keys(count)) {
@@ -132,11 +134,11 @@
 	return strings.Join(out, "; ")
 }
 
-// clearly is by how much one replica must be ready sooner than another to be taken for that.
-const readyMarginMs = 400 // ms
+// readyMarginMs is by how much sooner one replica must be ready than another to be preferred for it.
+const readyMarginMs = 400
 
-// better says whether a load is rather ordered where a was answered than where b was; so many other decisions are
-// asking for a load there at this moment.
+// betterAnswer reports whether the replica that answered a is preferred to the one that answered b; askedA and askedB are
+// the numbers of concurrent decisions that have chosen each replica and wait for its controller.
 func betterAnswer(a order.Considered, askedA int, b order.Considered, askedB int) bool {
 	switch {
 	case a.Starts != b.Starts:
@@ -151,13 +153,13 @@
 	return a.Sum < b.Sum
 }
 
-// Explain gives the newest decisions first, about one item or all.
-func (p *Planner) Explain(ctx context.Context, about string) []Decision {
+// Explain returns the recorded decisions, newest first, about one item or model, or about all if itemOrModel is empty.
+func (p *Planner) Explain(ctx context.Context, itemOrModel string) []Decision {
 	out := []Decision{}
 	_ = p.actor.Ask(ctx, func() {
 		for i := p.decisionLog.Len() - 1; i >= 0; i-- {
 			d := p.decisionLog.At(i)
-			if about == "" || d.Item == about || conf.ParseItem(d.Item).Model == about {
+			if itemOrModel == "" || d.Item == itemOrModel || conf.ParseItem(d.Item).Model == itemOrModel {
 				out = append(out, d.withBreakdown())
 			}
 		}
@@ -165,8 +167,8 @@
 	return out
 }
 
-// explained is a decision with what the judges said of the candidates and of what
-// might have gone there.
+// withBreakdown returns a copy of the decision with the score breakdown of the
+// candidates and of their possible victims.
 func (d Decision) withBreakdown() Decision {
 	d.Candidates = slices.Clone(d.Candidates)
 	for i, c := range d.Candidates {
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -12,22 +12,24 @@
 	"drumstall.example/internal/state"
 )
 
+// itemState is the planning state of one item.
 type itemState struct {
 	series         *demand.Series
-	reporterTotals map[string]uint64
-	lastDecided    time.Duration // last decision
-	waitingSince   time.Duration // since when requests wait for it; below 0: none does
-	blockedSince   time.Duration // since when nothing could be loaded for what will pass; 0 is not
-	lastBypass     time.Duration // when it was last loaded without the test
+	reporterTotals map[string]uint64 // last counted running total, by agent and boot
+	lastDecided    time.Duration     // time of the last decision
+	waitingSince   time.Duration     // since when requests wait for the item; negative if none wait
+	blockedSince   time.Duration     // since when a transient condition has blocked the load; 0 if none does
+	lastBypass     time.Duration     // when it was last loaded without the eviction test
 	dirtyHours     map[int64]bool
 }
 
+// demandParams returns the prediction parameters of the current configuration.
 func (p *Planner) demandParams() demand.Params {
 	l := p.d.Conf().Limits
 	return demand.Params{Day: int64(l.Epoch), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
 }
 
-// clock counts units of the length now in force.
+// currentMinuteClock returns the clock that counts units of the configured length, and replaces it when the length changes.
 func (p *Planner) currentMinuteClock(cfg conf.Effective) *demand.MinuteClock {
 	if p.minuteClock == nil || p.minuteUnit != cfg.Limits.Unit {
 		p.minuteUnit = cfg.Limits.Unit
@@ -36,17 +38,18 @@
 	return p.minuteClock
 }
 
-// OnTake lays in the history of a slot that this core now holds.
+// OnSlotAcquired restores the history of a slot whose lease this core now holds.
 func (p *Planner) OnSlotAcquired(slot int, epoch uint64, recs []state.Record) {
 	if slot == state.SlotOf(PaceKey) {
-		// Why: what the keeper before us granted is waited out from now on, not from the first question.
+		// The wait for grants of the previous keeper starts now, not at the first request.
 		now := p.d.Clock.Since()
 		_ = p.paceActor.Tell(func() { p.ensureKeeper(p.d.Group.Context(), epoch, now) })
 	}
-	// Why: a full holding must not lose this; without its history the slot would never be planned for.
+	// This must not be dropped when the queue of the actor is full: without its history the slot would never be planned for.
 	p.d.Group.Go(func(ctx context.Context) { _ = p.actor.Ask(ctx, func() { p.restoreHistory(slot, epoch, recs) }) })
 }
 
+// restoreHistory replaces the items of a slot by those in its records and adds the demand of the current reports.
 func (p *Planner) restoreHistory(slot int, epoch uint64, recs []state.Record) {
 	if epoch <= p.historyEpochs[slot] {
 		return
@@ -64,20 +67,20 @@
 		}
 		h, err := demand.UnpackHour(r.Value)
 		if err != nil {
-			p.d.Log.Warn("an hour of demand cannot be read", "key", r.Key)
+			p.d.Log.Warn("cannot decode demand history record", "key", r.Key)
 			continue
 		}
-		i := p.stateOf(it)
-		if i == nil {
+		entry := p.stateOf(it)
+		if entry == nil {
 			continue
 		}
 		if h.Hour >= newest[it] {
 			newest[it] = h.Hour
-			i.reporterTotals = map[string]uint64{}
-			maps.Copy(i.reporterTotals, h.ReporterTotals)
+			entry.reporterTotals = map[string]uint64{}
+			maps.Copy(entry.reporterTotals, h.ReporterTotals)
 		}
 		h.ReporterTotals = nil
-		i.series.Restore(h)
+		entry.series.Restore(h)
 	}
 	p.historyEpochs[slot] = epoch
 	now := p.d.Clock.Since()
@@ -86,6 +89,7 @@
 	}
 }
 
+// parseDemandKey returns the item of a key made by DemandKey.
 func parseDemandKey(key string) (conf.Item, bool) {
 	parts := strings.Split(key, "/")
 	if len(parts) != 4 || parts[0] != "demand" {
@@ -94,19 +98,20 @@
 	return conf.Item{Model: parts[1], Adapter: parts[3]}, true
 }
 
+// stateOf returns the state of an item and creates it if needed; nil if maxItems is reached.
 func (p *Planner) stateOf(it conf.Item) *itemState {
-	i := p.items[it]
-	if i == nil {
+	entry := p.items[it]
+	if entry == nil {
 		if len(p.items) >= maxItems {
 			return nil
 		}
-		i = &itemState{series: demand.NewSeries(), reporterTotals: map[string]uint64{}, waitingSince: -1, lastDecided: -1 << 62, lastBypass: -1 << 62, dirtyHours: map[int64]bool{}}
-		p.items[it] = i
+		entry = &itemState{series: demand.NewSeries(), reporterTotals: map[string]uint64{}, waitingSince: -1, lastDecided: -1 << 62, lastBypass: -1 << 62, dirtyHours: map[int64]bool{}}
+		p.items[it] = entry
 	}
-	return i
+	return entry
 }
 
-// Report takes an edge's word.
+// ApplyReport applies the report of one agent and returns its outcome.
 func (p *Planner) ApplyReport(ctx context.Context, r report.Report) (report.Outcome, error) {
 	outcomes, err := p.ApplyReports(ctx, []report.Report{r})
 	if err != nil {
@@ -115,7 +120,7 @@
 	return outcomes[0], nil
 }
 
-// Reports takes the words of several edges, and tells what became of each.
+// ApplyReports applies the reports of several agents and returns the outcome of each.
 func (p *Planner) ApplyReports(ctx context.Context, all []report.Report) ([]report.Outcome, error) {
 	outcomes := make([]report.Outcome, len(all))
 	err := p.actor.Ask(ctx, func() {
@@ -127,8 +132,8 @@
 	return outcomes, err
 }
 
-// takeReport takes an edge's word. Why: what only grows is read where it has changed; a
-// slot that this core takes later is given all of it then.
+// applyReport applies a report. Only changed running totals are read here; when this
+// core acquires a slot later, restoreHistory reads all of them.
 func (p *Planner) applyReport(r report.Report, now time.Duration) report.Outcome {
 	if outcome := p.d.Reports.Put(r, now); outcome != report.Kept {
 		return outcome
@@ -141,57 +146,58 @@
 	return report.Kept
 }
 
-// isBusy says that this core has no processor time to spare. It then looks at misses in each interval, and not at
-// each of them.
+// isBusy reports whether this core has no processor time to spare. Misses are then handled only at the planning interval
+// instead of immediately.
 func (p *Planner) isBusy() bool { return p.d.Busy != nil && p.d.Busy() }
 
-// hasNewMiss says whether requests wait by a report for an item that this core plans
-// for and that nobody waited for when it last looked. Why: what waits already is looked at in each interval.
+// hasNewMiss reports whether a report has requests waiting for an item that this core
+// plans for and that had none at the last planning run. Items that were waited for
+// already are handled at each planning interval.
 func (p *Planner) hasNewMiss(r report.Report) bool {
 	for name := range r.Waiting {
 		it := conf.ParseItem(name)
-		if i := p.items[it]; (i == nil || i.waitingSince < 0) && p.ownsItem(it) {
+		if entry := p.items[it]; (entry == nil || entry.waitingSince < 0) && p.ownsItem(it) {
 			return true
 		}
 	}
 	return false
 }
 
-// addDemand counts the requests that a report tells of, for the items that this
-// core plans for and that are wanted.
-func (p *Planner) addDemand(r report.Report, now time.Duration, wanted func(conf.Item) bool) {
+// addDemand counts the requests in a report for the items that this core plans for
+// and that include accepts.
+func (p *Planner) addDemand(r report.Report, now time.Duration, include func(conf.Item) bool) {
 	cfg := p.d.Conf()
 	minute, fresh := p.currentMinuteClock(cfg).Now(p.d.Clock.Wall(), now)
-	from := r.Agent + "/" + r.Boot
+	reporter := r.Agent + "/" + r.Boot
 	for name, count := range r.Demand {
 		it := conf.ParseItem(name)
-		if _, known := cfg.Models[it.Model]; !known || !p.ownsItem(it) || !wanted(it) {
+		if _, known := cfg.Models[it.Model]; !known || !p.ownsItem(it) || !include(it) {
 			continue
 		}
-		i := p.stateOf(it)
-		if i == nil {
+		entry := p.stateOf(it)
+		if entry == nil {
 			continue
 		}
-		// Why: reports carry running totals, so one lost or come twice changes nothing.
-		was, counted := i.reporterTotals[from]
-		if count <= was && counted {
+		// Reports contain running totals, so lost or duplicate reports do not change the count.
+		previous, counted := entry.reporterTotals[reporter]
+		if count <= previous && counted {
 			continue
 		}
-		i.reporterTotals[from] = count
+		entry.reporterTotals[reporter] = count
 		if fresh {
-			i.series.Add(minute, uint32(min(count-was, 1<<31)))
-			i.dirtyHours[minute/60] = true
+			entry.series.Add(minute, uint32(min(count-previous, 1<<31)))
+			entry.dirtyHours[minute/60] = true
 		}
 	}
 }
 
-// keep writes hours that changed to the control state.
+// persistDemand writes the changed hours to the control state.
 func (p *Planner) persistDemand(ctx context.Context) {
-	type work struct {
-		it conf.Item
-		h  demand.Hour
+	type pendingWrite struct {
+		item conf.Item
+		hour demand.Hour
 	}
-	var todo []work
+	var writes []pendingWrite
 	_ = p.actor.Ask(ctx, func() {
 		now := p.d.Clock.Since()
 		alive := map[string]bool{}
@@ -201,33 +207,33 @@
 			}
 		}
 		p.work.prune(alive, now)
-		for it, i := range p.items {
+		for it, entry := range p.items {
 			if !p.ownsItem(it) {
 				continue
 			}
-			for k := range i.reporterTotals {
-				if !alive[k] {
-					delete(i.reporterTotals, k)
+			for reporter := range entry.reporterTotals {
+				if !alive[reporter] {
+					delete(entry.reporterTotals, reporter)
 				}
 			}
-			for hour := range i.dirtyHours {
-				if h, found := i.series.Hour(hour); found {
-					h.ReporterTotals = maps.Clone(i.reporterTotals)
-					todo = append(todo, work{it, h})
+			for hour := range entry.dirtyHours {
+				if h, found := entry.series.Hour(hour); found {
+					h.ReporterTotals = maps.Clone(entry.reporterTotals)
+					writes = append(writes, pendingWrite{it, h})
 				}
 			}
-			i.dirtyHours = map[int64]bool{}
+			entry.dirtyHours = map[int64]bool{}
 		}
 	})
-	for _, w := range todo {
-		one, cancel := context.WithTimeout(ctx, 2*time.Second)
-		_, err := p.d.Owner.Update(one, DemandKey(w.it, w.h.Hour), func(state.Record, bool) ([]byte, error) { return w.h.Pack(), nil })
+	for _, w := range writes {
+		writeCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		_, err := p.d.Owner.Update(writeCtx, DemandKey(w.item, w.hour.Hour), func(state.Record, bool) ([]byte, error) { return w.hour.Pack(), nil })
 		cancel()
 		if err != nil {
-			p.d.Log.Info("demand not kept", "item", w.it.String(), "error", err)
+			p.d.Log.Info("failed to write demand history", "item", w.item.String(), "error", err)
 			_ = p.actor.Tell(func() {
-				if i := p.items[w.it]; i != nil {
-					i.dirtyHours[w.h.Hour] = true
+				if entry := p.items[w.item]; entry != nil {
+					entry.dirtyHours[w.hour.Hour] = true
 				}
 			})
 		}
--- a/internal/place/plan/messages.go
+++ b/internal/place/plan/messages.go
@@ -12,37 +12,37 @@
 	"drumstall.example/internal/place/order"
 )
 
-// PaceKey is where the store's pace is owned.
+// PaceKey is the control-state key whose slot determines which core limits the load rate of the weight store.
 const PaceKey = "pace/store"
 
-// demandPrefix begins the key of each hour of an item's history; with its model it tells the slot.
+// demandPrefix is the key prefix of each hour of an item's history; prefix and model determine the slot.
 const demandPrefix = "demand/"
 
-// DemandKey names an hour of an item's history in a ring of hours.
+// DemandKey returns the key of an hour of an item's history, in a ring of demand.KeptHours hours.
 func DemandKey(item conf.Item, hour int64) string {
 	return fmt.Sprintf(demandPrefix+"%s/%d/%s", item.Model, hour%demand.KeptHours, item.Adapter)
 }
 
-// ExpectKey names what proxies are told about an item they hold requests for.
+// ExpectationKey returns the gossip key of the Expectation for an item that proxies hold requests for.
 func ExpectationKey(item string) string { return "expect/" + item }
 
-// Expect says when a replica should have the item, or that none will.
+// Expectation states when a replica is expected to hold an item, or that none will load it.
 type Expectation struct {
 	Refused     bool   `cbor:"1,keyasint"`
 	ReadyMs     int    `cbor:"2,keyasint"`
 	RetryAfterS int    `cbor:"3,keyasint"`
 	Reason      string `cbor:"4,keyasint"`
-	// Trying says that nothing could be loaded yet, and that it is tried again.
+	// Retrying is set if nothing could be loaded yet and the load will be retried.
 	Retrying bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Tried is one candidate that was asked, and what it said.
+// CandidateAnswer is the answer of one candidate that was asked.
 type CandidateAnswer struct {
 	Replica string           `json:"replica"`
 	Answer  order.Considered `json:"answer"`
 }
 
-// Decision is kept so that it can be explained.
+// Decision records how a load was decided, so that it can be explained later.
 type Decision struct {
 	At         time.Time         `json:"at"`
 	Core       string            `json:"core"`
@@ -53,37 +53,37 @@
 	CheapestMs int64             `json:"cheapestMs"`
 	Penalty    float64           `json:"penalty"`
 	Csf        float64           `json:"csf"`
-	NoHolder   bool              `json:"alone"` // nobody holds it
-	BypassTest bool              `json:"pass"`  // so it may go in without the test this time
+	NoHolder   bool              `json:"alone"` // no replica holds the item
+	BypassTest bool              `json:"pass"`  // the item may be loaded without the eviction test this time; requires NoHolder
 	Candidates []judge.Ranked    `json:"candidates"`
 	Answers    []CandidateAnswer `json:"tried"`
 	AcceptedBy string            `json:"taken"`
-	isClaim    bool              // it is about a claim's copy
-	waitedFor  time.Duration     // for how long requests have waited for it
+	isClaim    bool              // the decision is about a claim's copy
+	waitedFor  time.Duration     // how long requests have waited for the item
 	weights    map[string]float64
-	selector   labels.Selector // the replicas that it may be loaded on
+	selector   labels.Selector // replicas that the item may be loaded on
 }
 
-// Shared is a core's predictions, told to the others.
+// SharedPredictions holds the predictions that one core sends to the others.
 type SharedPredictions struct {
 	From     string             `cbor:"1,keyasint"`
 	Requests map[string]float64 `cbor:"2,keyasint"`
-	// Keeps says that the sender grants the store's loads, and Use how much of the pace is used.
+	// GrantsLoads is set if the sender grants load starts on the weight store; PaceUse is then the used share of its load rate.
 	GrantsLoads bool    `cbor:"3,keyasint,omitempty"`
 	PaceUse     float64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Granting asks for a load start.
+// GrantRequest asks for permission to start a load.
 type GrantRequest struct {
-	LoadID  string  `cbor:"1,keyasint"` // the replica and item it is for
+	LoadID  string  `cbor:"1,keyasint"` // replica and item of the load
 	Penalty float64 `cbor:"2,keyasint"` // penalty of the miss
-	// Start names the load start: who asks again under a name has not begun it.
+	// StartID identifies the load start: a repeated request with the same ID means that it has not begun.
 	StartID string `cbor:"4,keyasint,omitempty"`
-	// Afloat asks for nothing: the load was ordered, and may start at any time or never.
+	// Outstanding marks a notice that requests no grant: the load was ordered and may start at any time or never.
 	Outstanding bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Granted is the answer.
+// GrantResponse answers a GrantRequest. WaitMs is the estimated wait if the load may not start yet.
 type GrantResponse struct {
 	Granted bool `cbor:"1,keyasint"`
 	WaitMs  int  `cbor:"2,keyasint"`
--- a/internal/place/plan/miss.go
+++ b/internal/place/plan/miss.go
@@ -15,113 +15,116 @@
 	"drumstall.example/internal/place/penalty"
 )
 
-// miss prepares a decision about an item that requests wait for.
-func (p *Planner) missDecision(cfg conf.Effective, it conf.Item, waiting int, pressed bool, wanted int, views order.Statuses, now time.Duration) (Decision, bool) {
+// missDecision prepares a decision about an item that requests wait for and reports whether one is due.
+func (p *Planner) missDecision(cfg conf.Effective, it conf.Item, waiting int, delayed bool, copiesWanted int, statuses order.Statuses, now time.Duration) (Decision, bool) {
 	m, known := cfg.Models[it.Model]
 	if !known || !p.ownsItem(it) {
 		return Decision{}, false
 	}
-	i := p.stateOf(it)
-	if i == nil || now-i.lastDecided < p.d.Cadence.Again {
+	entry := p.stateOf(it)
+	if entry == nil || now-entry.lastDecided < p.d.Cadence.Again {
 		return Decision{}, false
 	}
-	copies, coming := countCopies(it, views)
-	// Why: many misses for one item make one load; the next is thought of when it is there, unless its work is more
-	// than all of them will bear.
-	if coming && copies >= wanted {
+	copies, loading := countCopies(it, statuses)
+	// Many misses for one item result in one load. A further copy is considered once that load is done, unless the
+	// item's work exceeds what all copies, including the loading ones, can serve.
+	if loading && copies >= copiesWanted {
 		return Decision{}, false
 	}
 	minute, _ := p.currentMinuteClock(cfg).Now(p.d.Clock.Wall(), now)
-	rule := p.demandParams()
-	requests := i.series.PredictHorizon(rule, minute, waiting)
-	acc, _ := i.series.Accuracy(rule, minute)
-	cheapest := order.Cheapest(views, "", it, p.d.Reports, now, cfg)
-	alone := cheapest == 0
-	// Why: where proxies go by what controllers tell, a request whose item is there waits no longer; a report that
-	// still counts it is from before.
-	if !alone && !pressed && copies >= wanted && !p.d.Cadence.ProxiesAsk {
+	params := p.demandParams()
+	requests := entry.series.PredictHorizon(params, minute, waiting)
+	acc, _ := entry.series.Accuracy(params, minute)
+	cheapest := order.Cheapest(statuses, "", it, p.d.Reports, now, cfg)
+	noHolder := cheapest == 0
+	// Where proxies follow the status published by controllers, requests for an item that is loaded no longer wait; a
+	// report that still counts them is stale.
+	if !noHolder && !delayed && copies >= copiesWanted && !p.d.Cadence.ProxiesAsk {
 		return Decision{}, false
 	}
-	// Why: a further copy of what is on its way has to pass the test; only the first is taken without it.
-	first := copies == 0
-	if alone {
+	// Only the first copy may be loaded without the eviction test; a copy that is still loading counts as the first.
+	noCopy := copies == 0
+	if noHolder {
 		cheapest = m.LoadFor + m.ServeFor
 	}
 	d := Decision{At: p.d.Clock.Wall(), Core: p.d.Self, Item: it.String(), Cause: fmt.Sprintf("%d requests wait", waiting), Requests: requests, Accuracy: acc,
-		CheapestMs: cheapest.Milliseconds(), Penalty: penalty.Of(requests, cheapest), Csf: cfg.Limits.Csf, NoHolder: first}
-	if i.waitingSince >= 0 {
-		d.waitedFor = now - i.waitingSince
+		CheapestMs: cheapest.Milliseconds(), Penalty: penalty.Of(requests, cheapest), Csf: cfg.Limits.Csf, NoHolder: noCopy}
+	if entry.waitingSince >= 0 {
+		d.waitedFor = now - entry.waitingSince
 	}
-	// Why: if every miss of an item nobody holds went in without the test, rare items would drive each other
-	// and the wanted ones out, faster than the store can bring them back (docs/measurements/replay.md).
-	// While the store has time to spare they cannot, and whoever asks would be turned away for nothing. A keeper
-	// that has not been heard of counts as busy.
+	// If every miss of an item without a holder bypassed the eviction test, rarely used items would evict each other
+	// and frequently used ones faster than the weight store can reload them (docs/measurements/replay.md). While
+	// the store has spare capacity this cannot happen, and requests would be refused needlessly. Without recent
+	// information from the core that limits the store's load rate, the store counts as busy.
 	spare := now-p.paceUseAt < paceUseTTL && p.paceUse < cfg.Limits.PassSlack
-	d.BypassTest = first && (spare || now-i.lastBypass >= cfg.Limits.PassEvery)
+	d.BypassTest = noCopy && (spare || now-entry.lastBypass >= cfg.Limits.PassEvery)
 	d.selector = labels.Everything()
 	return d, true
 }
 
-// copiesOf counts the replicas that hold an item or will; coming says that one of them does not hold it yet.
-func countCopies(it conf.Item, views order.Statuses) (copies int, coming bool) {
+// countCopies returns the number of replicas that hold or are loading an item; loading reports whether any of them does not
+// hold it yet.
+func countCopies(it conf.Item, statuses order.Statuses) (copies int, loading bool) {
 	name := it.String()
-	for _, i := range views.Having(name) {
-		v := &views.All[i]
+	for _, i := range statuses.Having(name) {
+		v := &statuses.All[i]
 		if v.Dark || v.Listed.Leaving {
 			continue
 		}
 		switch v.Items[name] {
 		case order.Reserved, backend.Loading:
-			coming = true
+			loading = true
 			copies++
 		case backend.Loaded:
 			copies++
 		}
 	}
-	return copies, coming
+	return copies, loading
 }
 
-func (p *Planner) rankCandidates(cfg conf.Effective, it conf.Item, m conf.Model, views order.Statuses, now time.Duration, in labels.Selector) []judge.Ranked {
+// rankCandidates ranks the replicas selected by selector that could load an item, best first.
+func (p *Planner) rankCandidates(cfg conf.Effective, it conf.Item, m conf.Model, statuses order.Statuses, now time.Duration, selector labels.Selector) []judge.Ranked {
 	zones := map[string]int{}
 	name := it.String()
-	for _, i := range views.Having(name) {
-		if v := &views.All[i]; v.Items[name] == backend.Loaded {
+	for _, i := range statuses.Having(name) {
+		if v := &statuses.All[i]; v.Items[name] == backend.Loaded {
 			zones[v.Listed.Zone]++
 		}
 	}
-	var facts []judge.Candidate
-	for _, v := range views.All {
-		if !v.Listed.Model || v.Dark || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !in.Matches(labels.Set(v.Listed.Labels)) {
+	var candidates []judge.Candidate
+	for _, v := range statuses.All {
+		if !v.Listed.Model || v.Dark || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !selector.Matches(labels.Set(v.Listed.Labels)) {
 			continue
 		}
 		need := m.SizeMib
 		if v.Items[it.Model] != "" {
 			need = 0
 		}
-		facts = append(facts, judge.Candidate{Name: v.Listed.ID, Inflight: p.d.Reports.InflightOn(v.Listed.ID, now), Slots: v.Slots,
+		candidates = append(candidates, judge.Candidate{Name: v.Listed.ID, Inflight: p.d.Reports.InflightOn(v.Listed.ID, now), Slots: v.Slots,
 			ServeTime: time.Duration(v.ServeMs) * time.Millisecond, Leaving: v.Listed.Leaving, FreeMib: v.FreeMib, NeedMib: need,
 			Fits: m.SizeMib <= v.CapacityMib && (it.Adapter == "" || v.AdapterPlaces > 0), AdFree: v.AdapterFree, Copies: zones[v.Listed.Zone]})
 	}
-	ranked := judge.RankForLoad(cfg.Weights, facts)
-	// Why: a replica carries out one order at a time, and only the first candidates are asked.
-	before := pendingLoads(views)
-	slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return queuedLoads(a, before) - queuedLoads(b, before) })
+	ranked := judge.RankForLoad(cfg.Weights, candidates)
+	// A replica executes one order at a time and only the first candidates are asked, so replicas with fewer pending loads
+	// come first.
+	pending := pendingLoads(statuses)
+	slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return queuedLoads(a, pending) - queuedLoads(b, pending) })
 	if it.Adapter != "" {
-		// Why: an adapter goes in with one start of the store where its model is, and with two elsewhere; the store is
-		// what everybody waits for.
-		has := map[string]bool{}
-		for _, v := range views.All {
-			has[v.Listed.ID] = v.Items[it.Model] == backend.Loaded
+		// An adapter takes one load from the weight store where its model is loaded and two elsewhere; the store is the
+		// bottleneck.
+		hasModel := map[string]bool{}
+		for _, v := range statuses.All {
+			hasModel[v.Listed.ID] = v.Items[it.Model] == backend.Loaded
 		}
-		slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return adapterStarts(a, has) - adapterStarts(b, has) })
+		slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return adapterStarts(a, hasModel) - adapterStarts(b, hasModel) })
 	}
 	return ranked
 }
 
-// pending is how many loads of models each replica has before it.
-func pendingLoads(views order.Statuses) map[string]int {
+// pendingLoads returns the number of pending model loads of each replica.
+func pendingLoads(statuses order.Statuses) map[string]int {
 	out := map[string]int{}
-	for _, v := range views.All {
+	for _, v := range statuses.All {
 		for item, state := range v.Items {
 			if (state == order.Reserved || state == backend.Loading) && conf.ParseItem(item).Adapter == "" {
 				out[v.Listed.ID]++
@@ -131,7 +134,7 @@
 	return out
 }
 
-// queuedFor is how many loads a candidate has before it; a vetoed one comes last.
+// queuedLoads is the sort key of a candidate by its pending loads; vetoed ones come last.
 func queuedLoads(r judge.Ranked, pending map[string]int) int {
 	if r.Vetoed {
 		return math.MaxInt32
@@ -139,12 +142,12 @@
 	return pending[r.Name]
 }
 
-// starts is how many loads an adapter takes on a replica; a vetoed one comes last.
-func adapterStarts(r judge.Ranked, has map[string]bool) int {
+// adapterStarts is the sort key of a candidate by the loads that an adapter takes there; vetoed ones come last.
+func adapterStarts(r judge.Ranked, hasModel map[string]bool) int {
 	switch {
 	case r.Vetoed:
 		return 3
-	case has[r.Name]:
+	case hasModel[r.Name]:
 		return 1
 	}
 	return 2
--- a/internal/place/plan/newmiss_test.go
+++ b/internal/place/plan/newmiss_test.go
@@ -16,8 +16,8 @@
 	"drumstall.example/internal/state/owner"
 )
 
-// A report calls for a look out of turn where an item begins to be waited for that
-// this core plans for; what waited before, and what others plan for, does not.
+// A report triggers planning before the next interval only if requests begin to wait
+// for an item of this core; items waited for already and items of other cores do not.
 func TestOnlyANewMissTriggersPlanning(t *testing.T) {
 	simstate.Play(t, vfs.NewMem(), func(t *testing.T, _ *run.Group, own *owner.Owner) {
 		p := &Planner{d: Deps{Owner: own}, items: map[conf.Item]*itemState{}, historyEpochs: own.Held()}
@@ -32,24 +32,24 @@
 			return r
 		}
 		if p.hasNewMiss(waits()) || p.hasNewMiss(waits("others")) {
-			t.Error("a look for nothing that is ours")
+			t.Error("planning was triggered without a miss of this core's items")
 		}
 		if !p.hasNewMiss(waits("others", "ours")) {
-			t.Error("no look for an item that was never asked for")
+			t.Error("planning was not triggered for an item that was never requested")
 		}
 		p.stateOf(ours)
 		p.updateWaiting(map[conf.Item]int{ours: 1}, time.Second)
 		if p.hasNewMiss(waits("ours")) {
-			t.Error("a look for what waited already")
+			t.Error("planning was triggered for an item that was waited for already")
 		}
 		p.updateWaiting(map[conf.Item]int{}, 2*time.Second)
 		if !p.hasNewMiss(waits("ours")) {
-			t.Error("no look for an item that is waited for again")
+			t.Error("planning was not triggered for an item that is waited for again")
 		}
 	})
 }
 
-// A miss counts from its own beginning, also where nobody waited for anything in between.
+// The wait for an item is measured from the current miss, also if no requests waited for any item in between.
 func TestWaitingSinceIsResetWhenNoRequestsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		it := conf.Item{Model: "m"}
@@ -58,7 +58,7 @@
 		p.updateWaiting(map[conf.Item]int{it: 1}, time.Second)
 		p.onTick()
 		if since := p.items[it].waitingSince; since >= 0 {
-			t.Errorf("waited for since %v, though nobody waits", since)
+			t.Errorf("waitingSince is %v although no requests wait", since)
 		}
 	})
 }
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -9,32 +9,32 @@
 	"drumstall.example/internal/state"
 )
 
-// Grants is what the store's keeper writes down before it lets a load start.
+// GrantRecord is what the core that limits the weight store's load rate writes to the control state before a load may start.
 type GrantRecord struct {
-	AgesMs []int64 `cbor:"1,keyasint"` // how long ago each grant was given that still counts
+	AgesMs []int64 `cbor:"1,keyasint"` // age of each grant that still counts
 }
 
-// grantsEvery is how often the ages of grants are written down anew while any counts. Why: a
-// keeper that takes over goes by the ages it finds, and what is written ages only when it is written again.
+// grantRefreshInterval is how often the ages of grants are rewritten while any of them counts. A keeper that takes over uses
+// the recorded ages, which only advance when they are rewritten.
 const grantRefreshInterval = time.Second
 
-// pacer is the keeper of the store's pace that this core has, under an epoch.
+// pacer holds the rate limiter of the weight store on this core, valid for one epoch.
 type pacer struct {
 	epoch     uint64
 	keeper    *pace.Keeper
-	granted   uint64 // grants so far, under this epoch and those before
-	persisted int    // grants in what was written down last
+	granted   uint64 // grants so far, in this epoch and earlier ones
+	persisted int    // number of grants in the last written record
 }
 
-// grantMark tells which grants a write has to cover: all that were given under an epoch up to one.
+// grantMark identifies the grants that a write must cover: those of an epoch up to a number.
 type grantMark struct {
 	epoch  uint64
 	number uint64
 }
 
-// Grant allows a load start within the store's pace; only the owner of the
-// pace may. Why: grants that are given while a write is under way share the next one; with a write for each, one after
-// the other, the pace was that of the control state and not the store's.
+// Grant permits a load start within the load rate of the weight store; only the
+// lease holder of PaceKey may. Grants given while a write is in progress share the next write: with one
+// sequential write per grant, the control state and not the store would limit the load rate.
 func (p *Planner) Grant(ctx context.Context, q GrantRequest) (GrantResponse, error) {
 	var g GrantResponse
 	var mark grantMark
@@ -43,14 +43,15 @@
 	if err != nil || !granted {
 		return g, err
 	}
-	// Why: whoever keeps the pace next must know of this start, or would have to wait out all that could have been.
-	kept := p.persistGrants(ctx, mark)
-	// Why: the lease may have run out meanwhile, and another keeper may be granting.
-	g.Granted = kept && p.d.Owner.Holds(PaceKey)
+	// The next lease holder must know of this start; otherwise it would have to wait out all grants that may have been given.
+	persisted := p.persistGrants(ctx, mark)
+	// The lease may have expired meanwhile, and another core may be granting.
+	g.Granted = persisted && p.d.Owner.Holds(PaceKey)
 	return g, nil
 }
 
-// consent has the keeper decide on a load start. One that it grants counts from now on, but must be kept before it is told.
+// decideGrant lets the keeper decide on a load start. A grant counts immediately, but must be written to the control state
+// before it is returned to the caller.
 func (p *Planner) decideGrant(ctx context.Context, q GrantRequest) (g GrantResponse, mark grantMark, granted bool) {
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
 	now := p.d.Clock.Since()
@@ -69,29 +70,29 @@
 	return g, grantMark{p.pacer.epoch, p.pacer.granted}, granted
 }
 
-// keepGrants sees to it that a majority has the grants up to a mark written down.
+// persistGrants ensures that the grants up to mark are written to a majority.
 func (p *Planner) persistGrants(ctx context.Context, mark grantMark) bool {
-	kept := false
+	persisted := false
 	err := p.grantWriter.Ask(ctx, func() {
-		withOther := p.lastWritten.epoch == mark.epoch && p.lastWritten.number >= mark.number
-		kept = withOther || p.writeGrants(ctx, mark.epoch)
+		covered := p.lastWritten.epoch == mark.epoch && p.lastWritten.number >= mark.number
+		persisted = covered || p.writeGrants(ctx, mark.epoch)
 	})
-	return err == nil && kept
+	return err == nil && persisted
 }
 
-// writeGrants writes down all grants that count, if the keeper still is the one of an epoch; only the writer calls it.
+// writeGrants writes all grants that count, if the keeper still belongs to epoch. It runs only on grantWriter.
 func (p *Planner) writeGrants(ctx context.Context, epoch uint64) bool {
 	var w GrantRecord
-	var now grantMark
-	err := p.paceActor.Ask(ctx, func() { w, now = p.currentGrants() })
-	if err != nil || now.epoch != epoch || !p.writeGrantRecord(ctx, w) {
+	var mark grantMark
+	err := p.paceActor.Ask(ctx, func() { w, mark = p.currentGrants() })
+	if err != nil || mark.epoch != epoch || !p.writeGrantRecord(ctx, w) {
 		return false
 	}
-	p.lastWritten = now
+	p.lastWritten = mark
 	return true
 }
 
-// grantsNow is what the keeper is to write down, and up to which grant that reaches.
+// currentGrants returns the record to write and the mark of the last grant that it covers.
 func (p *Planner) currentGrants() (w GrantRecord, mark grantMark) {
 	if p.pacer.keeper == nil {
 		return w, mark
@@ -103,17 +104,17 @@
 	return w, grantMark{p.pacer.epoch, p.pacer.granted}
 }
 
-// write writes down the grants that count.
+// writeGrantRecord writes the record to the control state.
 func (p *Planner) writeGrantRecord(ctx context.Context, w GrantRecord) bool {
 	_, err := p.d.Owner.Update(ctx, PaceKey, func(state.Record, bool) ([]byte, error) { return wire.Pack(w), nil })
 	if err != nil {
-		p.d.Log.Info("grants not kept", "error", err)
+		p.d.Log.Info("failed to write load grants", "error", err)
 		return false
 	}
 	return true
 }
 
-// refreshGrants writes the ages of the grants down anew, until none counts any more.
+// refreshGrants rewrites the ages of the grants until none counts any more.
 func (p *Planner) refreshGrants(ctx context.Context) {
 	due := false
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
@@ -125,22 +126,22 @@
 	}
 }
 
-// Afloat tells which loads were ordered and may still start, and for how many
-// seconds that has been so; each takes a place of the store's pace.
+// OutstandingLoads returns the loads that were ordered and may still start, with
+// the seconds since then; each counts against the load rate of the weight store.
 func (p *Planner) OutstandingLoads(ctx context.Context) map[string]int {
 	out := map[string]int{}
 	_ = p.paceActor.Ask(ctx, func() {
 		if p.pacer.keeper == nil || !p.d.Owner.Holds(PaceKey) {
 			return
 		}
-		for who, since := range p.pacer.keeper.Floats(p.d.Clock.Since()) {
-			out[who] = int(since.Seconds())
+		for loadID, since := range p.pacer.keeper.Floats(p.d.Clock.Since()) {
+			out[loadID] = int(since.Seconds())
 		}
 	})
 	return out
 }
 
-// useNow is how much of the store's pace is used; below 0 if another keeps it.
+// currentPaceUse returns the used share of the weight store's load rate, or a negative value if another core limits it.
 func (p *Planner) currentPaceUse() float64 {
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
 	if !p.d.Owner.Holds(PaceKey) {
@@ -153,7 +154,8 @@
 	return p.pacer.keeper.Use(now, p.startsPerWindow())
 }
 
-// keeperFor sees to it that there is a keeper under an epoch.
+// ensureKeeper ensures that there is a keeper for epoch and reports whether there is. A new keeper resumes from the recorded
+// grants, if any.
 func (p *Planner) ensureKeeper(ctx context.Context, epoch uint64, now time.Duration) bool {
 	if p.pacer.keeper != nil && p.pacer.epoch == epoch {
 		return true
@@ -162,14 +164,14 @@
 	if err != nil {
 		return false
 	}
-	var before GrantRecord
+	var previous GrantRecord
 	switch {
 	case epoch == 1:
 		p.pacer.persisted = 0
 		p.pacer.keeper = pace.NewKeeper(now, p.d.Store.Window, true)
-	case found && wire.Unpack(rec.Value, &before) == nil:
-		ages := make([]time.Duration, len(before.AgesMs))
-		for i, ms := range before.AgesMs {
+	case found && wire.Unpack(rec.Value, &previous) == nil:
+		ages := make([]time.Duration, len(previous.AgesMs))
+		for i, ms := range previous.AgesMs {
 			ages[i] = time.Duration(ms)*time.Millisecond + p.d.Owner.FreeFor(PaceKey)
 		}
 		p.pacer.persisted = len(ages)
@@ -178,7 +180,7 @@
 		p.pacer.keeper = pace.NewKeeper(now, p.d.Store.Window, false)
 	}
 	p.pacer.epoch = epoch
-	// Why: from here on there is a word to go by, also if nothing is ever granted.
+	// Write a record, so that the next keeper finds one even if nothing is ever granted.
 	if found {
 		return true
 	}
@@ -186,7 +188,7 @@
 	return p.writeGrantRecord(ctx, w)
 }
 
-// starts is how many loads may begin in a window of the store.
+// startsPerWindow returns how many loads may start in one window of the weight store.
 func (p *Planner) startsPerWindow() int {
 	cfg := p.d.Conf()
 	if rate := cfg.LoadsPerSecond(); rate > 0 {
--- a/internal/place/plan/pacing_test.go
+++ b/internal/place/plan/pacing_test.go
@@ -22,7 +22,7 @@
 	"drumstall.example/internal/state/owner"
 )
 
-// slowDisk takes a while for each sync.
+// slowFS is a file system whose syncs take syncTime.
 type slowFS struct {
 	vfs.FS
 	syncTime time.Duration
@@ -49,15 +49,15 @@
 }
 
 func TestConcurrentGrantsShareOneWrite(t *testing.T) {
-	const loads, diskTakes = 40, 50 * time.Millisecond
-	simstate.Play(t, slowFS{vfs.NewMem(), diskTakes}, func(t *testing.T, g *run.Group, own *owner.Owner) {
+	const loads, syncTime = 40, 50 * time.Millisecond
+	simstate.Play(t, slowFS{vfs.NewMem(), syncTime}, func(t *testing.T, g *run.Group, own *owner.Owner) {
 		cfg := conf.Empty()
 		cfg.Limits.PaceLoads = 2 * loads
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: bounds.DefaultCadence(), Owner: own,
 			Gossip: gossip.NewTable(), Reports: report.NewTable(), Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return order.Statuses{} },
 			Tell: func(context.Context, SharedPredictions) {}})
 		time.Sleep(time.Second)
-		began := time.Now()
+		start := time.Now()
 		answers := run.Fan(g, loads, func(ctx context.Context, i int) bool {
 			got, err := p.Grant(ctx, GrantRequest{LoadID: fmt.Sprint("load ", i), Penalty: 1})
 			return err == nil && got.Granted
@@ -68,13 +68,13 @@
 				granted++
 			}
 		}
-		if took := time.Since(began); granted != loads || took > 5*diskTakes {
-			t.Errorf("%d of %d loads may start after %v, with a disk that takes %v", granted, loads, took, diskTakes)
+		if took := time.Since(start); granted != loads || took > 5*syncTime {
+			t.Errorf("%d of %d loads granted after %v, with a disk sync of %v", granted, loads, took, syncTime)
 		}
 		rec, found, err := own.Get(t.Context(), PaceKey)
 		var kept GrantRecord
 		if err != nil || !found || wire.Unpack(rec.Value, &kept) != nil || len(kept.AgesMs) != loads {
-			t.Errorf("%d grants are written down, %d were given: %v", len(kept.AgesMs), loads, err)
+			t.Errorf("%d grants are recorded, want %d: %v", len(kept.AgesMs), loads, err)
 		}
 	})
 }
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -1,5 +1,7 @@
-// Package plan counts demand, predicts it, and turns misses and claims into
-// loads by asking the replicas' controllers, best candidate first.
+// Package plan decides which replica loads which item. It records and predicts
+// demand, turns misses and unmet claims into load decisions, and orders the loads
+// from the controllers of the best candidates. On the core that holds PaceKey it
+// also limits the load rate of the weight store.
 package plan
 
 import (
@@ -22,19 +24,19 @@
 )
 
 const (
-	transientBlockGrace = 5 * time.Second // for what stands in the way of a load and will pass
-	claimRetryInterval  = 5 * time.Second // between two looks at a claim that could not be met
-	paceUseTTL          = 6 * time.Second // what the store's keeper told holds so long
+	transientBlockGrace = 5 * time.Second // how long requests are held while a transient condition blocks a load
+	claimRetryInterval  = 5 * time.Second // between two decisions about a claim's item
+	paceUseTTL          = 6 * time.Second // how long a reported use of the weight store's load rate is valid
 	maxCandidates       = 16              // candidates asked for one decision at most
-	minCandidates       = 5               // candidates asked by a core that has no processor time to spare
-	maxDecisionsKept    = 200             // kept for explaining
+	minCandidates       = 5               // candidates asked by a core without spare processor time
+	maxDecisionsKept    = 200             // kept for Explain
 	maxItems            = 20_000
-	// pressedFew is how many answers of an item must have been held up lately for another copy to be thought of.
-	// Why: an answer now and then is held up by what others ask of the same replica.
+	// minDelayedAnswers is how many recent answers of an item must have been delayed before another copy is considered. Single
+	// answers are delayed by other requests to the same replica.
 	minDelayedAnswers = 4
 )
 
-// Deps is what the planner needs from the core.
+// Deps holds the dependencies of a Planner.
 type Deps struct {
 	Group   *run.Group
 	Clock   tick.Clock
@@ -47,18 +49,18 @@
 	Reports *report.Table
 	Conf    func() conf.Effective
 	Views   func() order.Statuses
-	// Ask reaches the controller of a replica, on whichever core it is.
+	// Ask asks the controller of a replica, on any core, about a load.
 	Ask func(ctx context.Context, controller string, q order.Consider) (order.Considered, error)
-	// AskAll asks the controller of several replicas at once, dry; order.Unheard stands for an answer that did not
-	// come. Nil asks one by one.
+	// AskAll asks the controller of several replicas in one call, without ordering a load; order.Unheard stands for a
+	// missing answer. If nil, replicas are asked one by one.
 	AskAll func(ctx context.Context, controller string, q order.ConsiderAll) []order.Considered
-	// Tell shares predictions with the other cores.
+	// Tell sends predictions to the other cores.
 	Tell func(ctx context.Context, s SharedPredictions)
-	// Busy says that this core has no processor time to spare; nil is never.
+	// Busy reports whether this core has no processor time to spare; nil means never.
 	Busy func() bool
 }
 
-// Planner plans for the items whose slots this core holds.
+// Planner makes load decisions for the items whose slots this core holds.
 type Planner struct {
 	d              Deps
 	actor          *run.Actor
@@ -67,26 +69,26 @@
 	minuteUnit     time.Duration
 	replan         *run.Nudge
 	work           workRates
-	historyEpochs  map[int]uint64 // slot: epoch whose history has been read
+	historyEpochs  map[int]uint64 // by slot: epoch whose history has been restored
 	predictions    predictionTable
-	paceUse        float64       // of the store's pace, as its keeper last told
-	paceUseAt      time.Duration // when it did
+	paceUse        float64       // last reported use of the weight store's load rate
+	paceUseAt      time.Duration // when paceUse was reported
 	decisionLog    deque.Deque[Decision]
 	unmetClaims    map[string]string
-	inProgress     map[subject]bool // what decisions are being made about
+	inProgress     map[subject]bool // subjects of the decisions in progress
 	pendingAsks    pendingAsks
 	candidateLimit candidateLimit
 	claimDecidedAt map[conf.Item]time.Duration
 	pacer          pacer
 	paceActor      *run.Actor
-	// grantWriter writes grants down, one write after the other; written is what its last one reached.
+	// grantWriter writes grants sequentially; lastWritten is the mark of its last write.
 	grantWriter       *run.Actor
 	lastWritten       grantMark
 	expectationSerial uint64
 	progress          progressCounter
 }
 
-// New starts to plan.
+// New creates a planner and starts its periodic work.
 func New(d Deps) *Planner {
 	p := &Planner{d: d, items: map[conf.Item]*itemState{}, historyEpochs: map[int]uint64{}, paceUseAt: -1 << 62, unmetClaims: map[string]string{},
 		claimDecidedAt: map[conf.Item]time.Duration{}, inProgress: map[subject]bool{}}
@@ -101,7 +103,7 @@
 	return p
 }
 
-// holds says whether this core plans for an item now, its history being read.
+// ownsItem reports whether this core plans for an item, i.e. holds its slot and has restored its history.
 func (p *Planner) ownsItem(it conf.Item) bool {
 	key := demandPrefix + it.Model
 	epoch, _, _ := p.d.Owner.MayOrder(key)
--- a/internal/place/plan/plan_test.go
+++ b/internal/place/plan/plan_test.go
@@ -20,9 +20,9 @@
 	"drumstall.example/internal/place/report"
 )
 
-// Candidates are asked at once; when none answers, nothing is taken and nobody
-// is told that the item is refused (run under the race detector, it also shows
-// that those asked share no state).
+// Candidates are asked concurrently; when none answers, no load is ordered and no
+// refusal is published. Under the race detector it also checks that concurrent asks
+// share no state.
 func TestNoRefusalWhenNoCandidateAnswers(t *testing.T) {
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
@@ -32,7 +32,7 @@
 		}}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	p.executeDecision(t.Context(), conf.Effective{}, Decision{Item: "m", NoHolder: true, Candidates: []judge.Ranked{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}}, order.Statuses{})
-	// Why: telling of a refusal would need an owner, and there is none here to ask.
+	// Publishing a refusal needs Deps.Owner, which is nil here.
 	got := p.Explain(t.Context(), "m")
 	if len(got) != 1 || got[0].AcceptedBy != "" || len(got[0].Answers) != 4 {
 		t.Fatalf("%+v", got)
@@ -44,32 +44,32 @@
 	}
 }
 
-// A core that has just started knows of no replica, or of none that answers; that is no
-// reason to have requests turned away (that would need an owner, and there is none here to ask).
+// A core that has just started knows no replica, or none that answers; it must not
+// publish a refusal, which would need Deps.Owner; it is nil here.
 func TestNoRefusalWhenNoReplicaIsReachable(t *testing.T) {
-	for name, views := range map[string][]order.Status{
-		"no word of any":       nil,
-		"none that answers":    {{Listed: inventory.Listed{ID: "a", Model: true}, Dark: true}},
-		"only other services'": {{Listed: inventory.Listed{ID: "b"}}},
+	for name, statuses := range map[string][]order.Status{
+		"no replica known":        nil,
+		"no replica answers":      {{Listed: inventory.Listed{ID: "a", Model: true}, Dark: true}},
+		"only non-model replicas": {{Listed: inventory.Listed{ID: "b"}}},
 	} {
 		g := run.NewGroup(context.Background())
 		p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, items: map[conf.Item]*itemState{}}
 		p.actor = run.NewActor(g, 8, 0, nil)
-		p.executeDecision(t.Context(), conf.Effective{}, Decision{Item: "m", NoHolder: true}, order.NewStatuses(views))
+		p.executeDecision(t.Context(), conf.Effective{}, Decision{Item: "m", NoHolder: true}, order.NewStatuses(statuses))
 		if got := p.Explain(t.Context(), "m"); len(got) != 1 || got[0].AcceptedBy != "" {
-			t.Errorf("%s: %+v", name, got)
+			t.Errorf("%s: decisions about m: %+v, want one that was not accepted", name, got)
 		}
 		g.Stop()
 	}
 }
 
-// In a fleet of more replicas than are asked, those that have no load before
-// them are asked first; among those the judges decide, as before.
+// With more replicas than are asked, those without pending loads come first; among
+// those the score decides.
 func TestReplicasWithoutPendingLoadsAreAskedFirst(t *testing.T) {
 	view := func(id string, freeMib int, items map[string]string) order.Status {
 		return order.Status{Listed: inventory.Listed{ID: id, Model: true}, Slots: 12, CapacityMib: 200, FreeMib: freeMib, AdapterPlaces: 8, AdapterFree: 8, Items: items}
 	}
-	views := []order.Status{
+	statuses := []order.Status{
 		view("a-roomy-and-loading", 200, map[string]string{"x": backend.Loading}),
 		view("b-two-wait", 50, map[string]string{"x": order.Reserved, "y": backend.Loading}),
 		view("c-holds", 100, map[string]string{"m": backend.Loaded}),
@@ -78,9 +78,9 @@
 		view("f-adapter-comes", 100, map[string]string{"z": backend.Loaded, "z/a1": backend.Loading}),
 		view("g-too-small", 200, nil),
 	}
-	views[6].CapacityMib = 10
+	statuses[6].CapacityMib = 10
 	p := &Planner{d: Deps{Reports: report.NewTable()}}
-	got := p.rankCandidates(conf.Effective{Weights: map[string]float64{"room": 1}}, conf.Item{Model: "m"}, conf.Model{SizeMib: 100}, order.NewStatuses(views), 0, labels.Everything())
+	got := p.rankCandidates(conf.Effective{Weights: map[string]float64{"room": 1}}, conf.Item{Model: "m"}, conf.Model{SizeMib: 100}, order.NewStatuses(statuses), 0, labels.Everything())
 	var names []string
 	for _, r := range got {
 		names = append(names, r.Name)
@@ -90,6 +90,6 @@
 		t.Errorf("got %v, want %v", names, want)
 	}
 	if !got[len(got)-1].Vetoed {
-		t.Error("the one that can never hold it is not the last")
+		t.Error("the replica that can never hold the item is not ranked last")
 	}
 }
--- a/internal/place/plan/schedule.go
+++ b/internal/place/plan/schedule.go
@@ -10,146 +10,147 @@
 	"drumstall.example/internal/place/order"
 )
 
-// mostUnderWay is how many decisions a planner makes at a time. Why: each waits for the answers of several cores; where
-// one was made after the other, a core that answers late held up all that were to follow.
+// maxConcurrentDecisions is how many decisions a planner makes concurrently. Each waits for answers of several cores; if
+// they were sequential, one slow core would delay all following decisions.
 const maxConcurrentDecisions = 8
 
-// subject is what a decision is about: a miss of an item, or a claim's copy of it.
+// subject identifies what a decision is about: a miss of an item, or a claim's copy of it.
 type subject struct {
 	item  conf.Item
 	claim bool
 }
 
-// subject is what the decision is about.
+// subject returns what the decision is about.
 func (d Decision) subject() subject { return subject{conf.ParseItem(d.Item), d.isClaim} }
 
-// onTick begins the decisions that are due, the most urgent first, as far as there is room for more.
+// onTick starts the due decisions, most urgent first, up to maxConcurrentDecisions.
 func (p *Planner) onTick() {
 	now := p.d.Clock.Since()
 	cfg := p.d.Conf()
-	waits, pressed, crowded := p.missedItems(now)
-	p.updateWaiting(waits, now)
-	if len(waits) == 0 && len(cfg.Claims) == 0 {
+	waiting, delayed, copiesWanted := p.missedItems(now)
+	p.updateWaiting(waiting, now)
+	if len(waiting) == 0 && len(cfg.Claims) == 0 {
 		p.unmetClaims = map[string]string{}
 		return
 	}
-	room := maxConcurrentDecisions - len(p.inProgress)
-	if room <= 0 {
-		return // the one that ends first calls for another look
+	free := maxConcurrentDecisions - len(p.inProgress)
+	if free <= 0 {
+		return // the first decision to finish triggers another run
 	}
-	views := p.d.Views()
+	statuses := p.d.Views()
 	var due []Decision
-	for it, n := range waits {
+	for it, n := range waiting {
 		if p.inProgress[subject{item: it}] {
 			continue
 		}
-		if d, ok := p.missDecision(cfg, it, n, pressed[it] > 0, crowded[it], views, now); ok {
+		if d, ok := p.missDecision(cfg, it, n, delayed[it] > 0, copiesWanted[it], statuses, now); ok {
 			due = append(due, d)
 		}
 	}
-	for _, d := range p.claimDecisions(cfg, views, now) {
+	for _, d := range p.claimDecisions(cfg, statuses, now) {
 		if !p.inProgress[d.subject()] {
 			due = append(due, d)
 		}
 	}
 	sort.Slice(due, func(i, j int) bool { return due[i].precedes(due[j]) })
-	for _, d := range due[:min(room, len(due))] {
-		p.startDecision(cfg, d, views, now)
+	for _, d := range due[:min(free, len(due))] {
+		p.startDecision(cfg, d, statuses, now)
 	}
 }
 
-// wanted is how many requests wait for each item that may want a load, how many answers of it are held up, and
-// how many copies it wants for its work.
-func (p *Planner) missedItems(now time.Duration) (waits, pressed, crowded map[conf.Item]int) {
-	waits = p.d.Reports.Waiting(now)
-	crowded = p.overloadedModels(now)
-	// Why: an item whose holders all have many requests is missed as well, if less than one that nobody holds.
-	pressed = p.d.Reports.Pressed(now)
-	for it, n := range pressed {
+// missedItems returns, for each item that may need a load, the number of waiting requests, the number of delayed answers,
+// and the number of copies needed for its work.
+func (p *Planner) missedItems(now time.Duration) (waiting, delayed, copiesWanted map[conf.Item]int) {
+	waiting = p.d.Reports.Waiting(now)
+	copiesWanted = p.overloadedModels(now)
+	// An item whose holders are all highly loaded counts as missed too, though less than one without a holder.
+	delayed = p.d.Reports.Pressed(now)
+	for it, n := range delayed {
 		if n < minDelayedAnswers {
-			delete(pressed, it)
+			delete(delayed, it)
 			continue
 		}
-		waits[it] = max(waits[it], n)
+		waiting[it] = max(waiting[it], n)
 	}
-	for it := range crowded {
-		waits[it] = max(waits[it], 1)
+	for it := range copiesWanted {
+		waiting[it] = max(waiting[it], 1)
 	}
-	return waits, pressed, crowded
+	return waiting, delayed, copiesWanted
 }
 
-// begin makes a decision beside the others.
-func (p *Planner) startDecision(cfg conf.Effective, d Decision, views order.Statuses, now time.Duration) {
-	about := d.subject()
-	p.recordStart(about, now)
-	d.Candidates = p.rankCandidates(cfg, about.item, cfg.Models[about.item.Model], views, now, d.selector)
-	p.inProgress[about] = true
+// startDecision executes a decision concurrently with the others.
+func (p *Planner) startDecision(cfg conf.Effective, d Decision, statuses order.Statuses, now time.Duration) {
+	subj := d.subject()
+	p.recordStart(subj, now)
+	d.Candidates = p.rankCandidates(cfg, subj.item, cfg.Models[subj.item.Model], statuses, now, d.selector)
+	p.inProgress[subj] = true
 	started := p.d.Group.Go(func(ctx context.Context) {
-		began := p.d.Clock.Since()
-		taken := p.executeDecision(ctx, cfg, d, views)
-		p.progress.recordDecision(taken, p.d.Clock.Since()-began)
-		_ = p.actor.Ask(ctx, func() { delete(p.inProgress, about) })
+		startedAt := p.d.Clock.Since()
+		accepted := p.executeDecision(ctx, cfg, d, statuses)
+		p.progress.recordDecision(accepted, p.d.Clock.Since()-startedAt)
+		_ = p.actor.Ask(ctx, func() { delete(p.inProgress, subj) })
 		p.replan.Now()
 	})
 	if !started {
-		delete(p.inProgress, about)
+		delete(p.inProgress, subj)
 	}
 }
 
-// noteBegun keeps in mind when something was last decided on.
-func (p *Planner) recordStart(about subject, now time.Duration) {
-	if about.claim {
-		p.claimDecidedAt[about.item] = now
+// recordStart records the time of the last decision about a subject.
+func (p *Planner) recordStart(subj subject, now time.Duration) {
+	if subj.claim {
+		p.claimDecidedAt[subj.item] = now
 		return
 	}
-	i := p.stateOf(about.item)
-	if i == nil {
+	entry := p.stateOf(subj.item)
+	if entry == nil {
 		return
 	}
-	if now-i.lastDecided > 3*p.d.Cadence.Again {
-		i.blockedSince = 0
+	if now-entry.lastDecided > 3*p.d.Cadence.Again {
+		entry.blockedSince = 0
 	}
-	i.lastDecided = now
+	entry.lastDecided = now
 }
 
-// noteWaiting keeps in mind since when requests wait for each item.
-func (p *Planner) updateWaiting(waits map[conf.Item]int, now time.Duration) {
-	for it, i := range p.items {
+// updateWaiting records since when requests wait for each item.
+func (p *Planner) updateWaiting(waiting map[conf.Item]int, now time.Duration) {
+	for it, entry := range p.items {
 		switch {
-		case waits[it] == 0:
-			i.waitingSince = -1
-		case i.waitingSince < 0:
-			i.waitingSince = now
+		case waiting[it] == 0:
+			entry.waitingSince = -1
+		case entry.waitingSince < 0:
+			entry.waitingSince = now
 		}
 	}
 }
 
-// unfair is for how long requests may wait for an item that nobody holds before
-// it goes before dearer ones. Why: the dearest first would never let the cheapest in.
+// starvationLimit is how long requests may wait for an item without a holder before
+// it takes precedence over items with a higher penalty. With strict order by
+// penalty, items with the lowest penalty would never be loaded.
 const starvationLimit = 1500 * time.Millisecond
 
-// before says which decision is made first: what has waited for too long, the
-// longest first, then the dearest.
-func (d Decision) precedes(o Decision) bool {
-	late, other := d.NoHolder && d.waitedFor > starvationLimit, o.NoHolder && o.waitedFor > starvationLimit
+// precedes reports whether d is made before other: first those that waited for longer
+// than starvationLimit, longest wait first, then by descending penalty.
+func (d Decision) precedes(other Decision) bool {
+	late, otherLate := d.NoHolder && d.waitedFor > starvationLimit, other.NoHolder && other.waitedFor > starvationLimit
 	switch {
-	case late != other:
+	case late != otherLate:
 		return late
-	case late && d.waitedFor != o.waitedFor:
-		return d.waitedFor > o.waitedFor
+	case late && d.waitedFor != other.waitedFor:
+		return d.waitedFor > other.waitedFor
 	}
-	return d.Penalty > o.Penalty
+	return d.Penalty > other.Penalty
 }
 
-// askedReplicas counts, by replica, the decisions that have chosen it and wait for its controller's answer. Its methods
-// may be called from anywhere.
+// pendingAsks counts, by replica, the decisions that have chosen it and wait for the answer of its controller. Its methods
+// are safe for concurrent use.
 type pendingAsks struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// choose gives the place of the best answer that agrees, and counts its replica as asked until it is settled; -1 when
-// none agrees. Why: decisions that are made side by side see the same free replicas, and must not all choose one.
+// choose returns the index of the best answer that accepts the load, or -1 if none does, and counts its replica as asked
+// until release. Concurrent decisions see the same free replicas and must not all choose the same one.
 func (a *pendingAsks) choose(names []string, answers []order.Considered) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -168,7 +169,7 @@
 	return best
 }
 
-// settle ends that a replica is being asked.
+// release undoes the count of choose once the controller has answered.
 func (a *pendingAsks) release(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/place/plan/schedule_test.go
+++ b/internal/place/plan/schedule_test.go
@@ -23,7 +23,7 @@
 	"drumstall.example/internal/state/owner"
 )
 
-// manyModels is a configuration of so many models, and replicas that hold none of them.
+// configWithModels returns a configuration with the given number of models, and replicas that hold none of them.
 func configWithModels(models, replicas int) (conf.Effective, order.Statuses) {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{}
@@ -37,7 +37,7 @@
 	return cfg, order.NewStatuses(all)
 }
 
-// takenLoads is the loads that controllers have agreed to, by item, and the replicas they went to.
+// acceptedLoads records the loads accepted by controllers, by item, and counts them by replica.
 type acceptedLoads struct {
 	mu       sync.Mutex
 	items    map[string]bool
@@ -66,20 +66,20 @@
 	return len(l.items), most
 }
 
-// planning plays a planner whose controllers take so long to answer.
-func runPlanner(t *testing.T, models int, slow func(item string) time.Duration, play func(reports *report.Table, loads *acceptedLoads)) {
+// runPlanner runs test against a planner whose controllers answer after the given delay.
+func runPlanner(t *testing.T, models int, delay func(item string) time.Duration, test func(reports *report.Table, loads *acceptedLoads)) {
 	t.Helper()
 	simstate.Play(t, vfs.NewMem(), func(t *testing.T, g *run.Group, own *owner.Owner) {
-		cfg, views := configWithModels(models, 32)
+		cfg, statuses := configWithModels(models, 32)
 		reports := report.NewTable()
 		loads := &acceptedLoads{items: map[string]bool{}, replicas: map[string]int{}}
 		cadence := bounds.DefaultCadence()
 		cadence.Plan, cadence.Again = 50*time.Millisecond, 10*time.Second
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: cadence, Owner: own,
-			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return views },
+			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return statuses },
 			Tell: func(context.Context, SharedPredictions) {},
 			Ask: func(ctx context.Context, _ string, q order.Consider) (order.Considered, error) {
-				run.Wait(ctx, slow(q.Item))
+				run.Wait(ctx, delay(q.Item))
 				if !q.Dry {
 					loads.add(q)
 				}
@@ -89,11 +89,11 @@
 			p.OnSlotAcquired(slot, epoch, nil)
 		}
 		time.Sleep(time.Second)
-		play(reports, loads)
+		test(reports, loads)
 	})
 }
 
-// misses is a report by which a request waits for each of some items.
+// missReport returns a report with one request waiting for each item.
 func missReport(version uint64, items ...string) report.Report {
 	r := report.Report{Agent: "e", Boot: "b", Version: version, Waiting: map[string]int{}, Demand: map[string]uint64{}}
 	for _, item := range items {
@@ -109,31 +109,31 @@
 		for i := range models {
 			all = append(all, fmt.Sprintf("m-%02d", i))
 		}
-		began := time.Now()
-		clk := simhost.NewClock()
-		reports.Put(missReport(1, all...), clk.Since())
+		start := time.Now()
+		clock := simhost.NewClock()
+		reports.Put(missReport(1, all...), clock.Since())
 		time.Sleep(1600 * time.Millisecond)
 		if count, _ := loads.maxPerReplica(); count < models {
-			t.Errorf("%d of %d items that are missed are on their way after %v, with controllers that answer in 200 ms", count, models, time.Since(began))
+			t.Errorf("loads ordered for %d of %d missed items after %v, with controllers that answer in 200 ms", count, models, time.Since(start))
 		}
 	})
 }
 
 func TestASlowDecisionDoesNotBlockOthers(t *testing.T) {
-	slow := func(item string) time.Duration {
+	delay := func(item string) time.Duration {
 		if item == "m-00" {
 			return time.Minute
 		}
 		return 10 * time.Millisecond
 	}
-	runPlanner(t, 2, slow, func(reports *report.Table, loads *acceptedLoads) {
-		clk := simhost.NewClock()
-		reports.Put(missReport(1, "m-00"), clk.Since())
+	runPlanner(t, 2, delay, func(reports *report.Table, loads *acceptedLoads) {
+		clock := simhost.NewClock()
+		reports.Put(missReport(1, "m-00"), clock.Since())
 		time.Sleep(200 * time.Millisecond)
-		reports.Put(missReport(2, "m-00", "m-01"), clk.Since())
+		reports.Put(missReport(2, "m-00", "m-01"), clock.Since())
 		time.Sleep(300 * time.Millisecond)
 		if !loads.has("m-01") {
-			t.Error("an item is not on its way 0.3 s after it was missed, while a decision about another waits for an answer")
+			t.Error("no load ordered 0.3 s after a miss, while a decision about another item waits for an answer")
 		}
 	})
 }
@@ -147,7 +147,7 @@
 		reports.Put(missReport(1, all...), simhost.NewClock().Since())
 		time.Sleep(time.Second)
 		if count, most := loads.maxPerReplica(); count != maxConcurrentDecisions || most > 1 {
-			t.Errorf("%d of %d items are on their way, %d of them at one replica", count, maxConcurrentDecisions, most)
+			t.Errorf("loads ordered for %d of %d items, %d of them on one replica", count, maxConcurrentDecisions, most)
 		}
 	})
 }
--- a/internal/place/plan/share.go
+++ b/internal/place/plan/share.go
@@ -7,11 +7,11 @@
 	"drumstall.example/internal/kernel/run"
 )
 
-// Requests is the predicted requests of an item over the horizon, by whichever
-// core predicts it.
+// PredictedRequests returns the requests predicted for an item over the horizon,
+// by this core or another.
 func (p *Planner) PredictedRequests(it string) float64 { return p.predictions.get(it) }
 
-// share predicts for our items and tells the other cores.
+// sharePredictions predicts the requests for the items of this core and sends them to the other cores.
 func (p *Planner) sharePredictions(ctx context.Context) {
 	s := SharedPredictions{From: p.d.Self, Requests: map[string]float64{}}
 	if use, err := run.AskFor(ctx, p.paceActor, p.currentPaceUse); err == nil && use >= 0 {
@@ -20,11 +20,11 @@
 	err := p.actor.Ask(ctx, func() {
 		now := p.d.Clock.Since()
 		minute, _ := p.currentMinuteClock(p.d.Conf()).Now(p.d.Clock.Wall(), now)
-		rule := p.demandParams()
+		params := p.demandParams()
 		waiting := p.d.Reports.Waiting(now)
-		for it, i := range p.items {
+		for it, entry := range p.items {
 			if p.ownsItem(it) {
-				s.Requests[it.String()] = i.series.PredictHorizon(rule, minute, waiting[it])
+				s.Requests[it.String()] = entry.series.PredictHorizon(params, minute, waiting[it])
 			}
 		}
 		p.mergeShared(s)
@@ -34,11 +34,12 @@
 	}
 }
 
-// Shared takes another core's predictions.
+// MergePredictions applies the predictions of another core.
 func (p *Planner) MergePredictions(ctx context.Context, s SharedPredictions) error {
 	return p.actor.Ask(ctx, func() { p.mergeShared(s) })
 }
 
+// mergeShared applies the predictions of a core, this one included.
 func (p *Planner) mergeShared(s SharedPredictions) {
 	if s.GrantsLoads {
 		p.paceUse, p.paceUseAt = s.PaceUse, p.d.Clock.Since()
@@ -46,20 +47,20 @@
 	p.predictions.merge(s.Requests)
 }
 
-// predictions are the requests of each item that cores have predicted last. Its methods may be called from anywhere.
+// predictionTable holds the last predicted requests of each item, by any core. Its methods are safe for concurrent use.
 type predictionTable struct {
 	mu     sync.RWMutex
 	byItem map[string]float64
 }
 
-// get is the prediction for an item.
+// get returns the prediction for an item.
 func (p *predictionTable) get(it string) float64 {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	return p.byItem[it]
 }
 
-// lay takes newer predictions over those before.
+// merge replaces predictions by newer ones; new items are dropped beyond maxItems.
 func (p *predictionTable) merge(next map[string]float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/place/plan/statuses.go
+++ b/internal/place/plan/statuses.go
@@ -10,15 +10,15 @@
 	"drumstall.example/internal/place/order"
 )
 
-// replicaPrefix begins the key of every replica in the gossip.
+// replicaPrefix is the key prefix of all replicas in the gossip table.
 var replicaPrefix = order.Key("")
 
-// Views are all replicas' newest status, by name, decoded anew.
+// DecodeStatuses decodes the newest status of all replicas, sorted by ID.
 func DecodeStatuses(t *gossip.Table) order.Statuses {
 	var out []order.Status
 	for _, e := range t.List(replicaPrefix) {
-		if n, ok := decodeStatus(e); ok {
-			out = append(out, n)
+		if status, ok := decodeStatus(e); ok {
+			out = append(out, status)
 		}
 	}
 	slices.SortFunc(out, compareIDs)
@@ -26,23 +26,24 @@
 }
 
 func decodeStatus(e gossip.Entry) (order.Status, bool) {
-	var n order.Status
-	return n, wire.Unpack(e.Value, &n) == nil
+	var status order.Status
+	return status, wire.Unpack(e.Value, &status) == nil
 }
 
 func compareIDs(a, b order.Status) int { return strings.Compare(a.Listed.ID, b.Listed.ID) }
 
-// ViewCache keeps the replicas' status decoded: an entry is decoded when it has
-// changed, and the list is made anew when one has. Its methods may be called from anywhere.
+// StatusCache caches the decoded status of all replicas. Only changed entries are
+// decoded, and the list is rebuilt only after a change. Its methods are safe for
+// concurrent use.
 type StatusCache struct {
 	table    *gossip.Table
 	mu       sync.Mutex
-	changed  map[string]bool // keys of the entries that are newer than what is decoded
-	keys     []string        // of the views, sorted
-	statuses order.Statuses  // what is decoded, in the order of keys
+	changed  map[string]bool // keys of the entries changed since they were decoded
+	keys     []string        // of the statuses, sorted
+	statuses order.Statuses  // decoded, in the order of keys
 }
 
-// NewViewCache follows a table; it must be made before the table is in use.
+// NewStatusCache returns a cache that follows a table; it must be created before the table is in use.
 func NewStatusCache(t *gossip.Table) *StatusCache {
 	c := &StatusCache{table: t, changed: map[string]bool{}, statuses: order.NewStatuses(nil)}
 	t.OnNew(c.markChanged)
@@ -58,47 +59,47 @@
 	c.changed[e.Key] = true
 }
 
-// Views are all replicas' newest status. They are shared: nobody may change them.
+// Statuses returns the newest status of all replicas. The result is shared and must not be modified.
 func (c *StatusCache) Statuses() order.Statuses {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.changed) == 0 {
 		return c.statuses
 	}
-	list, same := slices.Clone(c.statuses.All), true
-	var differ []int
+	list, sameKeys := slices.Clone(c.statuses.All), true
+	var changedAt []int
 	for key := range c.changed {
 		at, known := slices.BinarySearch(c.keys, key)
-		n, there := c.decodeCurrent(key)
+		status, present := c.decodeCurrent(key)
 		switch {
-		case there && known:
-			list[at] = n
-			differ = append(differ, at)
-		case there:
+		case present && known:
+			list[at] = status
+			changedAt = append(changedAt, at)
+		case present:
 			c.keys = slices.Insert(c.keys, at, key)
-			list = slices.Insert(list, at, n)
-			same = false
+			list = slices.Insert(list, at, status)
+			sameKeys = false
 		case known:
 			c.keys = slices.Delete(c.keys, at, at+1)
 			list = slices.Delete(list, at, at+1)
-			same = false
+			sameKeys = false
 		}
 	}
 	clear(c.changed)
-	if same {
-		c.statuses = c.statuses.Replaced(list, differ)
+	if sameKeys {
+		c.statuses = c.statuses.Replaced(list, changedAt)
 	} else {
 		c.statuses = order.NewStatuses(list)
 	}
 	return c.statuses
 }
 
-// read decodes the entry of a key as the table has it now. Why: entries of one
-// key may be told of in another order than the table took them.
-func (c *StatusCache) decodeCurrent(key string) (n order.Status, there bool) {
+// decodeCurrent decodes the current entry of a key in the table. Notifications for
+// one key may arrive in another order than the table applied the entries.
+func (c *StatusCache) decodeCurrent(key string) (status order.Status, present bool) {
 	e, found := c.table.Get(key)
 	if !found {
-		return n, false
+		return status, false
 	}
 	return decodeStatus(e)
 }
--- a/internal/place/plan/statuses_test.go
+++ b/internal/place/plan/statuses_test.go
@@ -13,7 +13,7 @@
 	"drumstall.example/internal/state"
 )
 
-// replicaEntry is a replica's status under a version.
+// replicaEntry returns a gossip entry with the status of a replica at a version.
 func replicaEntry(id string, version uint64, items int) gossip.Entry {
 	n := order.Status{Listed: inventory.Listed{ID: id, Labels: map[string]string{"service": "s"}}, Controller: "c", Items: map[string]string{}, FreeMib: int(version)}
 	for i := range items {
@@ -22,8 +22,8 @@
 	return gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: version}, Value: wire.Pack(n)}
 }
 
-// What is kept decoded is what the table says, through changes, removals and entries
-// that cannot be read; and a list that was handed out stays as it was.
+// The cache matches the table through changes, removals and entries that cannot be
+// decoded, and a list that was returned is never modified.
 func TestStatusCacheMatchesTheTable(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -47,13 +47,13 @@
 				t.Fatalf("seed %d, entry %d: got %+v, want %+v", seed, version, got, want)
 			}
 			if !reflect.DeepEqual(kept, append([]order.Status(nil), before...)) {
-				t.Fatalf("seed %d, entry %d: a list that was handed out has changed", seed, version)
+				t.Fatalf("seed %d, entry %d: a list that was returned has changed", seed, version)
 			}
 		}
 	}
 }
 
-// Asking again without anything new costs nothing.
+// Repeated calls without changes do not allocate.
 func TestStatusCacheDoesNotAllocateWithoutChanges(t *testing.T) {
 	table := gossip.NewTable()
 	cache := NewStatusCache(table)
@@ -62,11 +62,11 @@
 	}
 	cache.Statuses()
 	if n := testing.AllocsPerRun(100, func() { cache.Statuses() }); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations per call, want 0", n)
 	}
 }
 
-// One replica's status has changed since the last look, of 140.
+// Each iteration changes the status of one of 140 replicas.
 func BenchmarkStatuses(b *testing.B) {
 	for name, cached := range map[string]bool{"anew": false, "cached": true} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/place/plan/work.go
+++ b/internal/place/plan/work.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// workSpan is the time over which work is averaged.
+	// workTimeConstant is the time constant of the exponential average of work.
 	workTimeConstant = 1500 * time.Millisecond
-	// workShare of its time is what one replica may spend on reading prompts before the answers that run there
-	// pause for too long; measured on replicas that read prompts between the tokens of other answers.
+	// maxWorkShare is the share of its time that one replica may spend on prompt processing before the answers in
+	// progress there pause for too long; measured on replicas that process prompts between the tokens of other answers.
 	maxWorkShare = 0.25
-	// workOver is how much a wanted copy must be needed before it is loaded.
+	// copyThreshold is the fraction of a copy that must be needed before that copy is loaded.
 	copyThreshold = 0.15
 )
 
-// workRates is how much time of replicas each model takes at present.
+// workRates tracks how much replica time each model currently takes.
 type workRates struct {
-	lastTotals map[string]map[string]uint64 // by who counted: what was counted last
-	byModel    map[string]*workRate         // by model
+	lastTotals map[string]map[string]uint64 // last running totals, by reporter
+	byModel    map[string]*workRate         // by model name
 }
 
-// workRate is an average that forgets.
+// workRate is an exponentially decaying average.
 type workRate struct {
-	sum       time.Duration // of a work span
+	sum       time.Duration // decayed sum over workTimeConstant
 	updatedAt time.Duration
 }
 
@@ -35,20 +35,20 @@
 	w.updatedAt = now
 }
 
-// add takes the counts that changed with a report, and all of them as they are
-// now; they only ever grow under one boot.
+// addReport adds the running totals that changed with a report; whole is the complete
+// report after the change. Totals never decrease within one boot of an agent.
 func (w *workRates) addReport(changes, whole report.Report, now time.Duration) {
 	if w.lastTotals == nil {
 		w.lastTotals, w.byModel = map[string]map[string]uint64{}, map[string]*workRate{}
 	}
-	from := whole.Agent + "/" + whole.Boot
-	before, known := w.lastTotals[from]
-	w.lastTotals[from] = whole.WorkMs
+	reporter := whole.Agent + "/" + whole.Boot
+	previous, known := w.lastTotals[reporter]
+	w.lastTotals[reporter] = whole.WorkMs
 	if !known {
-		return // what came before this core was told is not of the present
+		return // work from before the first report to this core is not current
 	}
 	for model, count := range changes.WorkMs {
-		if count <= before[model] {
+		if count <= previous[model] {
 			continue
 		}
 		rate := w.byModel[model]
@@ -57,11 +57,11 @@
 			w.byModel[model] = rate
 		}
 		rate.decay(now)
-		rate.sum += time.Duration(count-before[model]) * time.Millisecond
+		rate.sum += time.Duration(count-previous[model]) * time.Millisecond
 	}
 }
 
-// share is how many replicas' whole time a model takes at present.
+// share returns the replica time that a model currently takes, in whole replicas.
 func (w *workRates) share(model string, now time.Duration) float64 {
 	rate := w.byModel[model]
 	if rate == nil {
@@ -71,28 +71,28 @@
 	return rate.share()
 }
 
-// share is the average as it was when it was last looked at.
+// share returns the average as of the last update.
 func (w *workRate) share() float64 { return float64(w.sum) / float64(workTimeConstant) }
 
-// forget lets go of models that nobody asks for any more, and of reporters that are gone.
+// prune drops models that are no longer requested and reporters that are gone.
 func (w *workRates) prune(alive map[string]bool, now time.Duration) {
 	for model := range w.byModel {
 		if w.share(model, now) < 1e-3 {
 			delete(w.byModel, model)
 		}
 	}
-	for from := range w.lastTotals {
-		if !alive[from] {
-			delete(w.lastTotals, from)
+	for reporter := range w.lastTotals {
+		if !alive[reporter] {
+			delete(w.lastTotals, reporter)
 		}
 	}
 }
 
-// crowded is the models that want more than one copy for their work, with how many.
+// overloadedModels returns the models that need more than one copy for their work, with the number of copies.
 func (p *Planner) overloadedModels(now time.Duration) map[conf.Item]int {
 	out := map[conf.Item]int{}
 	for model, rate := range p.work.byModel {
-		// Why: an average only falls between reports, and what took less than one copy takes less now.
+		// Without new reports an average only decays, so a model that needed no second copy at its last update needs none now.
 		if copiesForShare(rate.share()) <= 1 {
 			continue
 		}
@@ -103,5 +103,5 @@
 	return out
 }
 
-// copiesFor is how many copies a model wants for the share of replicas' time that it takes.
+// copiesForShare returns how many copies a model needs for the replica time that it takes.
 func copiesForShare(share float64) int { return int(math.Ceil(share/maxWorkShare - copyThreshold)) }
--- a/internal/place/plan/work_test.go
+++ b/internal/place/plan/work_test.go
@@ -11,13 +11,13 @@
 	"drumstall.example/internal/place/report"
 )
 
-// reported is a report of running totals.
+// workReport returns a report with running totals of work.
 func workReport(version uint64, work map[string]uint64) report.Report {
 	return report.Report{Agent: "e", Boot: "b", Version: version, WorkMs: work}
 }
 
-// The models that want more than one copy are those of their work now, for as long
-// as it is enough for two, also when nobody reports any more.
+// The overloaded models are those whose current work needs more than one copy, and
+// the average decays also without new reports.
 func TestOverloadedModelsFollowCurrentWork(t *testing.T) {
 	p := &Planner{}
 	p.work.addReport(workReport(1, nil), workReport(1, nil), 0)
@@ -37,7 +37,7 @@
 	}
 }
 
-// A look at 700 models, of which 4 want a second copy.
+// Checks 700 models, of which 4 need a second copy.
 func BenchmarkOverloadedModels(b *testing.B) {
 	p := &Planner{}
 	p.work.addReport(workReport(1, nil), workReport(1, nil), 0)
