--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -41,7 +41,7 @@
 // OnSlotAcquired restores the history of a slot whose lease this core now holds.
 func (p *Planner) OnSlotAcquired(slot int, epoch uint64, recs []state.Record) {
 	if slot == state.SlotOf(PaceKey) {
-		// The wait for grants of the previous keeper starts now, not at the first request.
+		// The wait for grants of the previous lease holder starts now, not at the first request.
 		now := p.d.Clock.Since()
 		_ = p.paceActor.Tell(func() { p.ensureKeeper(p.d.Group.Context(), epoch, now) })
 	}
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -14,7 +14,7 @@
 	AgesMs []int64 `cbor:"1,keyasint"` // age of each grant that still counts
 }
 
-// grantRefreshInterval is how often the ages of grants are rewritten while any of them counts. A keeper that takes over uses
+// grantRefreshInterval is how often the ages of grants are rewritten while any of them counts. A core that takes over uses
 // the recorded ages, which only advance when they are rewritten.
 const grantRefreshInterval = time.Second
 
@@ -50,7 +50,7 @@
 	return g, nil
 }
 
-// decideGrant lets the keeper decide on a load start. A grant counts immediately, but must be written to the control state
+// decideGrant lets the rate limiter decide on a load start. A grant counts immediately, but must be written to the control state
 // before it is returned to the caller.
 func (p *Planner) decideGrant(ctx context.Context, q GrantRequest) (g GrantResponse, mark grantMark, granted bool) {
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
@@ -80,7 +80,7 @@
 	return err == nil && persisted
 }
 
-// writeGrants writes all grants that count, if the keeper still belongs to epoch. It runs only on grantWriter.
+// writeGrants writes all grants that count, if the rate limiter still belongs to epoch. It runs only on grantWriter.
 func (p *Planner) writeGrants(ctx context.Context, epoch uint64) bool {
 	var w GrantRecord
 	var mark grantMark
@@ -154,7 +154,7 @@
 	return p.pacer.keeper.Use(now, p.startsPerWindow())
 }
 
-// ensureKeeper ensures that there is a keeper for epoch and reports whether there is. A new keeper resumes from the recorded
+// ensureKeeper ensures that there is a rate limiter for epoch and reports whether there is. A new one resumes from the recorded
 // grants, if any.
 func (p *Planner) ensureKeeper(ctx context.Context, epoch uint64, now time.Duration) bool {
 	if p.pacer.keeper != nil && p.pacer.epoch == epoch {
@@ -180,7 +180,7 @@
 		p.pacer.keeper = pace.NewKeeper(now, p.d.Store.Window, false)
 	}
 	p.pacer.epoch = epoch
-	// Write a record, so that the next keeper finds one even if nothing is ever granted.
+	// Write a record, so that the next lease holder finds one even if nothing is ever granted.
 	if found {
 		return true
 	}
