--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -43,7 +43,7 @@
 	if slot == state.SlotOf(PaceKey) {
 		// The wait for grants of the previous lease holder starts now, not at the first request.
 		now := p.d.Clock.Since()
-		_ = p.paceActor.Tell(func() { p.ensureKeeper(p.d.Group.Context(), epoch, now) })
+		_ = p.paceActor.Tell(func() { p.ensureLimiter(p.d.Group.Context(), epoch, now) })
 	}
 	// This must not be dropped when the queue of the actor is full: without its history the slot would never be planned for.
 	p.d.Group.Go(func(ctx context.Context) { _ = p.actor.Ask(ctx, func() { p.restoreHistory(slot, epoch, recs) }) })
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -21,7 +21,7 @@
 // pacer holds the rate limiter of the weight store on this core, valid for one epoch.
 type pacer struct {
 	epoch     uint64
-	keeper    *pace.Keeper
+	limiter   *pace.Keeper
 	granted   uint64 // grants so far, in this epoch and earlier ones
 	persisted int    // number of grants in the last written record
 }
@@ -55,14 +55,14 @@
 func (p *Planner) decideGrant(ctx context.Context, q GrantRequest) (g GrantResponse, mark grantMark, granted bool) {
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
 	now := p.d.Clock.Since()
-	if !p.d.Owner.Holds(PaceKey) || !p.ensureKeeper(ctx, epoch, now) {
+	if !p.d.Owner.Holds(PaceKey) || !p.ensureLimiter(ctx, epoch, now) {
 		return g, mark, false
 	}
 	if q.Outstanding {
-		p.pacer.keeper.Afloat(now, q.LoadID)
+		p.pacer.limiter.Afloat(now, q.LoadID)
 		return g, mark, false
 	}
-	wait, granted := p.pacer.keeper.Grant(now, p.startsPerWindow(), pace.Request{Who: q.LoadID, Start: q.StartID, Worth: q.Penalty})
+	wait, granted := p.pacer.limiter.Grant(now, p.startsPerWindow(), pace.Request{Who: q.LoadID, Start: q.StartID, Worth: q.Penalty})
 	g.WaitMs = int(wait.Milliseconds())
 	if granted {
 		p.pacer.granted++
@@ -94,10 +94,10 @@
 
 // currentGrants returns the record to write and the mark of the last grant that it covers.
 func (p *Planner) currentGrants() (w GrantRecord, mark grantMark) {
-	if p.pacer.keeper == nil {
+	if p.pacer.limiter == nil {
 		return w, mark
 	}
-	for _, age := range p.pacer.keeper.Ages(p.d.Clock.Since()) {
+	for _, age := range p.pacer.limiter.Ages(p.d.Clock.Since()) {
 		w.AgesMs = append(w.AgesMs, age.Milliseconds())
 	}
 	p.pacer.persisted = len(w.AgesMs)
@@ -119,7 +119,7 @@
 	due := false
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
 	_ = p.paceActor.Ask(ctx, func() {
-		due = p.pacer.keeper != nil && p.pacer.epoch == epoch && p.pacer.persisted > 0 && p.d.Owner.Holds(PaceKey)
+		due = p.pacer.limiter != nil && p.pacer.epoch == epoch && p.pacer.persisted > 0 && p.d.Owner.Holds(PaceKey)
 	})
 	if due {
 		_ = p.grantWriter.Ask(ctx, func() { p.writeGrants(ctx, epoch) })
@@ -131,10 +131,10 @@
 func (p *Planner) OutstandingLoads(ctx context.Context) map[string]int {
 	out := map[string]int{}
 	_ = p.paceActor.Ask(ctx, func() {
-		if p.pacer.keeper == nil || !p.d.Owner.Holds(PaceKey) {
+		if p.pacer.limiter == nil || !p.d.Owner.Holds(PaceKey) {
 			return
 		}
-		for loadID, since := range p.pacer.keeper.Floats(p.d.Clock.Since()) {
+		for loadID, since := range p.pacer.limiter.Floats(p.d.Clock.Since()) {
 			out[loadID] = int(since.Seconds())
 		}
 	})
@@ -148,16 +148,16 @@
 		return -1
 	}
 	now := p.d.Clock.Since()
-	if !p.ensureKeeper(p.d.Group.Context(), epoch, now) {
+	if !p.ensureLimiter(p.d.Group.Context(), epoch, now) {
 		return -1
 	}
-	return p.pacer.keeper.Use(now, p.startsPerWindow())
+	return p.pacer.limiter.Use(now, p.startsPerWindow())
 }
 
-// ensureKeeper ensures that there is a rate limiter for epoch and reports whether there is. A new one resumes from the recorded
+// ensureLimiter ensures that there is a rate limiter for epoch and reports whether there is. A new one resumes from the recorded
 // grants, if any.
-func (p *Planner) ensureKeeper(ctx context.Context, epoch uint64, now time.Duration) bool {
-	if p.pacer.keeper != nil && p.pacer.epoch == epoch {
+func (p *Planner) ensureLimiter(ctx context.Context, epoch uint64, now time.Duration) bool {
+	if p.pacer.limiter != nil && p.pacer.epoch == epoch {
 		return true
 	}
 	rec, found, err := p.d.Owner.Get(ctx, PaceKey)
@@ -168,16 +168,16 @@
 	switch {
 	case epoch == 1:
 		p.pacer.persisted = 0
-		p.pacer.keeper = pace.NewKeeper(now, p.d.Store.Window, true)
+		p.pacer.limiter = pace.NewKeeper(now, p.d.Store.Window, true)
 	case found && wire.Unpack(rec.Value, &previous) == nil:
 		ages := make([]time.Duration, len(previous.AgesMs))
 		for i, ms := range previous.AgesMs {
 			ages[i] = time.Duration(ms)*time.Millisecond + p.d.Owner.FreeFor(PaceKey)
 		}
 		p.pacer.persisted = len(ages)
-		p.pacer.keeper = pace.Resume(now, p.d.Store.Window, ages)
+		p.pacer.limiter = pace.Resume(now, p.d.Store.Window, ages)
 	default:
-		p.pacer.keeper = pace.NewKeeper(now, p.d.Store.Window, false)
+		p.pacer.limiter = pace.NewKeeper(now, p.d.Store.Window, false)
 	}
 	p.pacer.epoch = epoch
 	// Write a record, so that the next lease holder finds one even if nothing is ever granted.
