--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -21,8 +21,8 @@
 	_, _ = atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: who, Outstanding: true}, c.planner.Grant)
 }
 
-func (c *Core) grant(ctx context.Context, l order.Leave) (time.Duration, bool) {
-	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.Who, Penalty: l.Worth, StartID: l.Start}, c.planner.Grant)
+func (c *Core) grant(ctx context.Context, l order.GrantRequest) (time.Duration, bool) {
+	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.Who, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
 	return time.Duration(g.WaitMs) * time.Millisecond, err == nil && g.Granted
 }
 
@@ -66,7 +66,7 @@
 	for id, one := range c.controllers {
 		_, there := listed[id]
 		if there && c.own.Holds(order.Key(id)) {
-			one.controller.Listed(listed[id])
+			one.controller.SetListed(listed[id])
 			continue
 		}
 		gone := !there && c.own.Holds(order.Key(id))
@@ -83,8 +83,8 @@
 		}
 		g := c.group.Child()
 		c.controllers[id] = &controlled{group: g, controller: order.NewController(g, order.Deps{Clock: c.env.Clock, Log: c.log, Self: c.s.Name, Boot: c.boot,
-			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.own, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, Requests: c.planner.PredictedRequests,
-			Others: c.views.Statuses, Agents: c.agents, Platform: c.watch.HeardFor, Grant: c.grant, Afloat: c.afloat}, l)}
+			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.own, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, PredictedRequests: c.planner.PredictedRequests,
+			Others: c.views.Statuses, LiveAgents: c.agents, PlatformAge: c.watch.HeardFor, Grant: c.grant, Afloat: c.afloat}, l)}
 	}
 	snap := map[string]*order.Controller{}
 	for id, one := range c.controllers {
--- a/internal/core/serve.go
+++ b/internal/core/serve.go
@@ -30,8 +30,8 @@
 		return a, coded(err)
 	})
 	wire.Handle(c.mux, considerPath, c.considerHere)
-	wire.Handle(c.mux, considerAllPath, func(ctx context.Context, q order.ConsiderAll) (order.ConsideredAll, error) {
-		return order.ConsideredAll{Answers: c.considerAllHere(ctx, q)}, nil
+	wire.Handle(c.mux, considerAllPath, func(ctx context.Context, q order.ConsiderBatchRequest) (order.ConsiderBatchResponse, error) {
+		return order.ConsiderBatchResponse{Answers: c.considerAllHere(ctx, q)}, nil
 	})
 	wire.Handle(c.mux, "/place/grant", func(ctx context.Context, q plan.GrantRequest) (plan.GrantResponse, error) {
 		if !c.own.Holds(plan.PaceKey) {
--- a/internal/place/plan/ask.go
+++ b/internal/place/plan/ask.go
@@ -9,20 +9,20 @@
 )
 
 // considerRequest builds the request that asks whether a replica takes on the load of the decision.
-func (d Decision) considerRequest(replica string, dry bool) order.Consider {
-	return order.Consider{Replica: replica, Item: d.Item, Penalty: d.Penalty, Alone: d.BypassTest, Claim: d.isClaim, Dry: dry, CostMs: int(d.CheapestMs)}
+func (d Decision) considerRequest(replica string, dry bool) order.ConsiderRequest {
+	return order.ConsiderRequest{Replica: replica, Item: d.Item, Penalty: d.Penalty, SkipTest: d.BypassTest, Claim: d.isClaim, DryRun: dry, CostMs: int(d.CheapestMs)}
 }
 
 // askController asks the controller of one replica. unsure is true if the controller
 // may have accepted the load although no answer arrived. Several calls run
 // concurrently, so it must not modify shared state.
-func (p *Planner) askController(ctx context.Context, d Decision, controller, replica string, dry bool) (a order.Considered, unsure bool) {
+func (p *Planner) askController(ctx context.Context, d Decision, controller, replica string, dry bool) (a order.ConsiderResponse, unsure bool) {
 	askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 	defer cancel()
 	a, err := p.d.Ask(askCtx, controller, d.considerRequest(replica, dry))
 	if err != nil {
 		// A controller that did not answer may have accepted the load; its status shows it before the next decision.
-		return order.Unheard(err), !dry && wire.Code(err) != "not-owner"
+		return order.NoAnswer(err), !dry && wire.Code(err) != "not-owner"
 	}
 	return a, false
 }
@@ -52,11 +52,11 @@
 
 // askDry asks the controllers of all replicas concurrently what the load would evict there, without ordering it. Answers are in
 // the order of names.
-func (p *Planner) askDry(ctx context.Context, d Decision, names []string, statusOf map[string]order.Status) []order.Considered {
-	answers := make([]order.Considered, len(names))
+func (p *Planner) askDry(ctx context.Context, d Decision, names []string, statusOf map[string]order.Status) []order.ConsiderResponse {
+	answers := make([]order.ConsiderResponse, len(names))
 	type answered struct {
 		indexes []int
-		answers []order.Considered
+		answers []order.ConsiderResponse
 	}
 	batches := groupByController(names, statusOf)
 	ch := run.Fan(p.d.Group, len(batches), func(_ context.Context, n int) answered {
@@ -76,16 +76,16 @@
 }
 
 // askBatch asks one controller about several replicas, without ordering a load.
-func (p *Planner) askBatch(ctx context.Context, d Decision, controller string, replicas []string) []order.Considered {
+func (p *Planner) askBatch(ctx context.Context, d Decision, controller string, replicas []string) []order.ConsiderResponse {
 	if p.d.AskAll != nil && len(replicas) > 1 {
 		askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 		defer cancel()
-		return p.d.AskAll(askCtx, controller, order.ConsiderAll{Ask: d.considerRequest("", true), Replicas: replicas})
+		return p.d.AskAll(askCtx, controller, order.ConsiderBatchRequest{Request: d.considerRequest("", true), Replicas: replicas})
 	}
-	answers := make([]order.Considered, len(replicas))
+	answers := make([]order.ConsiderResponse, len(replicas))
 	type answered struct {
 		index  int
-		answer order.Considered
+		answer order.ConsiderResponse
 	}
 	ch := run.Fan(p.d.Group, len(replicas), func(_ context.Context, i int) answered {
 		a, _ := p.askController(ctx, d, controller, replicas[i], true)
--- a/internal/place/plan/ask_test.go
+++ b/internal/place/plan/ask_test.go
@@ -24,24 +24,24 @@
 	defer g.Stop()
 	var mu sync.Mutex
 	var batches, singles, ordered []string
-	answer := func(replica string) order.Considered {
-		return order.Considered{Why: replica, Taken: replica == "d" || replica == "e", Starts: 1, Sum: map[string]float64{"d": 2, "e": 1}[replica]}
+	answer := func(replica string) order.ConsiderResponse {
+		return order.ConsiderResponse{Why: replica, Accepted: replica == "d" || replica == "e", Starts: 1, VictimPenalty: map[string]float64{"d": 2, "e": 1}[replica]}
 	}
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(_ context.Context, controller string, q order.Consider) (order.Considered, error) {
+		Ask: func(_ context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 			mu.Lock()
 			defer mu.Unlock()
-			if q.Dry {
+			if q.DryRun {
 				singles = append(singles, controller+" "+q.Replica)
 			} else {
 				ordered = append(ordered, controller+" "+q.Replica)
 			}
 			return answer(q.Replica), nil
 		},
-		AskAll: func(_ context.Context, controller string, q order.ConsiderAll) []order.Considered {
+		AskAll: func(_ context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 			mu.Lock()
 			defer mu.Unlock()
-			var out []order.Considered
+			var out []order.ConsiderResponse
 			for _, r := range q.Replicas {
 				batches = append(batches, controller+" "+r)
 				out = append(out, answer(r))
@@ -82,7 +82,7 @@
 
 func TestABusyCoreAsksFewerCandidates(t *testing.T) {
 	for busy, want := range map[bool]int{false: maxCandidates, true: minCandidates} {
-		asked := newAskCounter(t, func() bool { return busy }, func() (order.Considered, error) { return order.Considered{Why: "no room"}, nil })
+		asked := newAskCounter(t, func() bool { return busy }, func() (order.ConsiderResponse, error) { return order.ConsiderResponse{Why: "no room"}, nil })
 		if got := asked(); got != want {
 			t.Errorf("busy %v: %d candidates were asked, want %d", busy, got, want)
 		}
@@ -93,11 +93,11 @@
 // further.
 func TestFewerCandidatesAreAskedWhileAnswersTimeOut(t *testing.T) {
 	silent := false
-	asked := newAskCounter(t, nil, func() (order.Considered, error) {
+	asked := newAskCounter(t, nil, func() (order.ConsiderResponse, error) {
 		if silent {
-			return order.Considered{}, context.DeadlineExceeded
+			return order.ConsiderResponse{}, context.DeadlineExceeded
 		}
-		return order.Considered{Why: "no room"}, nil
+		return order.ConsiderResponse{Why: "no room"}, nil
 	})
 	for _, want := range []int{maxCandidates, maxCandidates, maxCandidates / 2, minCandidates, minCandidates} {
 		if got := asked(); got != want {
@@ -114,12 +114,12 @@
 }
 
 // newAskCounter returns a function that lets a planner make one decision and returns how many candidates it asked.
-func newAskCounter(t *testing.T, busy func() bool, answer func() (order.Considered, error)) func() int {
+func newAskCounter(t *testing.T, busy func() bool, answer func() (order.ConsiderResponse, error)) func() int {
 	t.Helper()
 	g := run.NewGroup(context.Background())
 	t.Cleanup(g.Stop)
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Busy: busy,
-		Ask: func(context.Context, string, order.Consider) (order.Considered, error) { return answer() }}, items: map[conf.Item]*itemState{}}
+		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) { return answer() }}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	d := Decision{Item: "m"}
 	for i := range 2 * maxCandidates {
--- a/internal/place/plan/candidatelimit.go
+++ b/internal/place/plan/candidatelimit.go
@@ -19,12 +19,12 @@
 }
 
 // update adapts the limit to the answers of one decision.
-func (l *candidateLimit) update(answers []order.Considered) {
+func (l *candidateLimit) update(answers []order.ConsiderResponse) {
 	if len(answers) == 0 {
 		return
 	}
 	limit := l.current()
-	if slices.ContainsFunc(answers, func(a order.Considered) bool { return a.Silent }) {
+	if slices.ContainsFunc(answers, func(a order.ConsiderResponse) bool { return a.Unanswered }) {
 		limit = max(limit/2, minCandidates)
 	} else {
 		limit = min(limit+1, maxCandidates)
--- a/internal/place/plan/claims.go
+++ b/internal/place/plan/claims.go
@@ -25,7 +25,7 @@
 		copies, ready := 0, 0
 		for _, v := range statuses.All {
 			s := v.Items[want.Item.String()]
-			if v.Dark || v.Listed.Leaving || !want.Group.Matches(labels.Set(v.Listed.Labels)) {
+			if v.Stale || v.Listed.Leaving || !want.Group.Matches(labels.Set(v.Listed.Labels)) {
 				continue
 			}
 			if s == backend.Loaded || s == backend.Loading || s == order.Reserved {
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -46,16 +46,16 @@
 		p.pendingAsks.release(names[best])
 		undecided = undecided || unsure
 		answers[best] = a
-		if a.Taken {
+		if a.Accepted {
 			d.AcceptedBy, ready = names[best], a.ReadyMs
 		}
 	}
 	p.candidateLimit.update(answers)
 	transient := false
 	for i, a := range answers {
-		transient = transient || a.Soon
+		transient = transient || a.Temporary
 		d.Answers = append(d.Answers, CandidateAnswer{names[i], a})
-		undecided = undecided || a.Silent
+		undecided = undecided || a.Unanswered
 	}
 	p.d.Log.Info("decision", "item", d.Item, "cause", d.Cause, "penalty", d.Penalty, "alone", d.NoHolder, "taken", d.AcceptedBy, "why", d.rejectionReasons())
 	expectation := Expectation{ReadyMs: ready}
@@ -65,7 +65,7 @@
 			expectation.RetryAfterS, expectation.Reason = int(cfg.Limits.PassEvery/time.Second)/4+1, "the items to evict are wanted more now"
 			// The weight store may have spare capacity again well before the next load without the eviction test is due.
 			if cfg.Limits.PassSlack > 0 {
-				expectation.RetryAfterS = min(expectation.RetryAfterS, int(pace.UseSpan/time.Second)/3)
+				expectation.RetryAfterS = min(expectation.RetryAfterS, int(pace.UtilizationSpan/time.Second)/3)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 
 // anyReplicaReachable reports whether any known model replica answers its controller.
 func anyReplicaReachable(statuses order.Statuses) bool {
-	return slices.ContainsFunc(statuses.All, func(v order.Status) bool { return v.Listed.Model && !v.Dark })
+	return slices.ContainsFunc(statuses.All, func(v order.Status) bool { return v.Listed.Model && !v.Stale })
 }
 
 // rejectionReasons summarizes why the candidates rejected the item; it is empty if one accepted it.
@@ -139,7 +139,7 @@
 
 // betterAnswer reports whether the replica that answered a is preferred to the one that answered b; askedA and askedB are
 // the numbers of concurrent decisions that have chosen each replica and wait for its controller.
-func betterAnswer(a order.Considered, askedA int, b order.Considered, askedB int) bool {
+func betterAnswer(a order.ConsiderResponse, askedA int, b order.ConsiderResponse, askedB int) bool {
 	switch {
 	case a.Starts != b.Starts:
 		return a.Starts < b.Starts
@@ -150,7 +150,7 @@
 	case b.ReadyMs+readyMarginMs < a.ReadyMs:
 		return false
 	}
-	return a.Sum < b.Sum
+	return a.VictimPenalty < b.VictimPenalty
 }
 
 // Explain returns the recorded decisions, newest first, about one item or model, or about all if itemOrModel is empty.
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -62,7 +62,7 @@
 	newest := map[conf.Item]int64{}
 	for _, r := range recs {
 		it, ok := parseDemandKey(r.Key)
-		if !ok || r.Gone {
+		if !ok || r.Deleted {
 			continue
 		}
 		h, err := demand.UnpackHour(r.Value)
--- a/internal/place/plan/messages.go
+++ b/internal/place/plan/messages.go
@@ -38,8 +38,8 @@
 
 // CandidateAnswer is the answer of one candidate that was asked.
 type CandidateAnswer struct {
-	Replica string           `json:"replica"`
-	Answer  order.Considered `json:"answer"`
+	Replica string                 `json:"replica"`
+	Answer  order.ConsiderResponse `json:"answer"`
 }
 
 // Decision records how a load was decided, so that it can be explained later.
--- a/internal/place/plan/miss.go
+++ b/internal/place/plan/miss.go
@@ -35,7 +35,7 @@
 	params := p.demandParams()
 	requests := entry.series.PredictHorizon(params, minute, waiting)
 	acc, _ := entry.series.Accuracy(params, minute)
-	cheapest := order.Cheapest(statuses, "", it, p.d.Reports, now, cfg)
+	cheapest := order.CheapestServeTime(statuses, "", it, p.d.Reports, now, cfg)
 	noHolder := cheapest == 0
 	// Where proxies follow the status published by controllers, requests for an item that is loaded no longer wait; a
 	// report that still counts them is stale.
@@ -66,9 +66,9 @@
 // hold it yet.
 func countCopies(it conf.Item, statuses order.Statuses) (copies int, loading bool) {
 	name := it.String()
-	for _, i := range statuses.Having(name) {
+	for _, i := range statuses.WithItem(name) {
 		v := &statuses.All[i]
-		if v.Dark || v.Listed.Leaving {
+		if v.Stale || v.Listed.Leaving {
 			continue
 		}
 		switch v.Items[name] {
@@ -86,14 +86,14 @@
 func (p *Planner) rankCandidates(cfg conf.Effective, it conf.Item, m conf.Model, statuses order.Statuses, now time.Duration, selector labels.Selector) []judge.Ranked {
 	zones := map[string]int{}
 	name := it.String()
-	for _, i := range statuses.Having(name) {
+	for _, i := range statuses.WithItem(name) {
 		if v := &statuses.All[i]; v.Items[name] == backend.Loaded {
 			zones[v.Listed.Zone]++
 		}
 	}
 	var candidates []judge.Candidate
 	for _, v := range statuses.All {
-		if !v.Listed.Model || v.Dark || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !selector.Matches(labels.Set(v.Listed.Labels)) {
+		if !v.Listed.Model || v.Stale || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !selector.Matches(labels.Set(v.Listed.Labels)) {
 			continue
 		}
 		need := m.SizeMib
--- a/internal/place/plan/miss_test.go
+++ b/internal/place/plan/miss_test.go
@@ -13,7 +13,7 @@
 func TestCountCopiesIncludesLoadingCopies(t *testing.T) {
 	it := conf.Item{Model: "m"}
 	view := func(id string, state string, dark, leaving bool) order.Status {
-		return order.Status{Listed: inventory.Listed{ID: id, Leaving: leaving}, Dark: dark, Items: map[string]string{"m": state}}
+		return order.Status{Listed: inventory.Listed{ID: id, Leaving: leaving}, Stale: dark, Items: map[string]string{"m": state}}
 	}
 	for name, c := range map[string]struct {
 		views   []order.Status
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -21,7 +21,7 @@
 // pacer holds the rate limiter of the weight store on this core, valid for one epoch.
 type pacer struct {
 	epoch     uint64
-	limiter   *pace.Keeper
+	limiter   *pace.Limiter
 	granted   uint64 // grants so far, in this epoch and earlier ones
 	persisted int    // number of grants in the last written record
 }
@@ -59,10 +59,10 @@
 		return g, mark, false
 	}
 	if q.Outstanding {
-		p.pacer.limiter.Afloat(now, q.LoadID)
+		p.pacer.limiter.NoteOutstanding(now, q.LoadID)
 		return g, mark, false
 	}
-	wait, granted := p.pacer.limiter.Grant(now, p.startsPerWindow(), pace.Request{Who: q.LoadID, Start: q.StartID, Worth: q.Penalty})
+	wait, granted := p.pacer.limiter.Grant(now, p.startsPerWindow(), pace.Request{LoadID: q.LoadID, StartID: q.StartID, Priority: q.Penalty})
 	g.WaitMs = int(wait.Milliseconds())
 	if granted {
 		p.pacer.granted++
@@ -97,7 +97,7 @@
 	if p.pacer.limiter == nil {
 		return w, mark
 	}
-	for _, age := range p.pacer.limiter.Ages(p.d.Clock.Since()) {
+	for _, age := range p.pacer.limiter.GrantAges(p.d.Clock.Since()) {
 		w.AgesMs = append(w.AgesMs, age.Milliseconds())
 	}
 	p.pacer.persisted = len(w.AgesMs)
@@ -134,7 +134,7 @@
 		if p.pacer.limiter == nil || !p.d.Owner.Holds(PaceKey) {
 			return
 		}
-		for loadID, since := range p.pacer.limiter.Floats(p.d.Clock.Since()) {
+		for loadID, since := range p.pacer.limiter.Outstanding(p.d.Clock.Since()) {
 			out[loadID] = int(since.Seconds())
 		}
 	})
@@ -151,7 +151,7 @@
 	if !p.ensureLimiter(p.d.Group.Context(), epoch, now) {
 		return -1
 	}
-	return p.pacer.limiter.Use(now, p.startsPerWindow())
+	return p.pacer.limiter.Utilization(now, p.startsPerWindow())
 }
 
 // ensureLimiter ensures that there is a rate limiter for epoch and reports whether there is. A new one resumes from the recorded
@@ -168,16 +168,16 @@
 	switch {
 	case epoch == 1:
 		p.pacer.persisted = 0
-		p.pacer.limiter = pace.NewKeeper(now, p.d.Store.Window, true)
+		p.pacer.limiter = pace.NewLimiter(now, p.d.Store.Window, true)
 	case found && wire.Unpack(rec.Value, &previous) == nil:
 		ages := make([]time.Duration, len(previous.AgesMs))
 		for i, ms := range previous.AgesMs {
-			ages[i] = time.Duration(ms)*time.Millisecond + p.d.Owner.FreeFor(PaceKey)
+			ages[i] = time.Duration(ms)*time.Millisecond + p.d.Owner.UnleasedFor(PaceKey)
 		}
 		p.pacer.persisted = len(ages)
 		p.pacer.limiter = pace.Resume(now, p.d.Store.Window, ages)
 	default:
-		p.pacer.limiter = pace.NewKeeper(now, p.d.Store.Window, false)
+		p.pacer.limiter = pace.NewLimiter(now, p.d.Store.Window, false)
 	}
 	p.pacer.epoch = epoch
 	// Write a record, so that the next lease holder finds one even if nothing is ever granted.
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -50,10 +50,10 @@
 	Conf    func() conf.Effective
 	Views   func() order.Statuses
 	// Ask asks the controller of a replica, on any core, about a load.
-	Ask func(ctx context.Context, controller string, q order.Consider) (order.Considered, error)
+	Ask func(ctx context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error)
 	// AskAll asks the controller of several replicas in one call, without ordering a load; order.Unheard stands for a
 	// missing answer. If nil, replicas are asked one by one.
-	AskAll func(ctx context.Context, controller string, q order.ConsiderAll) []order.Considered
+	AskAll func(ctx context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse
 	// Tell sends predictions to the other cores.
 	Tell func(ctx context.Context, s SharedPredictions)
 	// Busy reports whether this core has no processor time to spare; nil means never.
--- a/internal/place/plan/plan_test.go
+++ b/internal/place/plan/plan_test.go
@@ -27,8 +27,8 @@
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(context.Context, string, order.Consider) (order.Considered, error) {
-			return order.Considered{}, errors.New("no answer")
+		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
+			return order.ConsiderResponse{}, errors.New("no answer")
 		}}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	p.executeDecision(t.Context(), conf.Effective{}, Decision{Item: "m", NoHolder: true, Candidates: []judge.Ranked{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}}, order.Statuses{})
@@ -38,7 +38,7 @@
 		t.Fatalf("%+v", got)
 	}
 	for _, x := range got[0].Answers {
-		if !x.Answer.Silent {
+		if !x.Answer.Unanswered {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -49,7 +49,7 @@
 func TestNoRefusalWhenNoReplicaIsReachable(t *testing.T) {
 	for name, statuses := range map[string][]order.Status{
 		"no replica known":        nil,
-		"no replica answers":      {{Listed: inventory.Listed{ID: "a", Model: true}, Dark: true}},
+		"no replica answers":      {{Listed: inventory.Listed{ID: "a", Model: true}, Stale: true}},
 		"only non-model replicas": {{Listed: inventory.Listed{ID: "b"}}},
 	} {
 		g := run.NewGroup(context.Background())
--- a/internal/place/plan/schedule.go
+++ b/internal/place/plan/schedule.go
@@ -151,12 +151,12 @@
 
 // choose returns the index of the best answer that accepts the load, or -1 if none does, and counts its replica as asked
 // until release. Concurrent decisions see the same free replicas and must not all choose the same one.
-func (a *pendingAsks) choose(names []string, answers []order.Considered) int {
+func (a *pendingAsks) choose(names []string, answers []order.ConsiderResponse) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	best := -1
 	for i, answer := range answers {
-		if answer.Taken && (best < 0 || betterAnswer(answer, a.counts[names[i]], answers[best], a.counts[names[best]])) {
+		if answer.Accepted && (best < 0 || betterAnswer(answer, a.counts[names[i]], answers[best], a.counts[names[best]])) {
 			best = i
 		}
 	}
--- a/internal/place/plan/schedule_test.go
+++ b/internal/place/plan/schedule_test.go
@@ -44,7 +44,7 @@
 	replicas map[string]int
 }
 
-func (l *acceptedLoads) add(q order.Consider) {
+func (l *acceptedLoads) add(q order.ConsiderRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.items[q.Item] = true
@@ -78,12 +78,12 @@
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: cadence, Owner: own,
 			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return statuses },
 			Tell: func(context.Context, SharedPredictions) {},
-			Ask: func(ctx context.Context, _ string, q order.Consider) (order.Considered, error) {
+			Ask: func(ctx context.Context, _ string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 				run.Wait(ctx, delay(q.Item))
-				if !q.Dry {
+				if !q.DryRun {
 					loads.add(q)
 				}
-				return order.Considered{Taken: true, Starts: 1, ReadyMs: 1000}, nil
+				return order.ConsiderResponse{Accepted: true, Starts: 1, ReadyMs: 1000}, nil
 			}})
 		for slot, epoch := range own.Held() {
 			p.OnSlotAcquired(slot, epoch, nil)
--- a/internal/replay/load.go
+++ b/internal/replay/load.go
@@ -93,7 +93,7 @@
 	n := r.w.d.PaceLoads
 	at := r.now
 	if len(r.grants) >= n {
-		at = max(at, r.grants[len(r.grants)-n]+(pace.Window+pace.GrantLife).Milliseconds())
+		at = max(at, r.grants[len(r.grants)-n]+(pace.Window+pace.GrantTTL).Milliseconds())
 	}
 	r.grants = append(r.grants, at)
 	if len(r.grants) > 40*n {
@@ -108,7 +108,7 @@
 	for i := len(r.grants) - 1; i >= 0 && r.grants[i] > r.now-30_000; i-- {
 		n++
 	}
-	return float64(n) / (float64(r.w.d.PaceLoads) * 30 / (pace.Window + pace.GrantLife).Seconds())
+	return float64(n) / (float64(r.w.d.PaceLoads) * 30 / (pace.Window + pace.GrantTTL).Seconds())
 }
 
 // loadFor is how long reading an item takes.
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -177,7 +177,7 @@
 func (k *Keeper) coming(d *draft) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, t := range k.bringing {
-		if t.replica.Dark || d.replicas.entries[t.replica.Listed.ID].Listed.Leaving {
+		if t.replica.Stale || d.replicas.entries[t.replica.Listed.ID].Listed.Leaving {
 			continue
 		}
 		for _, c := range t.coming {
--- a/internal/route/renew_reference_test.go
+++ b/internal/route/renew_reference_test.go
@@ -99,7 +99,7 @@
 }
 
 func addComing(coming map[string]time.Duration, n order.Status, leaving bool, at time.Duration) {
-	if n.Dark || leaving {
+	if n.Stale || leaving {
 		return
 	}
 	for item, st := range n.Items {
@@ -125,14 +125,14 @@
 		}
 		r.Listed.Leaving = r.Listed.Leaving || h.v.Leaving
 		for item, l := range h.v.Items {
-			if st := n.Items[item.String()]; l.State == backend.Loaded && st != order.Leaving && st != backend.Unloading {
+			if st := n.Items[item.String()]; l.State == backend.Loaded && st != order.Withdrawn && st != backend.Unloading {
 				ready[item.String()] = true
 			}
 		}
 	}
 	if !k.d.Ask {
 		r.Told = true
-		if !n.Dark {
+		if !n.Stale {
 			r.Heard, r.Slots = now, max(n.Slots, n.Listed.Slots)
 			if live := k.lives[n.Listed.ID]; live != nil {
 				r.Elsewhere = live.others(now)
--- a/internal/route/renew_world_test.go
+++ b/internal/route/renew_world_test.go
@@ -63,8 +63,8 @@
 	}
 	n := order.Status{Listed: inventory.Listed{ID: id, Zone: "z1", Model: id >= "r2", Slots: w.rnd.IntN(4), Leaving: w.rnd.IntN(8) == 0,
 		Labels: map[string]string{conf.ServiceLabel: []string{"s1", "s2"}[w.rnd.IntN(2)]}},
-		Slots: w.rnd.IntN(5), ServeMs: w.rnd.IntN(50), Dark: w.rnd.IntN(8) == 0, Items: map[string]string{}, ReadyMs: map[string]int{}}
-	states := []string{backend.Loaded, backend.Loaded, backend.Loading, order.Reserved, order.Leaving, backend.Unloading}
+		Slots: w.rnd.IntN(5), ServeMs: w.rnd.IntN(50), Stale: w.rnd.IntN(8) == 0, Items: map[string]string{}, ReadyMs: map[string]int{}}
+	states := []string{backend.Loaded, backend.Loaded, backend.Loading, order.Reserved, order.Withdrawn, backend.Unloading}
 	for range w.rnd.IntN(4) {
 		item := w.item()
 		n.Items[item], n.ReadyMs[item] = states[w.rnd.IntN(len(states))], w.rnd.IntN(3000)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -97,7 +97,7 @@
 	for item, l := range h.v.Items {
 		// Why: the replica knows best what it holds; its controller knows what it is about to let go.
 		st := n.Items[item.String()]
-		if l.State == backend.Loaded && st != order.Leaving && st != backend.Unloading {
+		if l.State == backend.Loaded && st != order.Withdrawn && st != backend.Unloading {
 			r.Ready[item.String()] = true
 		}
 	}
@@ -107,7 +107,7 @@
 // told of its load, and when the table was renewed last, is looked up where it is used.
 func (r *Replica) byWord(t *told) {
 	r.Told = true
-	if r.Dark = t.replica.Dark; r.Dark {
+	if r.Dark = t.replica.Stale; r.Dark {
 		return
 	}
 	r.Slots = max(t.replica.Slots, t.replica.Listed.Slots)
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -76,7 +76,7 @@
 			t.Put(aReport(i, 0, 0, 8), 0)
 		}
 		it := conf.Item{Model: "model-0001"}
-		return func() { sink = order.Cheapest(views, "", it, t, 0, cfg) }
+		return func() { sink = order.CheapestServeTime(views, "", it, t, 0, cfg) }
 	})
 	costs("candidates: InflightOn each, judge.Load", "replica", reps, func(x int) func() {
 		views := plan.DecodeStatuses(gossipTable(x, 10, 0, nil))
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -78,7 +78,7 @@
 	}
 	fit("an hour of demand", "node that counted", nodes, func(x int) float64 { return float64(len(hour(x).Pack())) })
 	fit("write of a table (state.Ask)", "record", []int{10, 100, 1000, 3000}, func(x int) float64 {
-		q := state.Ask{Set: 7, From: state.Core{Name: "core-1", Disk: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Slot: 3, Epoch: 40, Full: true}
+		q := state.Request{SetVersion: 7, From: state.Core{Name: "core-1", DiskID: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Slot: 3, Epoch: 40, Full: true}
 		v := hour(0).Pack()
 		for i := range x {
 			q.Records = append(q.Records, state.Record{Key: plan.DemandKey(conf.ParseItem(ItemName(i)), int64(i)), Stamp: stamp(i), Value: v})
@@ -86,13 +86,13 @@
 		return size(q)
 	})
 	fit("book of a replica", "item held", []int{2, 10, 20, 40}, func(x int) float64 {
-		b := order.Book{Incarnation: ReplicaID(1), Lines: map[string]order.Line{}}
+		b := order.Contents{Incarnation: ReplicaID(1), Entries: map[string]order.Entry{}}
 		for k := range replicaStatus(1, x).Items {
-			b.Lines[k] = order.Line{State: "loaded", SizeMib: 140000}
+			b.Entries[k] = order.Entry{State: "loaded", SizeMib: 140000}
 		}
 		return size(b)
 	})
-	fmt.Printf("renewal of 3 slots %.0f bytes\n", size(state.Renewal{Set: 7, From: state.Core{Name: "core-1", Disk: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Epochs: map[int]uint64{1: 40, 2: 41, 3: 42}}))
+	fmt.Printf("renewal of 3 slots %.0f bytes\n", size(state.RenewRequest{SetVersion: 7, From: state.Core{Name: "core-1", DiskID: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Epochs: map[int]uint64{1: 40, 2: 41, 3: 42}}))
 	fit("predictions told (plan.Shared)", "item", its, func(x int) float64 {
 		s := plan.SharedPredictions{From: "core-1", Requests: map[string]float64{}}
 		for i := range x {
