--- a/internal/place/order/consider.go
+++ b/internal/place/order/consider.go
@@ -87,8 +87,8 @@
 	if needMib > 0 {
 		order, idle, usedSize := c.idleItems(cfg, item, false)
 		out.IdleModels = idle
-		v := penalty.Test(needMib, wantedPenalty, cfg.Limits.Csf, skipTest, order)
-		out.Why, out.VictimPenalty = v.Why, v.Sum
+		v := penalty.Evaluate(needMib, wantedPenalty, cfg.Limits.Csf, skipTest, order)
+		out.Why, out.VictimPenalty = v.Reason, v.Sum
 		if !v.Load {
 			out.Temporary = blockedByUse(needMib, usedSize, order)
 			return out
@@ -113,8 +113,8 @@
 				rest = append(rest, victim)
 			}
 		}
-		v := penalty.Test(needPlaces, wantedPenalty-out.VictimPenalty*cfg.Limits.Csf, cfg.Limits.Csf, skipTest, rest)
-		out.Why = v.Why
+		v := penalty.Evaluate(needPlaces, wantedPenalty-out.VictimPenalty*cfg.Limits.Csf, cfg.Limits.Csf, skipTest, rest)
+		out.Why = v.Reason
 		if !v.Load {
 			out.Temporary = blockedByUse(needPlaces, usedSize, rest)
 			return out
--- a/internal/place/order/messages.go
+++ b/internal/place/order/messages.go
@@ -60,8 +60,8 @@
 	Temporary     bool           `cbor:"9,keyasint,omitempty" json:"soon"`    // the reason for the refusal will pass by itself
 	Starts        int            `cbor:"10,keyasint,omitempty" json:"starts"` // number of loads required: the model's and the adapter's
 	// IdleModels and IdleAdapters are the items that were eligible as victims.
-	IdleModels   []judge.Idle `cbor:"11,keyasint,omitempty" json:"-"`
-	IdleAdapters []judge.Idle `cbor:"12,keyasint,omitempty" json:"-"`
+	IdleModels   []judge.IdleItem `cbor:"11,keyasint,omitempty" json:"-"`
+	IdleAdapters []judge.IdleItem `cbor:"12,keyasint,omitempty" json:"-"`
 }
 
 // GrantRequest asks the rate limiter of the weight store for permission to start a load.
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -15,10 +15,10 @@
 
 // idleItems ranks the possible victims: items that are loaded, without requests in flight or waiting,
 // and not pinned by a claim. used is the total size of the items that only fail to qualify because they are in use.
-func (c *Controller) idleItems(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.Idle, used int) {
+func (c *Controller) idleItems(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.IdleItem, used int) {
 	now := c.d.Clock.Since()
 	others := c.d.Others()
-	facts := map[string]judge.Idle{}
+	facts := map[string]judge.IdleItem{}
 	for item, e := range c.entries {
 		if (item.Adapter != "") != adapters || e.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
 			continue
@@ -56,7 +56,7 @@
 			used += size
 			continue
 		}
-		f := judge.Idle{Name: item.String(), SizeMib: size, Penalty: itemPenalty, IdleFor: now - e.lastUsed, Copies: countCopies(others, c.listed.ID, item), Adapters: adapterCount}
+		f := judge.IdleItem{Name: item.String(), SizeMib: size, Penalty: itemPenalty, IdleFor: now - e.lastUsed, Copies: countCopies(others, c.listed.ID, item), Adapters: adapterCount}
 		list = append(list, f)
 		facts[f.Name] = f
 	}
--- a/internal/place/plan/claims.go
+++ b/internal/place/plan/claims.go
@@ -14,50 +14,50 @@
 	"drumstall.example/internal/place/penalty"
 )
 
-// claims prepares decisions about copies that claims want and that are missing.
-func (p *Planner) claims(cfg conf.Effective, views order.Statuses, now time.Duration) []Decision {
+// claimDecisions prepares decisions for missing copies that claims require.
+func (p *Planner) claimDecisions(cfg conf.Effective, statuses order.Statuses, now time.Duration) []Decision {
 	var out []Decision
 	unmet := map[string]string{}
 	for _, want := range cfg.Claimed() {
-		if !p.holds(want.Item) {
+		if !p.ownsItem(want.Item) {
 			continue
 		}
-		have, ready := 0, 0
-		for _, v := range views.All {
+		copies, ready := 0, 0
+		for _, v := range statuses.All {
 			s := v.Items[want.Item.String()]
 			if v.Stale || v.Listed.Leaving || !want.Group.Matches(labels.Set(v.Listed.Labels)) {
 				continue
 			}
 			if s == backend.Loaded || s == backend.Loading || s == order.Reserved {
-				have++
+				copies++
 			}
 			if s == backend.Loaded {
 				ready++
 			}
 		}
-		at := want.Claim + ": " + want.Item.String()
+		key := want.Claim + ": " + want.Item.String()
 		if ready < want.Copies {
-			unmet[at] = fmt.Sprintf("%d of %d copies are ready, %d on the way", ready, want.Copies, have-ready)
+			unmet[key] = fmt.Sprintf("%d of %d copies are ready, %d loading", ready, want.Copies, copies-ready)
 		}
-		if have >= want.Copies || now-p.claimAt[want.Item] < claimAgain && p.claimAt[want.Item] != 0 {
+		if copies >= want.Copies || now-p.claimDecidedAt[want.Item] < claimRetryInterval && p.claimDecidedAt[want.Item] != 0 {
 			continue
 		}
 		m := cfg.Models[want.Item.Model]
-		d := Decision{At: p.d.Clock.Wall(), Core: p.d.Self, Item: want.Item.String(), Cause: "claim " + want.Claim, Requests: p.Requests(want.Item.String()), Accuracy: 1, claim: true,
+		d := Decision{At: p.d.Clock.Wall(), Core: p.d.Self, Item: want.Item.String(), Cause: "claim " + want.Claim, Requests: p.PredictedRequests(want.Item.String()), Accuracy: 1, isClaim: true,
 			CheapestMs: (m.LoadFor + m.ServeFor).Milliseconds(), Csf: cfg.Limits.Csf}
 		d.Penalty = penalty.Of(d.Requests, m.LoadFor+m.ServeFor)
-		d.among = want.Group
+		d.selector = want.Group
 		out = append(out, d)
 	}
-	p.unmet = unmet
+	p.unmetClaims = unmet
 	return out
 }
 
-// Unmet lists claims whose copies are not all ready.
-func (p *Planner) Unmet(ctx context.Context) map[string]string {
+// UnmetClaims returns the claims whose copies are not all ready, with the number of copies.
+func (p *Planner) UnmetClaims(ctx context.Context) map[string]string {
 	out := map[string]string{}
 	_ = p.actor.Ask(ctx, func() {
-		maps.Copy(out, p.unmet)
+		maps.Copy(out, p.unmetClaims)
 	})
 	return out
 }
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -17,113 +17,115 @@
 	"drumstall.example/internal/state"
 )
 
-// decide asks the best candidates and keeps the decision; it says whether a load was taken on.
-func (p *Planner) decide(ctx context.Context, cfg conf.Effective, d Decision, views order.Statuses) (taken bool) {
+// executeDecision asks the best candidates, orders the load and records the decision. It reports whether a controller accepted
+// the load.
+func (p *Planner) executeDecision(ctx context.Context, cfg conf.Effective, d Decision, statuses order.Statuses) (accepted bool) {
 	d.weights = cfg.Weights
-	by := map[string]order.Status{}
-	for _, v := range views.All {
-		by[v.Listed.ID] = v
+	statusOf := map[string]order.Status{}
+	for _, v := range statuses.All {
+		statusOf[v.Listed.ID] = v
 	}
 	ready, undecided := 0, false
 	var names []string
-	for _, c := range d.Candidates[:min(p.mostAsked(), len(d.Candidates))] {
+	for _, c := range d.Candidates[:min(p.currentCandidateLimit(), len(d.Candidates))] {
 		if c.Vetoed {
 			break
 		}
 		names = append(names, c.Name)
 	}
-	answers := p.askDry(ctx, d, names, by)
-	// Why: of those that agree, the one that takes the store's time the least, then the one that is ready clearly
-	// sooner, then the one whose victims are worth least; the judges' order decides between equals.
-	for len(names) > 0 && d.Taken == "" && !undecided {
-		best := p.asked.choose(names, answers)
+	answers := p.askDry(ctx, d, names, statusOf)
+	// Of the candidates that agree, betterAnswer prefers the one with the fewest load starts on the weight store, then the
+	// one with the fewest concurrent asks, then the one ready clearly sooner, then the one with the lowest victim penalty.
+	// Ties are decided by rank.
+	for len(names) > 0 && d.AcceptedBy == "" && !undecided {
+		best := p.pendingAsks.choose(names, answers)
 		if best < 0 {
 			break
 		}
-		a, unsure := p.ask(ctx, d, by[names[best]].Controller, names[best], false)
-		p.asked.settle(names[best])
+		a, unsure := p.askController(ctx, d, statusOf[names[best]].Controller, names[best], false)
+		p.pendingAsks.release(names[best])
 		undecided = undecided || unsure
 		answers[best] = a
 		if a.Accepted {
-			d.Taken, ready = names[best], a.ReadyMs
+			d.AcceptedBy, ready = names[best], a.ReadyMs
 		}
 	}
-	p.breadth.heard(answers)
-	soon := false
+	p.candidateLimit.update(answers)
+	transient := false
 	for i, a := range answers {
-		soon = soon || a.Temporary
-		d.Tried = append(d.Tried, Tried{names[i], a})
+		transient = transient || a.Temporary
+		d.Answers = append(d.Answers, CandidateAnswer{names[i], a})
 		undecided = undecided || a.Unanswered
 	}
-	p.d.Log.Info("decision", "item", d.Item, "cause", d.Cause, "penalty", d.Penalty, "alone", d.Alone, "taken", d.Taken, "why", d.reasons())
-	e := Expect{ReadyMs: ready}
-	if d.Taken == "" {
-		e = Expect{Refused: true, RetryS: 2, Why: "no replica can load it now"}
-		if d.Alone && !d.Pass {
-			e.RetryS, e.Why = int(cfg.Limits.PassEvery/time.Second)/4+1, "what it would drive out is wanted more now"
-			// Why: the store may have time to spare again well before the next pass is due.
+	p.d.Log.Info("decision", "item", d.Item, "cause", d.Cause, "penalty", d.Penalty, "alone", d.NoHolder, "taken", d.AcceptedBy, "why", d.rejectionReasons())
+	expectation := Expectation{ReadyMs: ready}
+	if d.AcceptedBy == "" {
+		expectation = Expectation{Refused: true, RetryAfterS: 2, Reason: "no replica can load it now"}
+		if d.NoHolder && !d.BypassTest {
+			expectation.RetryAfterS, expectation.Reason = int(cfg.Limits.PassEvery/time.Second)/4+1, "the items to evict are wanted more now"
+			// The weight store may have spare capacity again well before the next load without the eviction test is due.
 			if cfg.Limits.PassSlack > 0 {
-				e.RetryS = min(e.RetryS, int(pace.UtilizationSpan/time.Second)/3)
+				expectation.RetryAfterS = min(expectation.RetryAfterS, int(pace.UtilizationSpan/time.Second)/3)
 			}
 		}
 	}
 	_ = p.actor.Tell(func() {
 		now := p.d.Clock.Since()
-		if i := p.items[conf.ParseItem(d.Item)]; i != nil && !d.claim {
-			if d.Pass && d.Taken != "" {
-				i.passed = now
+		if entry := p.items[conf.ParseItem(d.Item)]; entry != nil && !d.isClaim {
+			if d.BypassTest && d.AcceptedBy != "" {
+				entry.lastBypass = now
 			}
-			// Why: what is in use now is idle in a moment, and requests that could be held for it would be turned away
-			// for nothing; but not for ever, for they could go elsewhere.
+			// Items in use become idle shortly, so requests are held for a while instead of being refused needlessly; not
+			// indefinitely, because callers could send them elsewhere.
 			switch {
-			case d.Taken != "" || !soon:
-				i.vain = 0
-			case i.vain == 0 || now-i.vain > 2*patience:
-				i.vain = now
+			case d.AcceptedBy != "" || !transient:
+				entry.blockedSince = 0
+			case entry.blockedSince == 0 || now-entry.blockedSince > 2*transientBlockGrace:
+				entry.blockedSince = now
 			}
-			if i.vain > 0 && now-i.vain < patience {
-				e = Expect{Trying: true, Why: "what could make room is in use"}
+			if entry.blockedSince > 0 && now-entry.blockedSince < transientBlockGrace {
+				expectation = Expectation{Retrying: true, Reason: "the items that could be evicted are in use"}
 			}
 		}
-		p.log.PushBack(d)
-		if p.log.Len() > decisions {
-			p.log.PopFront()
+		p.decisionLog.PushBack(d)
+		if p.decisionLog.Len() > maxDecisionsKept {
+			p.decisionLog.PopFront()
 		}
-		// Why: a refusal only matters where nobody holds the item, and only if every candidate was heard. A core that
-		// has just started has heard of no replica yet; what it does not know of may hold the item.
-		if d.claim || d.Taken == "" && (!d.Alone || undecided || !heardOfAny(views)) {
+		// A refusal is published only if no replica holds the item and every candidate answered. A core that has just
+		// started knows no replicas yet, and an unknown replica may hold the item.
+		if d.isClaim || d.AcceptedBy == "" && (!d.NoHolder || undecided || !anyReplicaReachable(statuses)) {
 			return
 		}
 		it := conf.ParseItem(d.Item)
 		epoch, _, _ := p.d.Owner.MayOrder(DemandKey(it, 0))
-		p.expSer++
-		p.d.Gossip.Put(gossip.Entry{Key: ExpectKey(d.Item), Stamp: state.Stamp{Epoch: epoch, Version: p.expSer}, Value: wire.Pack(e)})
+		p.expectationSerial++
+		p.d.Gossip.Put(gossip.Entry{Key: ExpectationKey(d.Item), Stamp: state.Stamp{Epoch: epoch, Version: p.expectationSerial}, Value: wire.Pack(expectation)})
 	})
-	return d.Taken != ""
+	return d.AcceptedBy != ""
 }
 
-// mostAsked is how many candidates are asked for one decision. Why: each answer weighs all that might go at a replica; a
-// few good ones now are worth more than the best of many when a core comes late to its work.
-func (p *Planner) mostAsked() int {
+// currentCandidateLimit returns how many candidates are asked for one decision. For each answer a controller scores all
+// possible victims of a replica, so a busy core asks only a few: a good candidate now is better than the best one late.
+func (p *Planner) currentCandidateLimit() int {
 	if p.isBusy() {
-		return busyTries
+		return minCandidates
 	}
-	return p.breadth.now()
+	return p.candidateLimit.current()
 }
 
-// heardOfAny says whether any replica of models is known that answers its controller.
-func heardOfAny(views order.Statuses) bool {
-	return slices.ContainsFunc(views.All, func(v order.Status) bool { return v.Listed.Model && !v.Stale })
+// anyReplicaReachable reports whether any known model replica answers its controller.
+func anyReplicaReachable(statuses order.Statuses) bool {
+	return slices.ContainsFunc(statuses.All, func(v order.Status) bool { return v.Listed.Model && !v.Stale })
 }
 
-// reasons counts why candidates did not take an item.
-func (d Decision) reasons() string {
-	if d.Taken != "" {
+// rejectionReasons summarizes why the candidates rejected the item; it is empty if one accepted it.
+func (d Decision) rejectionReasons() string {
+	if d.AcceptedBy != "" {
 		return ""
 	}
 	count := map[string]int{}
-	for _, t := range d.Tried {
-		count[t.Answer.Why]++
+	for _, candidate := range d.Answers {
+		count[candidate.Answer.Why]++
 	}
 	var out []string
 	for _, why := range slices.Sorted(maps.Keys(count)) {
@@ -132,51 +134,51 @@
 	return strings.Join(out, "; ")
 }
 
-// clearly is by how much one replica must be ready sooner than another to be taken for that.
-const clearly = 400 // ms
+// readyMarginMs is by how much sooner one replica must be ready than another to be preferred for it.
+const readyMarginMs = 400
 
-// better says whether a load is rather ordered where a was answered than where b was; so many other decisions are
-// asking for a load there at this moment.
-func better(a order.ConsiderResponse, askedA int, b order.ConsiderResponse, askedB int) bool {
+// betterAnswer reports whether the replica that answered a is preferred to the one that answered b; askedA and askedB are
+// the numbers of concurrent decisions that have chosen each replica and wait for its controller.
+func betterAnswer(a order.ConsiderResponse, askedA int, b order.ConsiderResponse, askedB int) bool {
 	switch {
 	case a.Starts != b.Starts:
 		return a.Starts < b.Starts
 	case askedA != askedB:
 		return askedA < askedB
-	case a.ReadyMs+clearly < b.ReadyMs:
+	case a.ReadyMs+readyMarginMs < b.ReadyMs:
 		return true
-	case b.ReadyMs+clearly < a.ReadyMs:
+	case b.ReadyMs+readyMarginMs < a.ReadyMs:
 		return false
 	}
 	return a.VictimPenalty < b.VictimPenalty
 }
 
-// Explain gives the newest decisions first, about one item or all.
-func (p *Planner) Explain(ctx context.Context, about string) []Decision {
+// Explain returns the recorded decisions, newest first, about one item or model, or about all if itemOrModel is empty.
+func (p *Planner) Explain(ctx context.Context, itemOrModel string) []Decision {
 	out := []Decision{}
 	_ = p.actor.Ask(ctx, func() {
-		for i := p.log.Len() - 1; i >= 0; i-- {
-			d := p.log.At(i)
-			if about == "" || d.Item == about || conf.ParseItem(d.Item).Model == about {
-				out = append(out, d.explained())
+		for i := p.decisionLog.Len() - 1; i >= 0; i-- {
+			d := p.decisionLog.At(i)
+			if itemOrModel == "" || d.Item == itemOrModel || conf.ParseItem(d.Item).Model == itemOrModel {
+				out = append(out, d.withBreakdown())
 			}
 		}
 	})
 	return out
 }
 
-// explained is a decision with what the judges said of the candidates and of what
-// might have gone there.
-func (d Decision) explained() Decision {
+// withBreakdown returns a copy of the decision with the score breakdown of the
+// candidates and of their possible victims.
+func (d Decision) withBreakdown() Decision {
 	d.Candidates = slices.Clone(d.Candidates)
 	for i, c := range d.Candidates {
-		d.Candidates[i] = c.Explained(d.weights)
+		d.Candidates[i] = c.WithBreakdown(d.weights)
 	}
-	d.Tried = slices.Clone(d.Tried)
-	for i := range d.Tried {
-		a := &d.Tried[i].Answer
+	d.Answers = slices.Clone(d.Answers)
+	for i := range d.Answers {
+		a := &d.Answers[i].Answer
 		if len(a.IdleModels)+len(a.IdleAdapters) > 0 {
-			a.Idle = append(judge.Victims(d.weights, a.IdleModels), judge.Victims(d.weights, a.IdleAdapters)...)
+			a.Idle = append(judge.RankVictimsWithBreakdown(d.weights, a.IdleModels), judge.RankVictimsWithBreakdown(d.weights, a.IdleAdapters)...)
 		}
 	}
 	return d
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -9,185 +9,187 @@
 	"drumstall.example/internal/state"
 )
 
-// Grants is what the store's keeper writes down before it lets a load start.
-type Grants struct {
-	AgesMs []int64 `cbor:"1,keyasint"` // how long ago each grant was given that still counts
+// GrantRecord is what the core that limits the weight store's load rate writes to the control state before a load may start.
+type GrantRecord struct {
+	AgesMs []int64 `cbor:"1,keyasint"` // age of each grant that still counts
 }
 
-// grantsEvery is how often the ages of grants are written down anew while any counts. Why: a
-// keeper that takes over goes by the ages it finds, and what is written ages only when it is written again.
-const grantsEvery = time.Second
+// grantRefreshInterval is how often the ages of grants are rewritten while any of them counts. A core that takes over uses
+// the recorded ages, which only advance when they are rewritten.
+const grantRefreshInterval = time.Second
 
-// pacer is the keeper of the store's pace that this core has, under an epoch.
+// pacer holds the rate limiter of the weight store on this core, valid for one epoch.
 type pacer struct {
-	epoch  uint64
-	keeper *pace.Limiter
-	given  uint64 // grants so far, under this epoch and those before
-	kept   int    // grants in what was written down last
+	epoch     uint64
+	limiter   *pace.Limiter
+	granted   uint64 // grants so far, in this epoch and earlier ones
+	persisted int    // number of grants in the last written record
 }
 
-// grantMark tells which grants a write has to cover: all that were given under an epoch up to one.
+// grantMark identifies the grants that a write must cover: those of an epoch up to a number.
 type grantMark struct {
 	epoch  uint64
 	number uint64
 }
 
-// Grant allows a load start within the store's pace; only the owner of the
-// pace may. Why: grants that are given while a write is under way share the next one; with a write for each, one after
-// the other, the pace was that of the control state and not the store's.
-func (p *Planner) Grant(ctx context.Context, q Granting) (Granted, error) {
-	var g Granted
+// Grant permits a load start within the load rate of the weight store; only the
+// lease holder of PaceKey may. Grants given while a write is in progress share the next write: with one
+// sequential write per grant, the control state and not the store would limit the load rate.
+func (p *Planner) Grant(ctx context.Context, q GrantRequest) (GrantResponse, error) {
+	var g GrantResponse
 	var mark grantMark
 	granted := false
-	err := p.paceActor.Ask(ctx, func() { g, mark, granted = p.consent(ctx, q) })
+	err := p.paceActor.Ask(ctx, func() { g, mark, granted = p.decideGrant(ctx, q) })
 	if err != nil || !granted {
 		return g, err
 	}
-	// Why: whoever keeps the pace next must know of this start, or would have to wait out all that could have been.
-	kept := p.keepGrants(ctx, mark)
-	// Why: the lease may have run out meanwhile, and another keeper may be granting.
-	g.OK = kept && p.d.Owner.Holds(PaceKey)
+	// The next lease holder must know of this start; otherwise it would have to wait out all grants that may have been given.
+	persisted := p.persistGrants(ctx, mark)
+	// The lease may have expired meanwhile, and another core may be granting.
+	g.Granted = persisted && p.d.Owner.Holds(PaceKey)
 	return g, nil
 }
 
-// consent has the keeper decide on a load start. One that it grants counts from now on, but must be kept before it is told.
-func (p *Planner) consent(ctx context.Context, q Granting) (g Granted, mark grantMark, granted bool) {
+// decideGrant lets the rate limiter decide on a load start. A grant counts immediately, but must be written to the control state
+// before it is returned to the caller.
+func (p *Planner) decideGrant(ctx context.Context, q GrantRequest) (g GrantResponse, mark grantMark, granted bool) {
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
 	now := p.d.Clock.Since()
-	if !p.d.Owner.Holds(PaceKey) || !p.keeperFor(ctx, epoch, now) {
+	if !p.d.Owner.Holds(PaceKey) || !p.ensureLimiter(ctx, epoch, now) {
 		return g, mark, false
 	}
-	if q.Afloat {
-		p.pacer.keeper.NoteOutstanding(now, q.Who)
+	if q.Outstanding {
+		p.pacer.limiter.NoteOutstanding(now, q.LoadID)
 		return g, mark, false
 	}
-	wait, granted := p.pacer.keeper.Grant(now, p.starts(), pace.Request{LoadID: q.Who, StartID: q.Start, Priority: q.Worth})
+	wait, granted := p.pacer.limiter.Grant(now, p.startsPerWindow(), pace.Request{LoadID: q.LoadID, StartID: q.StartID, Priority: q.Penalty})
 	g.WaitMs = int(wait.Milliseconds())
 	if granted {
-		p.pacer.given++
+		p.pacer.granted++
 	}
-	return g, grantMark{p.pacer.epoch, p.pacer.given}, granted
+	return g, grantMark{p.pacer.epoch, p.pacer.granted}, granted
 }
 
-// keepGrants sees to it that a majority has the grants up to a mark written down.
-func (p *Planner) keepGrants(ctx context.Context, mark grantMark) bool {
-	kept := false
+// persistGrants ensures that the grants up to mark are written to a majority.
+func (p *Planner) persistGrants(ctx context.Context, mark grantMark) bool {
+	persisted := false
 	err := p.grantWriter.Ask(ctx, func() {
-		withOther := p.written.epoch == mark.epoch && p.written.number >= mark.number
-		kept = withOther || p.writeGrants(ctx, mark.epoch)
+		covered := p.lastWritten.epoch == mark.epoch && p.lastWritten.number >= mark.number
+		persisted = covered || p.writeGrants(ctx, mark.epoch)
 	})
-	return err == nil && kept
+	return err == nil && persisted
 }
 
-// writeGrants writes down all grants that count, if the keeper still is the one of an epoch; only the writer calls it.
+// writeGrants writes all grants that count, if the rate limiter still belongs to epoch. It runs only on grantWriter.
 func (p *Planner) writeGrants(ctx context.Context, epoch uint64) bool {
-	var w Grants
-	var now grantMark
-	err := p.paceActor.Ask(ctx, func() { w, now = p.grantsNow() })
-	if err != nil || now.epoch != epoch || !p.write(ctx, w) {
+	var w GrantRecord
+	var mark grantMark
+	err := p.paceActor.Ask(ctx, func() { w, mark = p.currentGrants() })
+	if err != nil || mark.epoch != epoch || !p.writeGrantRecord(ctx, w) {
 		return false
 	}
-	p.written = now
+	p.lastWritten = mark
 	return true
 }
 
-// grantsNow is what the keeper is to write down, and up to which grant that reaches.
-func (p *Planner) grantsNow() (w Grants, mark grantMark) {
-	if p.pacer.keeper == nil {
+// currentGrants returns the record to write and the mark of the last grant that it covers.
+func (p *Planner) currentGrants() (w GrantRecord, mark grantMark) {
+	if p.pacer.limiter == nil {
 		return w, mark
 	}
-	for _, age := range p.pacer.keeper.GrantAges(p.d.Clock.Since()) {
+	for _, age := range p.pacer.limiter.GrantAges(p.d.Clock.Since()) {
 		w.AgesMs = append(w.AgesMs, age.Milliseconds())
 	}
-	p.pacer.kept = len(w.AgesMs)
-	return w, grantMark{p.pacer.epoch, p.pacer.given}
+	p.pacer.persisted = len(w.AgesMs)
+	return w, grantMark{p.pacer.epoch, p.pacer.granted}
 }
 
-// write writes down the grants that count.
-func (p *Planner) write(ctx context.Context, w Grants) bool {
+// writeGrantRecord writes the record to the control state.
+func (p *Planner) writeGrantRecord(ctx context.Context, w GrantRecord) bool {
 	_, err := p.d.Owner.Update(ctx, PaceKey, func(state.Record, bool) ([]byte, error) { return wire.Pack(w), nil })
 	if err != nil {
-		p.d.Log.Info("grants not kept", "error", err)
+		p.d.Log.Info("failed to write load grants", "error", err)
 		return false
 	}
 	return true
 }
 
-// refreshGrants writes the ages of the grants down anew, until none counts any more.
+// refreshGrants rewrites the ages of the grants until none counts any more.
 func (p *Planner) refreshGrants(ctx context.Context) {
 	due := false
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
 	_ = p.paceActor.Ask(ctx, func() {
-		due = p.pacer.keeper != nil && p.pacer.epoch == epoch && p.pacer.kept > 0 && p.d.Owner.Holds(PaceKey)
+		due = p.pacer.limiter != nil && p.pacer.epoch == epoch && p.pacer.persisted > 0 && p.d.Owner.Holds(PaceKey)
 	})
 	if due {
 		_ = p.grantWriter.Ask(ctx, func() { p.writeGrants(ctx, epoch) })
 	}
 }
 
-// Afloat tells which loads were ordered and may still start, and for how many
-// seconds that has been so; each takes a place of the store's pace.
-func (p *Planner) Afloat(ctx context.Context) map[string]int {
+// OutstandingLoads returns the loads that were ordered and may still start, with
+// the seconds since then; each counts against the load rate of the weight store.
+func (p *Planner) OutstandingLoads(ctx context.Context) map[string]int {
 	out := map[string]int{}
 	_ = p.paceActor.Ask(ctx, func() {
-		if p.pacer.keeper == nil || !p.d.Owner.Holds(PaceKey) {
+		if p.pacer.limiter == nil || !p.d.Owner.Holds(PaceKey) {
 			return
 		}
-		for who, since := range p.pacer.keeper.Outstanding(p.d.Clock.Since()) {
-			out[who] = int(since.Seconds())
+		for loadID, since := range p.pacer.limiter.Outstanding(p.d.Clock.Since()) {
+			out[loadID] = int(since.Seconds())
 		}
 	})
 	return out
 }
 
-// useNow is how much of the store's pace is used; below 0 if another keeps it.
-func (p *Planner) useNow() float64 {
+// currentPaceUse returns the used share of the weight store's load rate, or a negative value if another core limits it.
+func (p *Planner) currentPaceUse() float64 {
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
 	if !p.d.Owner.Holds(PaceKey) {
 		return -1
 	}
 	now := p.d.Clock.Since()
-	if !p.keeperFor(p.d.Group.Context(), epoch, now) {
+	if !p.ensureLimiter(p.d.Group.Context(), epoch, now) {
 		return -1
 	}
-	return p.pacer.keeper.Utilization(now, p.starts())
+	return p.pacer.limiter.Utilization(now, p.startsPerWindow())
 }
 
-// keeperFor sees to it that there is a keeper under an epoch.
-func (p *Planner) keeperFor(ctx context.Context, epoch uint64, now time.Duration) bool {
-	if p.pacer.keeper != nil && p.pacer.epoch == epoch {
+// ensureLimiter ensures that there is a rate limiter for epoch and reports whether there is. A new one resumes from the recorded
+// grants, if any.
+func (p *Planner) ensureLimiter(ctx context.Context, epoch uint64, now time.Duration) bool {
+	if p.pacer.limiter != nil && p.pacer.epoch == epoch {
 		return true
 	}
 	rec, found, err := p.d.Owner.Get(ctx, PaceKey)
 	if err != nil {
 		return false
 	}
-	var before Grants
+	var previous GrantRecord
 	switch {
 	case epoch == 1:
-		p.pacer.kept = 0
-		p.pacer.keeper = pace.NewLimiter(now, p.d.Store.Window, true)
-	case found && wire.Unpack(rec.Value, &before) == nil:
-		ages := make([]time.Duration, len(before.AgesMs))
-		for i, ms := range before.AgesMs {
+		p.pacer.persisted = 0
+		p.pacer.limiter = pace.NewLimiter(now, p.d.Store.Window, true)
+	case found && wire.Unpack(rec.Value, &previous) == nil:
+		ages := make([]time.Duration, len(previous.AgesMs))
+		for i, ms := range previous.AgesMs {
 			ages[i] = time.Duration(ms)*time.Millisecond + p.d.Owner.UnleasedFor(PaceKey)
 		}
-		p.pacer.kept = len(ages)
-		p.pacer.keeper = pace.Resume(now, p.d.Store.Window, ages)
+		p.pacer.persisted = len(ages)
+		p.pacer.limiter = pace.Resume(now, p.d.Store.Window, ages)
 	default:
-		p.pacer.keeper = pace.NewLimiter(now, p.d.Store.Window, false)
+		p.pacer.limiter = pace.NewLimiter(now, p.d.Store.Window, false)
 	}
 	p.pacer.epoch = epoch
-	// Why: from here on there is a word to go by, also if nothing is ever granted.
+	// Write a record, so that the next lease holder finds one even if nothing is ever granted.
 	if found {
 		return true
 	}
-	w, _ := p.grantsNow()
-	return p.write(ctx, w)
+	w, _ := p.currentGrants()
+	return p.writeGrantRecord(ctx, w)
 }
 
-// starts is how many loads may begin in a window of the store.
-func (p *Planner) starts() int {
+// startsPerWindow returns how many loads may start in one window of the weight store.
+func (p *Planner) startsPerWindow() int {
 	cfg := p.d.Conf()
 	if rate := cfg.LoadsPerSecond(); rate > 0 {
 		return p.d.Store.Starts(rate)
--- a/internal/place/plan/work.go
+++ b/internal/place/plan/work.go
@@ -9,61 +9,61 @@
 )
 
 const (
-	// workSpan is the time over which work is averaged.
-	workSpan = 1500 * time.Millisecond
-	// workShare of its time is what one replica may spend on reading prompts before the answers that run there
-	// pause for too long; measured on replicas that read prompts between the tokens of other answers.
-	workShare = 0.25
-	// workOver is how much a wanted copy must be needed before it is loaded.
-	workOver = 0.15
+	// workTimeConstant is the time constant of the exponential average of work.
+	workTimeConstant = 1500 * time.Millisecond
+	// maxWorkShare is the share of its time that one replica may spend on prompt processing before the answers in
+	// progress there pause for too long; measured on replicas that process prompts between the tokens of other answers.
+	maxWorkShare = 0.25
+	// copyThreshold is the fraction of a copy that must be needed before that copy is loaded.
+	copyThreshold = 0.15
 )
 
-// workRates is how much time of replicas each model takes at present.
+// workRates tracks how much replica time each model currently takes.
 type workRates struct {
-	seen map[string]map[string]uint64 // by who counted: what was counted last
-	of   map[string]*workRate         // by model
+	lastTotals map[string]map[string]uint64 // last running totals, by reporter
+	byModel    map[string]*workRate         // by model name
 }
 
-// workRate is an average that forgets.
+// workRate is an exponentially decaying average.
 type workRate struct {
-	sum time.Duration // of a work span
-	at  time.Duration
+	sum       time.Duration // decayed sum over workTimeConstant
+	updatedAt time.Duration
 }
 
 func (w *workRate) decay(now time.Duration) {
-	w.sum = time.Duration(float64(w.sum) * math.Exp(-float64(now-w.at)/float64(workSpan)))
-	w.at = now
+	w.sum = time.Duration(float64(w.sum) * math.Exp(-float64(now-w.updatedAt)/float64(workTimeConstant)))
+	w.updatedAt = now
 }
 
-// add takes the counts that changed with a report, and all of them as they are
-// now; they only ever grow under one boot.
-func (w *workRates) add(changes, whole report.Report, now time.Duration) {
-	if w.seen == nil {
-		w.seen, w.of = map[string]map[string]uint64{}, map[string]*workRate{}
+// addReport adds the running totals that changed with a report; whole is the complete
+// report after the change. Totals never decrease within one boot of an agent.
+func (w *workRates) addReport(changes, whole report.Report, now time.Duration) {
+	if w.lastTotals == nil {
+		w.lastTotals, w.byModel = map[string]map[string]uint64{}, map[string]*workRate{}
 	}
-	from := whole.Agent + "/" + whole.Boot
-	before, known := w.seen[from]
-	w.seen[from] = whole.WorkMs
+	reporter := whole.Agent + "/" + whole.Boot
+	previous, known := w.lastTotals[reporter]
+	w.lastTotals[reporter] = whole.WorkMs
 	if !known {
-		return // what came before this core was told is not of the present
+		return // work from before the first report to this core is not current
 	}
 	for model, count := range changes.WorkMs {
-		if count <= before[model] {
+		if count <= previous[model] {
 			continue
 		}
-		rate := w.of[model]
+		rate := w.byModel[model]
 		if rate == nil {
-			rate = &workRate{at: now}
-			w.of[model] = rate
+			rate = &workRate{updatedAt: now}
+			w.byModel[model] = rate
 		}
 		rate.decay(now)
-		rate.sum += time.Duration(count-before[model]) * time.Millisecond
+		rate.sum += time.Duration(count-previous[model]) * time.Millisecond
 	}
 }
 
-// share is how many replicas' whole time a model takes at present.
+// share returns the replica time that a model currently takes, in whole replicas.
 func (w *workRates) share(model string, now time.Duration) float64 {
-	rate := w.of[model]
+	rate := w.byModel[model]
 	if rate == nil {
 		return 0
 	}
@@ -71,37 +71,37 @@
 	return rate.share()
 }
 
-// share is the average as it was when it was last looked at.
-func (w *workRate) share() float64 { return float64(w.sum) / float64(workSpan) }
+// share returns the average as of the last update.
+func (w *workRate) share() float64 { return float64(w.sum) / float64(workTimeConstant) }
 
-// forget lets go of models that nobody asks for any more, and of reporters that are gone.
-func (w *workRates) forget(alive map[string]bool, now time.Duration) {
-	for model := range w.of {
+// prune drops models that are no longer requested and reporters that are gone.
+func (w *workRates) prune(alive map[string]bool, now time.Duration) {
+	for model := range w.byModel {
 		if w.share(model, now) < 1e-3 {
-			delete(w.of, model)
+			delete(w.byModel, model)
 		}
 	}
-	for from := range w.seen {
-		if !alive[from] {
-			delete(w.seen, from)
+	for reporter := range w.lastTotals {
+		if !alive[reporter] {
+			delete(w.lastTotals, reporter)
 		}
 	}
 }
 
-// crowded is the models that want more than one copy for their work, with how many.
-func (p *Planner) crowded(now time.Duration) map[conf.Item]int {
+// overloadedModels returns the models that need more than one copy for their work, with the number of copies.
+func (p *Planner) overloadedModels(now time.Duration) map[conf.Item]int {
 	out := map[conf.Item]int{}
-	for model, rate := range p.work.of {
-		// Why: an average only falls between reports, and what took less than one copy takes less now.
-		if copiesFor(rate.share()) <= 1 {
+	for model, rate := range p.work.byModel {
+		// Without new reports an average only decays, so a model that needed no second copy at its last update needs none now.
+		if copiesForShare(rate.share()) <= 1 {
 			continue
 		}
-		if n := copiesFor(p.work.share(model, now)); n > 1 {
+		if n := copiesForShare(p.work.share(model, now)); n > 1 {
 			out[conf.Item{Model: model}] = n
 		}
 	}
 	return out
 }
 
-// copiesFor is how many copies a model wants for the share of replicas' time that it takes.
-func copiesFor(share float64) int { return int(math.Ceil(share/workShare - workOver)) }
+// copiesForShare returns how many copies a model needs for the replica time that it takes.
+func copiesForShare(share float64) int { return int(math.Ceil(share/maxWorkShare - copyThreshold)) }
