--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,7 +23,7 @@
 // Controller owns the queue of a proxy.
 type Controller struct {
 	actor    *run.Actor
-	routes   *route.Keeper
+	routes   *route.Router
 	queue    *queue.Queue
 	now      func() time.Time
 	attempts atomic.Int64
@@ -39,7 +39,7 @@
 
 // New opens admission.
 // hold is how long an item that nobody holds is waited for without any word.
-func New(g *run.Group, routes *route.Keeper, hold time.Duration, onMiss func()) *Controller {
+func New(g *run.Group, routes *route.Router, hold time.Duration, onMiss func()) *Controller {
 	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, hold: hold, onMiss: onMiss}
 	ac.waiting.Store(&map[string]int{})
 	ac.actor = run.NewActor(g, depth, 0, nil)
@@ -107,12 +107,12 @@
 		refuse(w, stopped)
 		return
 	}
-	cl, known := ac.routes.Now().Conf.Classes[w.Class]
+	cl, known := ac.routes.Current().Conf.Classes[w.Class]
 	if !known {
 		refuse(w, queue.Answer{Why: "its class has gone", RetryS: 1})
 		return
 	}
-	ac.queue.SetShares(ac.routes.Now().Conf.Shares())
+	ac.queue.SetShares(ac.routes.Current().Conf.Shares())
 	c := ac.queue.Class(w.Class, cl)
 	ac.sweep.In(sweep)
 	if !ac.queue.Put(c, w) {
@@ -127,7 +127,7 @@
 	// Why: if what is ahead already takes longer than the deadline, waiting would only delay the no.
 	_, held, serve := ac.routes.Choose(w.Target)
 	if held == 0 {
-		ac.routes.CountWaiting(&w.Target)
+		ac.routes.CountWaitingWork(&w.Target)
 		ac.tellWaiting()
 		ac.onMiss()
 	}
@@ -145,7 +145,7 @@
 
 // dispatch gives replicas to waiters until none can be given more.
 func (ac *Controller) dispatch() {
-	limit := int64(ac.routes.Now().Conf.Limits.Attempts)
+	limit := int64(ac.routes.Current().Conf.Limits.Attempts)
 	for progress := true; progress; {
 		progress = false
 		for _, c := range ac.queue.Order() {
@@ -174,7 +174,7 @@
 				progress = true
 				// Why: an attempt whose first piece comes after the deadline does the work, and tells its caller that nobody
 				// knows whether it did.
-				if w.Deadline.Sub(ac.now()) < r.Live.FirstFor() {
+				if w.Deadline.Sub(ac.now()) < r.Live.ExpectedFirstChunk() {
 					refuse(w, queue.Answer{Why: "its answer would begin after the deadline", Late: true, RetryS: 1})
 				} else if w.Claim() {
 					ac.give(w, r, c)
@@ -195,9 +195,9 @@
 	if urgent {
 		ac.urgent.Add(1)
 	}
-	place := ac.routes.Took(w.Target, r)
+	place := ac.routes.StartAttempt(w.Target, r)
 	var once atomic.Bool
-	w.Answer <- queue.Answer{Replica: r, Begun: func() { place.Begun(); ac.again.Now() }, Done: func() {
+	w.Answer <- queue.Answer{Replica: r, Begun: func() { place.FirstChunk(); ac.again.Now() }, Done: func() {
 		if once.Swap(true) {
 			return
 		}
@@ -237,7 +237,7 @@
 
 // hopeless turns away what no load and no freed place can serve in time.
 func (ac *Controller) hopeless() {
-	s := ac.routes.Now()
+	s := ac.routes.Current()
 	now := ac.now()
 	for _, c := range ac.queue.Order() {
 		c.Lanes(func(l *queue.Lane) (bool, bool) {
@@ -250,7 +250,7 @@
 			}
 			x, told := s.Expect.Get(l.Key)
 			at, coming := s.Coming[l.Key]
-			ready := now.Add(at - ac.routes.Since())
+			ready := now.Add(at - ac.routes.MonotonicNow())
 			// Why: silence counts from the last word. A load that is just done is no longer on its way, and the
 			// replica has not told us yet; those that waited for it must not be dropped in between.
 			if coming || told && !x.Refused {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -25,8 +25,8 @@
 		group := run.NewGroup(context.Background())
 		defer group.Stop()
 		n := gossip.NewTable()
-		k := route.NewKeeper(route.Deps{Group: group, Gossip: n, Clock: simhost.NewClock(), Zone: func() string { return "z" },
-			HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
+		k := route.NewRouter(route.Deps{Group: group, Gossip: n, Clock: simhost.NewClock(), Zone: func() string { return "z" },
+			SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
 		g := New(group, k, time.Second, func() {})
 		n.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: conf.Kept{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}.Pack()})
 		synctest.Wait()
@@ -95,7 +95,7 @@
 		synctest.Wait()
 		a := g.Enter(context.Background(), target(), "c", time.Now().Add(time.Minute))
 		a.Done()
-		g.routes.Refused(a.Replica)
+		g.routes.RecordConnectionRefused(a.Replica)
 		began := time.Now()
 		if a = g.Enter(context.Background(), target(), "c", time.Now().Add(time.Minute)); a.Replica == nil {
 			t.Fatalf("got %+v", a)
--- a/internal/admission/work_test.go
+++ b/internal/admission/work_test.go
@@ -20,7 +20,7 @@
 		defer group.Stop()
 		misses := 0
 		g.onMiss = func() { misses++ }
-		target := route.Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "m"}, Prompt: route.PromptOf("m", []route.Part{{ID: "p", Tokens: 3000}})}
+		target := route.Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "m"}, Prompt: route.PromptFromParts("m", []route.Part{{ID: "p", Tokens: 3000}})}
 		const asked = 10
 		// Why: until a pace has been seen, 30 tokens are taken to be read in a ms.
 		want := uint64((asked * 3000 * (time.Millisecond / 30)).Milliseconds())
@@ -31,7 +31,7 @@
 		if misses != asked || g.Waiting()["m"] == 0 {
 			t.Errorf("%d misses, waiting %v", misses, g.Waiting())
 		}
-		if got := g.routes.Work()["m"]; got != want {
+		if got := g.routes.PrefillWorkMs()["m"]; got != want {
 			t.Errorf("work of what waits: %d ms, want %d", got, want)
 		}
 	})
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithTimeout(ctx, feedLimit)
 	defer cancel()
 	f := &p.feed
-	snap := p.routes.Now()
+	snap := p.routes.Current()
 	up := feed.Up{Boot: p.boot, AgentBoot: f.agentBoot, Cursor: f.cursor, Confirmed: p.confirmed.Load(), Conf: snap.Stamp}
 	fresh, mine, _ := p.gossip.After(f.mine)
 	for _, e := range fresh {
@@ -100,7 +100,7 @@
 	for _, e := range down.Entries {
 		p.gossip.Put(e)
 	}
-	if !p.routes.Deaf() {
+	if !p.routes.Isolated() {
 		p.deafAt.Store(0)
 	}
 	p.countEdges(down.Edges, asked)
@@ -110,7 +110,7 @@
 	}
 	p.agentSeen.Store(int64(asked))
 	p.touch.Told(asked, touch.Word(down.HeardMs+1))
-	if !p.confirmed.Load() && knowsEnough(down, p.routes.Now()) {
+	if !p.confirmed.Load() && knowsEnough(down, p.routes.Current()) {
 		p.confirmed.Store(true)
 	}
 	p.rest(ctx, p.env.Clock.Since())
@@ -177,10 +177,10 @@
 
 // report is this proxy's word to the controllers.
 func (p *Proxy) report() report.Report {
-	snap := p.routes.Now()
+	snap := p.routes.Current()
 	tenants, version := p.tenants()
 	return report.Report{Boot: p.boot, Version: p.reports.Add(1), Conf: snap.Serial, Demand: p.demands(), Inflight: p.routes.Inflight(),
-		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressed(), WorkMs: p.routes.Work(), Acked: acknowledged(p.replicas.Traits(), snap.Acked), Zone: p.s.Zone, Serving: p.confirmed.Load(),
+		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledged(p.replicas.Traits(), snap.Acked), Zone: p.s.Zone, Serving: p.confirmed.Load(),
 		Tenants: tenants, TenantsVersion: version}
 }
 
--- a/internal/proxy/passage.go
+++ b/internal/proxy/passage.go
@@ -102,16 +102,16 @@
 			w.arrived++
 		}
 		if failure == nil {
-			a.Replica.Live.First(time.Since(sentAt))
+			a.Replica.Live.ObserveFirstChunk(time.Since(sentAt))
 			a.Begun()
 			if t.Route.Streaming && t.Route.Target > 0 && time.Since(sentAt) > t.Route.Target/pressedPart {
-				p.routes.Press(t.Item)
+				p.routes.RecordPressure(t.Item)
 			}
 			p.heard(a.Replica, reply.Load)
 			b := &begun{reply: reply, replica: a.Replica.Listed.ID, done: a.Done, log: p.log, item: t.Item.String(),
 				load: a.Replica.Load(), waited: sentAt.Sub(w.began), tokens: t.Prompt.Size(), first: time.Since(sentAt)}
 			if item := t.Item; t.Route.GapTarget > 0 && item.Model != "" {
-				b.bound, b.press = t.Route.GapTarget/pressedPart, func() { p.routes.Press(item) }
+				b.bound, b.press = t.Route.GapTarget/pressedPart, func() { p.routes.RecordPressure(item) }
 			}
 			return b, nil
 		}
@@ -124,7 +124,7 @@
 
 func (p *Proxy) heard(r *route.Replica, l attempt.Load) {
 	if l.Known {
-		p.routes.Heard(r, l.Running, l.Waiting)
+		p.routes.RecordLoad(r, l.Running, l.Waiting)
 	}
 }
 
@@ -136,14 +136,14 @@
 	switch silent := f.Outcome == attempt.Unknown && !time.Now().Before(firstBy); {
 	case silent && early:
 		// Why: a replica that has become slower must not be taken for silent for ever.
-		r.Live.First(time.Since(sentAt))
-		p.routes.Silent(r)
+		r.Live.ObserveFirstChunk(time.Since(sentAt))
+		p.routes.RecordSilence(r)
 	case f.Missing:
-		p.routes.Missing(r, t.Item)
+		p.routes.RecordMissing(r, t.Item)
 	case f.Said:
-		p.routes.Full(r)
+		p.routes.RecordOverload(r)
 	case silent, f.Refused:
-		p.routes.Refused(r)
+		p.routes.RecordConnectionRefused(r)
 	}
 	t.Avoid = r.Listed.ID
 	if f.Outcome == attempt.Unknown {
@@ -176,7 +176,7 @@
 	// Why: what may run again is only worth passing on whole; a part of it would have to be broken off.
 	q.Whole = c.Target.Route.Service != "" && c.Target.Route.Repeatable && !c.Target.Route.Streaming
 	q.Again = c.Target.Route.Repeatable && w.number < c.Target.Route.Attempts
-	q.Heard = func() { w.p.routes.HeardFrom(r) }
+	q.Heard = func() { w.p.routes.RecordChunk(r) }
 	if firstBy.Before(c.FirstBy) {
 		// Why: given up where nobody else could answer, a request only loses its place in the replica's queue.
 		q.Only = func() bool { return w.p.routes.Serves(c.Target, id) && !w.mayGoOn(r) }
@@ -197,7 +197,7 @@
 // on, and sets a retry aside for it. Why: silence alone is no reason to end an answer.
 func (w *passage) mayGoOn(r *route.Replica) bool {
 	t := w.call.Target
-	if w.number >= t.Route.Attempts || !w.p.routes.Others(t, r.Listed.ID) {
+	if w.number >= t.Route.Attempts || !w.p.routes.HasAlternative(t, r.Listed.ID) {
 		return false
 	}
 	if w.reserved.Load() {
@@ -218,7 +218,7 @@
 // this is sooner than anything but the replica's own habit asks for.
 func (w *passage) firstBy(r *route.Replica, now time.Time) (by time.Time, early bool) {
 	p, t, deadline := w.p, w.call.Target, w.call.FirstBy
-	hurried := p.routes.Now().Conf.Classes[t.Route.Class].Urgent || t.Route.Target > 0
+	hurried := p.routes.Current().Conf.Classes[t.Route.Class].Urgent || t.Route.Target > 0
 	if !t.Route.Repeatable || w.number >= t.Route.Attempts || !hurried {
 		return deadline, false
 	}
@@ -227,13 +227,13 @@
 	// Why: the first honest sign that a replica stands still is that it is silent for longer than it has been of
 	// late. It is given up for that only where another could answer, and with a retry set aside: one that somebody
 	// else took meanwhile would leave this request without any answer.
-	own := r.Live.Patience()
+	own := r.Live.FirstChunkTimeout()
 	if t.Route.Streaming {
 		own = max(own, t.Route.Target)
 	} else if half := t.Route.Target / 2; own > 0 && half > own {
 		own = half
 	}
-	if own > 0 && now.Add(own).Before(by) && p.routes.Others(t, r.Listed.ID) && p.budget.Keep(service(t)) {
+	if own > 0 && now.Add(own).Before(by) && p.routes.HasAlternative(t, r.Listed.ID) && p.budget.Keep(service(t)) {
 		return now.Add(own), true
 	}
 	return by, false
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -25,8 +25,8 @@
 		g := run.NewGroup(t.Context())
 		defer g.Stop()
 		table := gossip.NewTable()
-		routes := route.NewKeeper(route.Deps{Group: g, Gossip: table, Clock: tick.Machine(), Zone: func() string { return "a" },
-			HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 64 }})
+		routes := route.NewRouter(route.Deps{Group: g, Gossip: table, Clock: tick.Machine(), Zone: func() string { return "a" },
+			SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 64 }})
 		serial := uint64(0)
 		tell := func(id string, dark bool) {
 			serial++
@@ -39,7 +39,7 @@
 		tell("r1", false)
 		now := time.Now()
 		w := &passage{p: p, number: 1, call: Call{Target: target, FirstBy: now.Add(2 * time.Second)}}
-		q := w.request(routes.Now().Replicas["r1"], now.Add(time.Second))
+		q := w.request(routes.Current().Replicas["r1"], now.Add(time.Second))
 		only := func(when string, want bool) {
 			if q.Only() != want {
 				t.Errorf("%s: the only one: %v", when, !want)
@@ -55,7 +55,7 @@
 		only("the other is dark", true)
 		tell("r1", true)
 		only("it is dark itself", false)
-		if q := w.request(routes.Now().Replicas["r1"], w.call.FirstBy); q.Only != nil {
+		if q := w.request(routes.Current().Replicas["r1"], w.call.FirstBy); q.Only != nil {
 			t.Error("asked for although it has all the time there is")
 		}
 	})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -93,7 +93,7 @@
 	group     *run.Group
 	base      *run.Group
 	gossip    *gossip.Table
-	routes    *route.Keeper
+	routes    *route.Router
 	admission *admission.Controller
 	sender    *attempt.Sender
 	budget    *attempt.Budget
@@ -146,8 +146,8 @@
 	p.agentSeen.Store(-1 << 62)
 	p.agentNew.Store(-1 << 62)
 	p.peers.Store(&[]string{})
-	p.routes = route.NewKeeper(route.Deps{Group: p.group, Gossip: p.gossip, Clock: env.Clock, Replicas: p.replicas, Zone: func() string { return s.Zone },
-		HeardFor: p.touch.For, Edges: func() int { return int(p.edges.Load()) }, Ask: s.Cadence.ProxiesAsk, Log: p.log, Deaf: s.Bounds.Drain - deafMargin})
+	p.routes = route.NewRouter(route.Deps{Group: p.group, Gossip: p.gossip, Clock: env.Clock, Replicas: p.replicas, Zone: func() string { return s.Zone },
+		SinceContact: p.touch.For, Edges: func() int { return int(p.edges.Load()) }, PollReplicas: s.Cadence.ProxiesAsk, Log: p.log, Deaf: s.Bounds.Drain - deafMargin})
 	p.watch.Start(p.group, s.Cadence.List, func() bool { return p.agentFor() > agentLost })
 	misses := run.NewActor(p.group, 4, 0, nil)
 	p.missed = run.NewNudge(misses, p.tellMiss)
@@ -281,7 +281,7 @@
 // InForce is the serial of the configuration requests are served by, and
 // whether any are.
 func (p *Proxy) InForce() (uint64, bool) {
-	return p.routes.Now().Serial, p.confirmed.Load()
+	return p.routes.Current().Serial, p.confirmed.Load()
 }
 
 func (p *Proxy) agentFor() time.Duration {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -90,23 +90,23 @@
 }
 
 // Conf is the configuration in force here.
-func (p *Proxy) Conf() conf.Effective { return p.routes.Now().Conf }
+func (p *Proxy) Conf() conf.Effective { return p.routes.Current().Conf }
 
 // Takes says whether this proxy is to be given new connections.
-func (p *Proxy) Takes() bool { return p.confirmed.Load() && !p.leaving.Load() && !p.routes.Deaf() }
+func (p *Proxy) Takes() bool { return p.confirmed.Load() && !p.leaving.Load() && !p.routes.Isolated() }
 
 // inTouch says whether this proxy may send to replicas. Why: a machine that has
 // just woken is out of touch for a moment only, and what waited at its door need not be
 // turned away for that; after a second nobody waits any more.
 func (p *Proxy) inTouch(ctx context.Context) bool {
-	if !p.routes.Deaf() {
+	if !p.routes.Isolated() {
 		return true
 	}
 	defer p.waking.Add(-1)
 	if p.waking.Add(1) > maxWaking {
 		return false
 	}
-	for p.routes.Deaf() {
+	for p.routes.Isolated() {
 		now := p.env.Clock.Since()
 		p.deafAt.CompareAndSwap(0, int64(now))
 		if now-time.Duration(p.deafAt.Load()) > wakeFor || !run.Wait(ctx, wakeInterval) {
@@ -118,7 +118,7 @@
 
 // Resolve picks the service of a request and checks the item that it names.
 func (p *Proxy) Resolve(r conf.Route, item conf.Item) (route.Target, *Refusal) {
-	cfg := p.routes.Now().Conf
+	cfg := p.routes.Current().Conf
 	t := route.Target{Route: cfg.Resolve(r, rand.Float64())}
 	unknown := func(what string) (route.Target, *Refusal) {
 		return t, &Refusal{Reason: NoRoute, Detail: what, Outcome: attempt.NotRun}
@@ -198,7 +198,7 @@
 	if extra := p.s.Bounds.Retry.Extra; extra > 0 {
 		return extra / float64(p.edges.Load())
 	}
-	return float64(p.routes.Now().Conf.Limits.RetryAllowance) / float64(p.edges.Load())
+	return float64(p.routes.Current().Conf.Limits.RetryAllowance) / float64(p.edges.Load())
 }
 
 // turnedAway is the final answer of a request that got no replica.
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -28,14 +28,14 @@
 		return f.latest, f.version
 	}
 	f.at = now
-	figures := p.routes.Tenants()
+	figures := p.routes.StatsByTenant()
 	if len(figures) == 0 && len(f.latest) == 0 {
 		return nil, f.version
 	}
 	f.version++
 	f.latest = make(map[string]report.Tenant, len(figures))
 	for name, t := range figures {
-		f.latest[name] = report.Tenant{Share: t.Share, Kept: t.Kept, Evicted: t.Evicted, Tokens: t.Tokens, Warm: t.Warm, Bulk: t.IsBulk}
+		f.latest[name] = report.Tenant{Share: t.Share, Kept: t.Prefixes, Evicted: t.Evicted, Tokens: t.Tokens, Warm: t.Warm, Bulk: t.IsBulk}
 	}
 	return f.latest, f.version
 }
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -147,7 +147,7 @@
 			r, i, e := counts(x)
 			t := gossipTable(r, i, e, kept(1200, 40000, 200, 12).Pack())
 			gg := run.NewGroup(context.Background())
-			k := route.NewKeeper(route.Deps{Group: gg, Gossip: t, Clock: env.Clock, Replicas: fake{}, Zone: func() string { return "r0-z0" }, HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 410 }})
+			k := route.NewRouter(route.Deps{Group: gg, Gossip: t, Clock: env.Clock, Replicas: fake{}, Zone: func() string { return "r0-z0" }, SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 410 }})
 			done := make(chan struct{}, 1)
 			k.OnTable(func() {
 				select {
@@ -173,12 +173,12 @@
 	costs("route.Choose (two holders)", "replica", reps, func(x int) func() {
 		t := gossipTable(x, 10, 0, kept(1200, 40000, 200, 12).Pack())
 		gg := run.NewGroup(context.Background())
-		k := route.NewKeeper(route.Deps{Group: gg, Gossip: t, Clock: env.Clock, Replicas: fake{}, Zone: func() string { return "r0-z0" }, HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 410 }})
-		for len(k.Now().Replicas) < x {
+		k := route.NewRouter(route.Deps{Group: gg, Gossip: t, Clock: env.Clock, Replicas: fake{}, Zone: func() string { return "r0-z0" }, SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 410 }})
+		for len(k.Current().Replicas) < x {
 			time.Sleep(20 * time.Millisecond)
 		}
 		gg.Stop()
-		snap := k.Now()
+		snap := k.Current()
 		target := route.Target{Route: snap.Conf.Resolve(snap.Conf.Routes["route-0002"], 0), Item: conf.Item{Model: ModelName(2)}}
 		return func() { b, held, _ := k.Choose(target); sink = b; _ = held }
 	})
