--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -59,17 +59,17 @@
 func (ac *Controller) Enter(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
 	w := queue.NewWaiter(target, class, ac.now(), deadline)
 	if ac.actor.Tell(func() { ac.take(w) }) != nil {
-		return queue.Answer{Why: "the holding is full", RetryS: 1}
+		return queue.Answer{Explanation: "the holding is full", RetryS: 1}
 	}
 	wait := time.NewTimer(time.Until(deadline))
 	defer wait.Stop()
-	late := queue.Answer{Why: "the deadline passed while it waited", Late: true, RetryS: 1}
+	late := queue.Answer{Explanation: "the deadline passed while it waited", Late: true, RetryS: 1}
 	select {
 	case a := <-w.Answer:
 		return a
 	case <-wait.C:
 	case <-ctx.Done():
-		late.Why = "the client left"
+		late.Explanation = "the client left"
 	}
 	if w.Withdraw() {
 		return late
@@ -83,7 +83,7 @@
 	ac.closed.Store(true)
 	_ = ac.actor.Tell(func() {
 		for _, c := range ac.queue.Order() {
-			c.Lanes(func(l *queue.Lane) (bool, bool) {
+			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				for i := range l.Waiters.Len() {
 					refuse(l.Waiters.At(i), stopped)
 				}
@@ -94,7 +94,7 @@
 }
 
 // stopped is the answer once admission has closed.
-var stopped = queue.Answer{Why: "this proxy is stopping", RetryS: 1}
+var stopped = queue.Answer{Explanation: "this proxy is stopping", RetryS: 1}
 
 func refuse(w *queue.Waiter, a queue.Answer) {
 	if w.Withdraw() {
@@ -109,18 +109,18 @@
 	}
 	cl, known := ac.routes.Current().Conf.Classes[w.Class]
 	if !known {
-		refuse(w, queue.Answer{Why: "its class has gone", RetryS: 1})
+		refuse(w, queue.Answer{Explanation: "its class has gone", RetryS: 1})
 		return
 	}
 	ac.queue.SetShares(ac.routes.Current().Conf.Shares())
 	c := ac.queue.Class(w.Class, cl)
 	ac.sweep.In(sweep)
-	if !ac.queue.Put(c, w) {
-		refuse(w, queue.Answer{Why: "the holding of class " + w.Class + " is full", RetryS: 1})
+	if !ac.queue.Push(c, w) {
+		refuse(w, queue.Answer{Explanation: "the holding of class " + w.Class + " is full", RetryS: 1})
 		return
 	}
 	ac.dispatch()
-	if !w.Waits() {
+	if !w.IsWaiting() {
 		return
 	}
 	ac.next.In(interval)
@@ -134,9 +134,9 @@
 	if held > 0 {
 		ahead := time.Duration(c.Size()) * serve
 		// Why: who waits longest for the same tells best how long it takes, other edges and other classes included.
-		ahead = max(ahead, ac.now().Sub(c.Oldest(w).Since))
-		if ahead > w.Deadline.Sub(w.Since) {
-			refuse(w, queue.Answer{Why: "too many wait ahead of it", RetryS: retry(ahead - w.Deadline.Sub(w.Since))})
+		ahead = max(ahead, ac.now().Sub(c.Oldest(w).EnqueuedAt))
+		if ahead > w.Deadline.Sub(w.EnqueuedAt) {
+			refuse(w, queue.Answer{Explanation: "too many wait ahead of it", RetryS: retry(ahead - w.Deadline.Sub(w.EnqueuedAt))})
 		}
 	}
 }
@@ -155,11 +155,11 @@
 				full = ac.attempts.Load()-ac.urgent.Load() >= limit-limit/reserve || full
 			}
 			// Why: a tenant that calls all its requests urgent must leave the others' part of those places free.
-			kept := int64(float64(limit/reserve) * ac.queue.OthersPart(c.Of))
-			if full || kept > 0 && c.Of.Out.Load() >= limit-kept {
+			kept := int64(float64(limit/reserve) * ac.queue.OthersFraction(c.Of))
+			if full || kept > 0 && c.Of.Inflight.Load() >= limit-kept {
 				continue
 			}
-			c.Lanes(func(l *queue.Lane) (bool, bool) {
+			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				head := l.Waiters.Front()
 				r, held, _ := ac.routes.Choose(head.Target)
 				if held > 0 {
@@ -175,7 +175,7 @@
 				// Why: an attempt whose first piece comes after the deadline does the work, and tells its caller that nobody
 				// knows whether it did.
 				if w.Deadline.Sub(ac.now()) < r.Live.ExpectedFirstChunk() {
-					refuse(w, queue.Answer{Why: "its answer would begin after the deadline", Late: true, RetryS: 1})
+					refuse(w, queue.Answer{Explanation: "its answer would begin after the deadline", Late: true, RetryS: 1})
 				} else if w.Claim() {
 					ac.give(w, r, c)
 				}
@@ -191,7 +191,7 @@
 func (ac *Controller) give(w *queue.Waiter, r *route.Replica, c *queue.Class) {
 	urgent, tenant := c.Conf.Urgent, c.Of
 	ac.attempts.Add(1)
-	tenant.Out.Add(1)
+	tenant.Inflight.Add(1)
 	if urgent {
 		ac.urgent.Add(1)
 	}
@@ -203,7 +203,7 @@
 		}
 		place.Done()
 		ac.attempts.Add(-1)
-		tenant.Out.Add(-1)
+		tenant.Inflight.Add(-1)
 		if urgent {
 			ac.urgent.Add(-1)
 		}
@@ -216,7 +216,7 @@
 func (ac *Controller) onTick() {
 	ac.dispatch()
 	ac.hopeless()
-	if ac.queue.Holds() {
+	if ac.queue.HasWaiters() {
 		ac.next.In(interval)
 	}
 }
@@ -225,7 +225,7 @@
 func (ac *Controller) onSweep() {
 	ac.queue.Sweep()
 	ac.tellWaiting()
-	if ac.queue.Known() {
+	if ac.queue.HasClasses() {
 		ac.sweep.In(sweep)
 	}
 }
@@ -240,7 +240,7 @@
 	s := ac.routes.Current()
 	now := ac.now()
 	for _, c := range ac.queue.Order() {
-		c.Lanes(func(l *queue.Lane) (bool, bool) {
+		c.EachLane(func(l *queue.Lane) (bool, bool) {
 			if l.Empty.IsZero() {
 				return false, false
 			}
@@ -259,14 +259,14 @@
 			for i := range l.Waiters.Len() {
 				w := l.Waiters.At(i)
 				switch {
-				case !w.Waits():
+				case !w.IsWaiting():
 				case coming && ready.After(w.Deadline):
-					refuse(w, queue.Answer{Why: "it will be loaded too late", RetryS: retry(ready.Sub(now))})
+					refuse(w, queue.Answer{Explanation: "it will be loaded too late", RetryS: retry(ready.Sub(now))})
 				case coming:
 				case told && x.Refused:
-					refuse(w, queue.Answer{Why: x.Why, RetryS: max(1, x.RetryS)})
-				case now.Sub(later(w.Since, l.Empty)) > ac.hold:
-					refuse(w, queue.Answer{Why: "nobody has it and no controller answers", RetryS: 2})
+					refuse(w, queue.Answer{Explanation: x.Why, RetryS: max(1, x.RetryS)})
+				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.hold:
+					refuse(w, queue.Answer{Explanation: "nobody has it and no controller answers", RetryS: 2})
 				}
 			}
 			return false, false
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -47,7 +47,7 @@
 	opened(t, func(g *Controller, _ *gossip.Table) {
 		began := time.Now()
 		a := g.Enter(context.Background(), target(), "c", time.Now().Add(time.Minute))
-		if took := time.Since(began); a.Replica != nil || a.Why != "nobody has it and no controller answers" || took < time.Second || took > time.Second+2*interval {
+		if took := time.Since(began); a.Replica != nil || a.Explanation != "nobody has it and no controller answers" || took < time.Second || took > time.Second+2*interval {
 			t.Errorf("got %+v after %v", a, took)
 		}
 	})
@@ -115,7 +115,7 @@
 		}
 		time.Sleep(2 * sweep)
 		synctest.Wait()
-		if g.queue.Known() || len(g.Waiting()) != 0 {
+		if g.queue.HasClasses() || len(g.Waiting()) != 0 {
 			t.Error("a withdrawn waiter is still held")
 		}
 	})
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -208,5 +208,5 @@
 		reason = TooLate
 	}
 	// Why: an earlier attempt of the same request may have run, and that is what counts.
-	return &Refusal{Reason: reason, Detail: a.Why, Outcome: sofar, RetryAfter: time.Duration(a.RetryS) * time.Second}
+	return &Refusal{Reason: reason, Detail: a.Explanation, Outcome: sofar, RetryAfter: time.Duration(a.RetryS) * time.Second}
 }
