--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	interval = 20 * time.Millisecond
-	sweep    = 5 * interval // between two sweeps of waiters that no longer wait
-	depth    = 4096
+	recheckInterval = 20 * time.Millisecond
+	sweepInterval   = 5 * recheckInterval // between two sweeps of waiters that no longer wait
+	mailboxDepth    = 4096
 	// reserve is the share of attempts that only urgent classes may use.
-	reserve = 4
+	urgentReserveDivisor = 4
 )
 
 // Controller owns the queue of a proxy.
 type Controller struct {
-	actor    *run.Actor
-	routes   *route.Router
-	queue    *queue.Queue
-	now      func() time.Time
-	attempts atomic.Int64
-	urgent   atomic.Int64
-	waiting  atomic.Pointer[map[string]int]
-	again    *run.Nudge // dispatches soon
-	next     *run.Alarm // the next look at those who wait
-	sweep    *run.Alarm
-	hold     time.Duration
-	closed   atomic.Bool
-	onMiss   func() // tells at once that a request waits for what nobody holds
+	actor           *run.Actor
+	routes          *route.Router
+	queue           *queue.Queue
+	now             func() time.Time
+	attempts        atomic.Int64
+	urgentAttempts  atomic.Int64
+	waiting         atomic.Pointer[map[string]int]
+	dispatchSoon    *run.Nudge // dispatches soon
+	recheck         *run.Alarm // the next look at those who wait
+	sweepAlarm      *run.Alarm
+	noHolderTimeout time.Duration
+	closed          atomic.Bool
+	onMiss          func() // tells at once that a request waits for what nobody holds
 }
 
 // New opens admission.
 // hold is how long an item that nobody holds is waited for without any word.
 func New(g *run.Group, routes *route.Router, hold time.Duration, onMiss func()) *Controller {
-	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, hold: hold, onMiss: onMiss}
+	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, noHolderTimeout: hold, onMiss: onMiss}
 	ac.waiting.Store(&map[string]int{})
-	ac.actor = run.NewActor(g, depth, 0, nil)
-	ac.next, ac.sweep = run.NewAlarm(ac.actor, ac.onTick), run.NewAlarm(ac.actor, ac.onSweep)
-	ac.again = run.NewNudge(ac.actor, ac.dispatch)
-	routes.OnTable(ac.again.Now)
+	ac.actor = run.NewActor(g, mailboxDepth, 0, nil)
+	ac.recheck, ac.sweepAlarm = run.NewAlarm(ac.actor, ac.onRecheck), run.NewAlarm(ac.actor, ac.onSweep)
+	ac.dispatchSoon = run.NewNudge(ac.actor, ac.dispatch)
+	routes.OnTable(ac.dispatchSoon.Now)
 	return ac
 }
 
@@ -56,9 +56,9 @@
 func (ac *Controller) Attempts() int64 { return ac.attempts.Load() }
 
 // Enter waits until a replica can take the request, and says which, or why not.
-func (ac *Controller) Enter(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
+func (ac *Controller) Acquire(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
 	w := queue.NewWaiter(target, class, ac.now(), deadline)
-	if ac.actor.Tell(func() { ac.take(w) }) != nil {
+	if ac.actor.Tell(func() { ac.enqueue(w) }) != nil {
 		return queue.Answer{Explanation: "the holding is full", RetryS: 1}
 	}
 	wait := time.NewTimer(time.Until(deadline))
@@ -85,7 +85,7 @@
 		for _, c := range ac.queue.Order() {
 			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				for i := range l.Waiters.Len() {
-					refuse(l.Waiters.At(i), stopped)
+					refuse(l.Waiters.At(i), stoppingResult)
 				}
 				return false, false
 			})
@@ -94,7 +94,7 @@
 }
 
 // stopped is the answer once admission has closed.
-var stopped = queue.Answer{Explanation: "this proxy is stopping", RetryS: 1}
+var stoppingResult = queue.Answer{Explanation: "this proxy is stopping", RetryS: 1}
 
 func refuse(w *queue.Waiter, a queue.Answer) {
 	if w.Withdraw() {
@@ -102,9 +102,9 @@
 	}
 }
 
-func (ac *Controller) take(w *queue.Waiter) {
+func (ac *Controller) enqueue(w *queue.Waiter) {
 	if ac.closed.Load() {
-		refuse(w, stopped)
+		refuse(w, stoppingResult)
 		return
 	}
 	cl, known := ac.routes.Current().Conf.Classes[w.Class]
@@ -114,7 +114,7 @@
 	}
 	ac.queue.SetShares(ac.routes.Current().Conf.Shares())
 	c := ac.queue.Class(w.Class, cl)
-	ac.sweep.In(sweep)
+	ac.sweepAlarm.In(sweepInterval)
 	if !ac.queue.Push(c, w) {
 		refuse(w, queue.Answer{Explanation: "the holding of class " + w.Class + " is full", RetryS: 1})
 		return
@@ -123,12 +123,12 @@
 	if !w.IsWaiting() {
 		return
 	}
-	ac.next.In(interval)
+	ac.recheck.In(recheckInterval)
 	// Why: if what is ahead already takes longer than the deadline, waiting would only delay the no.
 	_, held, serve := ac.routes.Choose(w.Target)
 	if held == 0 {
 		ac.routes.CountWaitingWork(&w.Target)
-		ac.tellWaiting()
+		ac.publishWaiting()
 		ac.onMiss()
 	}
 	if held > 0 {
@@ -136,12 +136,12 @@
 		// Why: who waits longest for the same tells best how long it takes, other edges and other classes included.
 		ahead = max(ahead, ac.now().Sub(c.Oldest(w).EnqueuedAt))
 		if ahead > w.Deadline.Sub(w.EnqueuedAt) {
-			refuse(w, queue.Answer{Explanation: "too many wait ahead of it", RetryS: retry(ahead - w.Deadline.Sub(w.EnqueuedAt))})
+			refuse(w, queue.Answer{Explanation: "too many wait ahead of it", RetryS: retryAfterSeconds(ahead - w.Deadline.Sub(w.EnqueuedAt))})
 		}
 	}
 }
 
-func retry(d time.Duration) int { return max(1, min(60, int(d/time.Second)+1)) }
+func retryAfterSeconds(d time.Duration) int { return max(1, min(60, int(d/time.Second)+1)) }
 
 // dispatch gives replicas to waiters until none can be given more.
 func (ac *Controller) dispatch() {
@@ -152,10 +152,10 @@
 			full := ac.attempts.Load() >= limit
 			// Why: urgent requests find places that others can never fill.
 			if !c.Conf.Urgent {
-				full = ac.attempts.Load()-ac.urgent.Load() >= limit-limit/reserve || full
+				full = ac.attempts.Load()-ac.urgentAttempts.Load() >= limit-limit/urgentReserveDivisor || full
 			}
 			// Why: a tenant that calls all its requests urgent must leave the others' part of those places free.
-			kept := int64(float64(limit/reserve) * ac.queue.OthersFraction(c.Of))
+			kept := int64(float64(limit/urgentReserveDivisor) * ac.queue.OthersFraction(c.Of))
 			if full || kept > 0 && c.Of.Inflight.Load() >= limit-kept {
 				continue
 			}
@@ -177,7 +177,7 @@
 				if w.Deadline.Sub(ac.now()) < r.Live.ExpectedFirstChunk() {
 					refuse(w, queue.Answer{Explanation: "its answer would begin after the deadline", Late: true, RetryS: 1})
 				} else if w.Claim() {
-					ac.give(w, r, c)
+					ac.assign(w, r, c)
 				}
 				return true, false
 			})
@@ -188,16 +188,16 @@
 	}
 }
 
-func (ac *Controller) give(w *queue.Waiter, r *route.Replica, c *queue.Class) {
+func (ac *Controller) assign(w *queue.Waiter, r *route.Replica, c *queue.Class) {
 	urgent, tenant := c.Conf.Urgent, c.Of
 	ac.attempts.Add(1)
 	tenant.Inflight.Add(1)
 	if urgent {
-		ac.urgent.Add(1)
+		ac.urgentAttempts.Add(1)
 	}
 	place := ac.routes.StartAttempt(w.Target, r)
 	var once atomic.Bool
-	w.Answer <- queue.Answer{Replica: r, Begun: func() { place.FirstChunk(); ac.again.Now() }, Done: func() {
+	w.Answer <- queue.Answer{Replica: r, Begun: func() { place.FirstChunk(); ac.dispatchSoon.Now() }, Done: func() {
 		if once.Swap(true) {
 			return
 		}
@@ -205,38 +205,38 @@
 		ac.attempts.Add(-1)
 		tenant.Inflight.Add(-1)
 		if urgent {
-			ac.urgent.Add(-1)
+			ac.urgentAttempts.Add(-1)
 		}
-		ac.again.Now()
+		ac.dispatchSoon.Now()
 	}}
 }
 
 // onTick looks at those who wait. Why: most of the time nobody does, and a proxy
 // that sleeps then costs nothing.
-func (ac *Controller) onTick() {
+func (ac *Controller) onRecheck() {
 	ac.dispatch()
-	ac.hopeless()
+	ac.rejectHopeless()
 	if ac.queue.HasWaiters() {
-		ac.next.In(interval)
+		ac.recheck.In(recheckInterval)
 	}
 }
 
 // onSweep lets go of waiters that no longer wait, and of classes without any.
 func (ac *Controller) onSweep() {
 	ac.queue.Sweep()
-	ac.tellWaiting()
+	ac.publishWaiting()
 	if ac.queue.HasClasses() {
-		ac.sweep.In(sweep)
+		ac.sweepAlarm.In(sweepInterval)
 	}
 }
 
-func (ac *Controller) tellWaiting() {
+func (ac *Controller) publishWaiting() {
 	w := ac.queue.Waiting()
 	ac.waiting.Store(&w)
 }
 
 // hopeless turns away what no load and no freed place can serve in time.
-func (ac *Controller) hopeless() {
+func (ac *Controller) rejectHopeless() {
 	s := ac.routes.Current()
 	now := ac.now()
 	for _, c := range ac.queue.Order() {
@@ -261,11 +261,11 @@
 				switch {
 				case !w.IsWaiting():
 				case coming && ready.After(w.Deadline):
-					refuse(w, queue.Answer{Explanation: "it will be loaded too late", RetryS: retry(ready.Sub(now))})
+					refuse(w, queue.Answer{Explanation: "it will be loaded too late", RetryS: retryAfterSeconds(ready.Sub(now))})
 				case coming:
 				case told && x.Refused:
 					refuse(w, queue.Answer{Explanation: x.Why, RetryS: max(1, x.RetryS)})
-				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.hold:
+				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.noHolderTimeout:
 					refuse(w, queue.Answer{Explanation: "nobody has it and no controller answers", RetryS: 2})
 				}
 			}
--- a/internal/admission/work_test.go
+++ b/internal/admission/work_test.go
@@ -14,8 +14,8 @@
 
 // A model that nobody holds is asked for by many: how much work that is must be
 // known before the first copy is there, or the next copies come one after the other.
-func TestWorkOfWhatWaitsIsKnownBeforeTheFirstCopyIsThere(t *testing.T) {
-	opened(t, func(g *Controller, _ *gossip.Table) {
+func TestWorkOfWaitersIsCountedBeforeTheFirstCopyLoads(t *testing.T) {
+	withController(t, func(g *Controller, _ *gossip.Table) {
 		group := run.NewGroup(context.Background())
 		defer group.Stop()
 		misses := 0
@@ -25,7 +25,7 @@
 		// Why: until a pace has been seen, 30 tokens are taken to be read in a ms.
 		want := uint64((asked * 3000 * (time.Millisecond / 30)).Milliseconds())
 		for range asked {
-			group.Go(func(ctx context.Context) { g.Enter(ctx, target, "c", time.Now().Add(500*time.Millisecond)) })
+			group.Go(func(ctx context.Context) { g.Acquire(ctx, target, "c", time.Now().Add(500*time.Millisecond)) })
 		}
 		synctest.Wait()
 		if misses != asked || g.Waiting()["m"] == 0 {
--- a/internal/proxy/passage.go
+++ b/internal/proxy/passage.go
@@ -78,7 +78,7 @@
 	p, svc, t := w.p, service(w.call.Target), &w.call.Target
 	for {
 		w.number++
-		a := p.admission.Enter(ctx, *t, t.Route.Class, w.call.FirstBy)
+		a := p.admission.Acquire(ctx, *t, t.Route.Class, w.call.FirstBy)
 		if a.Replica == nil {
 			return nil, turnedAway(a, w.outcome)
 		}
