--- a/internal/route/bulk.go
+++ b/internal/route/bulk.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// turnover is how long a prefix that was used is to stay warm at replicas that evict by last use alone: caches
-	// that take in more than they hold in that time are full.
+	// cacheTurnover is how long a used prefix should stay warm on replicas that evict in LRU order only: a cache
+	// that receives more new tokens than its size in that time is overcommitted.
 	cacheTurnover = time.Minute
-	// presentFor is how long a tenant counts as present after its last request.
+	// presenceTTL is how long a tenant counts as present after its last request.
 	presenceTTL = 5 * time.Minute
-	// bulkEnds is the part of what makes a tenant's prompts bulk work below which they are so no more.
+	// bulkExitFraction of the threshold for bulk is the level at which a party stops being bulk (hysteresis).
 	bulkExitFraction = 0.5
-	// yieldPart of a tenant's new tokens is what the least urgent steps send that yield within it.
+	// yieldFraction is the fraction of a tenant's new tokens that the yielding, least urgent ranks must reach together.
 	yieldFraction = 1.0 / 3
 )
 
-// party is a tenant, or a step of urgency within it.
+// party is a tenant, or one urgency rank within a tenant.
 type party = sharedcache.Owner
 
-// bulk knows which tenants, and which steps within them, send more new prompt
-// tokens in a minute than their share of the replicas' caches holds. Whatever else is kept warm would be
-// pushed out by those, however fair the replicas' own choice among equals is.
+// bulkDetector detects which tenants, and which urgency ranks within them, send more new prompt
+// tokens within cacheTurnover than their share of the replicas' caches holds. Such bulk would evict
+// everything else from the caches, even if the replicas treat all requests equally.
 type bulkDetector struct {
 	mu          sync.Mutex
 	flows       map[party]tokenFlow
-	lastSeen    map[party]time.Duration // when there was a request of it last, here or by word of other proxies
+	lastSeen    map[party]time.Duration // time of the last request, here or as announced by another proxy
 	bulkParties map[party]bool
 	shares      map[string]int
 	log         *slog.Logger
 
-	presentCache    map[string]int // tenants present, as of presentAt
+	presentCache    map[string]int // shares of the tenants present, as of presentCachedAt
 	presentCachedAt time.Duration
 }
 
-// flow is the new prompt tokens of late, older ones counting less.
+// tokenFlow is an exponentially decaying sum of new prompt tokens.
 type tokenFlow struct {
 	tokens float64
 	at     time.Duration
@@ -58,18 +58,19 @@
 	return &bulkDetector{flows: map[party]tokenFlow{}, lastSeen: map[party]time.Duration{}, bulkParties: map[party]bool{}, log: log}
 }
 
-// divide takes new shares; parties whose tenant is gone are forgotten.
+// setShares replaces the shares and drops parties whose tenant no longer exists.
 func (b *bulkDetector) setShares(shares map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.shares, b.presentCache = shares, nil
-	gone := func(p party) bool { return shares[p.Tenant] == 0 }
-	maps.DeleteFunc(b.lastSeen, func(p party, _ time.Duration) bool { return gone(p) })
-	maps.DeleteFunc(b.flows, func(p party, _ tokenFlow) bool { return gone(p) })
-	maps.DeleteFunc(b.bulkParties, func(p party, _ bool) bool { return gone(p) })
+	isGone := func(p party) bool { return shares[p.Tenant] == 0 }
+	maps.DeleteFunc(b.lastSeen, func(p party, _ time.Duration) bool { return isGone(p) })
+	maps.DeleteFunc(b.flows, func(p party, _ tokenFlow) bool { return isGone(p) })
+	maps.DeleteFunc(b.bulkParties, func(p party, _ bool) bool { return isGone(p) })
 }
 
-// review judges those anew that sent bulk. Why: one that has stopped sends nothing that it could be judged at.
+// reassessAll reassesses the tenants that send bulk. A tenant that has stopped sending would
+// otherwise never be reassessed.
 func (b *bulkDetector) reassessAll(capacity float64, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,24 +83,24 @@
 	}
 }
 
-// told notes that a party has requests, here or at another proxy. It says whether
-// that had not been known for a while.
-func (b *bulkDetector) markPresent(p party, now time.Duration, while time.Duration) bool {
+// markPresent records that a party has requests, here or at another proxy. It reports whether the
+// last record is older than interval.
+func (b *bulkDetector) markPresent(p party, now time.Duration, interval time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.shares[p.Tenant] == 0 || p.Rank < 0 || p.Rank >= conf.Ranks {
 		return false
 	}
 	at, found := b.lastSeen[p]
-	if found && now-at < while {
+	if found && now-at < interval {
 		return false
 	}
 	b.lastSeen[p], b.presentCache = now, nil
 	return true
 }
 
-// sent counts the new tokens of a prompt; capacity is what all replicas' caches
-// hold of this proxy's prompts.
+// addTokens counts the new tokens of a prompt. capacity is this proxy's part of all
+// replicas' caches, in tokens.
 func (b *bulkDetector) addTokens(p party, tokens int, capacity float64, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,11 +111,11 @@
 	}
 }
 
-// judge says anew which of a tenant's parties send bulk.
+// reassess determines which of a tenant's parties send bulk.
 func (b *bulkDetector) reassess(tenant string, capacity float64, now time.Duration) {
-	room, total := b.allowance(tenant, capacity, now), 0.0
+	allowed, total := b.allowance(tenant, capacity, now), 0.0
 	var flows [conf.Ranks]float64
-	first := conf.Ranks // the most urgent step that is present
+	first := conf.Ranks // the most urgent rank that is present
 	for rank := conf.Ranks - 1; rank >= 0; rank-- {
 		if p := (party{Tenant: tenant, Rank: rank}); b.isPresent(p, now) {
 			flows[rank], first = b.flows[p].decayed(now), rank
@@ -122,20 +123,20 @@
 		}
 	}
 	whole := wholeTenant(tenant)
-	is := b.exceeds(whole, total, room)
-	b.setBulk(whole, is, total, room)
-	// Why: the least urgent steps yield, and only as many as send a good part of what is new; a counter that sends no
-	// more than the officers would else be sent to where the night's work goes.
-	least := 0.0
+	isBulk := b.exceeds(whole, total, allowed)
+	b.setBulk(whole, isBulk, total, allowed)
+	// Only the least urgent ranks yield, and only as many as together send yieldFraction of the new tokens. Otherwise
+	// interactive requests of a middle rank that send no more than the urgent ones would share replicas with batch work.
+	lessUrgent := 0.0
 	for rank := conf.Ranks - 1; rank >= 0; rank-- {
-		yields := is && rank > first && flows[rank] > 0 && least < yieldFraction*total
-		least += flows[rank]
-		b.setBulk(party{Tenant: tenant, Rank: rank}, yields, flows[rank], room)
+		yields := isBulk && rank > first && flows[rank] > 0 && lessUrgent < yieldFraction*total
+		lessUrgent += flows[rank]
+		b.setBulk(party{Tenant: tenant, Rank: rank}, yields, flows[rank], allowed)
 	}
 }
 
-// room is how many new tokens a tenant may send: its share, or more where the others
-// leave it idle.
+// allowance returns how many new tokens a tenant may send: its share, or more if other tenants
+// leave capacity idle.
 func (b *bulkDetector) allowance(tenant string, capacity float64, now time.Duration) float64 {
 	others := 0.0
 	for p, f := range b.flows {
@@ -146,10 +147,10 @@
 	return max(capacity-others, capacity*float64(b.shares[tenant])/float64(max(b.presentShares(now), 1)))
 }
 
-// wholeTenant is a tenant with all its steps.
+// wholeTenant is the party of all urgency ranks of a tenant.
 func wholeTenant(tenant string) party { return party{Tenant: tenant, Rank: -1} }
 
-// exceeds says whether a flow is more than there is room for.
+// exceeds reports whether a token flow is above the allowance, with hysteresis for parties already marked as bulk.
 func (b *bulkDetector) exceeds(p party, tokens, room float64) bool {
 	if b.bulkParties[p] {
 		return tokens > room*bulkExitFraction
@@ -157,16 +158,16 @@
 	return tokens > room
 }
 
-func (b *bulkDetector) setBulk(p party, is bool, tokens, room float64) {
-	if b.bulkParties[p] == is {
+func (b *bulkDetector) setBulk(p party, isBulk bool, tokens, room float64) {
+	if b.bulkParties[p] == isBulk {
 		return
 	}
-	if is {
+	if isBulk {
 		b.bulkParties[p] = true
 	} else {
 		delete(b.bulkParties, p)
 	}
-	b.log.Info("bulk of a tenant", "tenant", p.Tenant, "urgency", p.Rank, "bulk", is, "newTokens", int(tokens), "roomTokens", int(room))
+	b.log.Info("tenant bulk state changed", "tenant", p.Tenant, "urgency", p.Rank, "bulk", isBulk, "newTokens", int(tokens), "roomTokens", int(room))
 }
 
 func (b *bulkDetector) isPresent(p party, now time.Duration) bool {
@@ -174,10 +175,10 @@
 	return found && now-at < presenceTTL
 }
 
-// presentLasts is how long it is gone by who is present.
+// presentCacheTTL is how long the set of present tenants is cached.
 const presentCacheTTL = time.Second
 
-// present are the tenants with requests of late.
+// present returns the shares of the tenants that are present.
 func (b *bulkDetector) present(now time.Duration) map[string]int {
 	if b.presentCache != nil && now-b.presentCachedAt < presentCacheTTL {
 		return b.presentCache
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -12,10 +12,10 @@
 	"drumstall.example/internal/place/judge"
 )
 
-// Load is how many requests a replica has, as far as is known here.
+// Load returns the number of requests on a replica, as far as this proxy knows.
 func (r *Replica) Load() int { return r.othersInflight() + int(r.Live.Inflight.Load()) }
 
-// elsewhere is how many requests of other edges are on it.
+// othersInflight returns the number of requests of other edges on the replica.
 func (r *Replica) othersInflight() int {
 	switch {
 	case !r.Told:
@@ -26,7 +26,7 @@
 	return int(r.Live.othersInflight.Load())
 }
 
-// mayHave is how many requests we may have on it.
+// inflightLimit returns how many requests this proxy may have in flight on the replica.
 func (r *Replica) inflightLimit() int {
 	switch {
 	case !r.Told:
@@ -37,59 +37,61 @@
 	return max(0, r.Slots-r.othersInflight())
 }
 
-// heardAt is when word of it came last.
-func (k *Router) lastReportAt(r *Replica) time.Duration {
+// lastReportAt returns the time of the last report on a replica; for a reachable replica that is not
+// polled, this is the last renewal of the table.
+func (rt *Router) lastReportAt(r *Replica) time.Duration {
 	if r.Told && !r.Unreachable {
-		return time.Duration(k.renewedAt.Load())
+		return time.Duration(rt.renewedAt.Load())
 	}
 	return r.reportedAt
 }
 
-// candidates are the replicas that can serve a request.
+// candidates holds the replicas that can serve a request.
 type candidates struct {
-	responsive  []judge.Replica // those with a free place that answer
-	silent      []judge.Replica // those with a free place that were last heard of by their silence
-	held        int             // those that hold the item, with a free place or not
-	slots       int             // of all those
-	serviceTime time.Duration   // sum of the time that each takes to serve one request
+	responsive  []judge.Replica // those with a free slot that are responsive
+	silent      []judge.Replica // those with a free slot that were silent last, and the replica to avoid
+	held        int             // number of those that hold the item, with a free slot or not
+	slots       int             // total of the slots on those that steering allows
+	serviceTime time.Duration   // sum of the service times of those
 }
 
-// Choose ranks the replicas that can serve now. held says whether any holds
-// the item at all, with a free place or not; serve is the mean time between two
-// places that come free there.
-func (k *Router) Choose(t Target) (best *Replica, held int, serve time.Duration) {
-	if k.Isolated() {
+// Choose returns the best replica for a request, or nil if none can take it now. held is the number of
+// replicas that hold the item, with a free slot or not; serve is the mean time between two
+// slots becoming free on them.
+func (rt *Router) Choose(t Target) (best *Replica, held int, serve time.Duration) {
+	if rt.Isolated() {
 		return nil, 0, 0
 	}
-	s, now := k.Current(), k.clock.Since()
-	steer := k.steer(t, s, s.index.replicasFor(t, t.Item.String()), now)
-	c := k.candidates(t, s, now, steer)
+	s, now := rt.Current(), rt.clock.Since()
+	steer := rt.steer(t, s, s.index.replicasFor(t, t.Item.String()), now)
+	c := rt.candidates(t, s, now, steer)
 	if c.held == 0 {
 		return nil, 0, 0
 	}
 	serve = c.serviceTime / time.Duration(max(c.slots, 1))
-	facts := c.responsive
-	if len(facts) == 0 {
-		facts = c.silent
+	ranked := c.responsive
+	if len(ranked) == 0 {
+		ranked = c.silent
 	}
-	// Why: a service keeps nothing warm; a home there would send everybody to one replica, whatever its zone.
-	if len(facts) > 0 && t.Route.Kind == "model" {
-		facts = k.addPromptCosts(t, s, facts, now)
+	// Services have no prefix cache. Home replicas by prompt digest would send all requests to one replica,
+	// whatever its zone.
+	if len(ranked) > 0 && t.Route.Kind == "model" {
+		ranked = rt.addPromptCosts(t, s, ranked, now)
 	}
-	i := judge.Best(s.Conf.Weights, facts)
+	i := judge.Best(s.Conf.Weights, ranked)
 	if i < 0 {
 		return nil, c.held, serve
 	}
-	return s.Replicas[facts[i].Name], c.held, serve
+	return s.Replicas[ranked[i].Name], c.held, serve
 }
 
-// candidates finds who can serve a request now.
-func (k *Router) candidates(t Target, s *Snapshot, now time.Duration, steer steering) candidates {
+// candidates returns the replicas that can serve a request now.
+func (rt *Router) candidates(t Target, s *Snapshot, now time.Duration, steer steering) candidates {
 	var c candidates
-	item, zone := t.Item.String(), k.deps.Zone()
+	item, zone := t.Item.String(), rt.deps.Zone()
 	for _, id := range s.index.replicasFor(t, item) {
 		r := s.Replicas[id]
-		if !k.serves(t, item, id, r, now) {
+		if !rt.serves(t, item, id, r, now) {
 			continue
 		}
 		c.held++
@@ -99,7 +101,7 @@
 		c.slots += r.Slots
 		c.serviceTime += r.ServiceTime
 		mine := int(r.Live.Inflight.Load())
-		// Why: one that has just refused is fuller than its report says, and would refuse the next one too.
+		// A replica that has just refused a request is fuller than its report says, and would refuse the next one too.
 		if mine >= r.inflightLimit() || r.isOverloaded(now) {
 			r.Live.wantsReport.Store(true)
 			continue
@@ -108,8 +110,8 @@
 			continue
 		}
 		f := judge.Replica{Name: id, Inflight: r.othersInflight() + mine, Slots: r.Slots, ServeFor: r.ServiceTime, SameZone: r.Listed.Zone == zone, Share: steer.shareScore(id)}
-		// Why: silence is no proof. It only ranks a replica behind all that answer, until a report that was asked for
-		// later comes.
+		// Silence does not prove a failure. It only ranks a replica behind all responsive ones, until a report that
+		// was requested later arrives.
 		if !r.isResponsive(now) || id == t.Avoid {
 			c.silent = append(c.silent, f)
 			continue
@@ -119,70 +121,70 @@
 	return c
 }
 
-// warmest adds how much of the prompt is warm at each replica and how long its
-// reading would take there, and leaves out those that have enough prompts to read.
-func (k *Router) addPromptCosts(t Target, s *Snapshot, facts []judge.Replica, now time.Duration) []judge.Replica {
-	isTold := s.Replicas[facts[0].Name].Told
-	// Why: many calls have one replica to go to; the memory of prompts is not asked for those.
-	if len(facts) == 1 && !isTold {
-		return facts
+// addPromptCosts adds the warm fraction of the prompt and the predicted wait to each candidate,
+// and drops candidates whose prefill backlog is full.
+func (rt *Router) addPromptCosts(t Target, s *Snapshot, ranked []judge.Replica, now time.Duration) []judge.Replica {
+	viaController := s.Replicas[ranked[0].Name].Told
+	// Many requests have a single candidate; the prefix lookup is skipped for those.
+	if len(ranked) == 1 && !viaController {
+		return ranked
 	}
-	warm, home := k.prefixes.warmFractions(t.Prompt), binary.LittleEndian.AppendUint64(nil, t.Prompt.homeDigest())
-	out := facts[:0]
-	for _, f := range facts {
+	warm, home := rt.prefixes.warmFractions(t.Prompt), binary.LittleEndian.AppendUint64(nil, t.Prompt.homeDigest())
+	out := ranked[:0]
+	for _, f := range ranked {
 		f.Warm, f.Home = warm[f.Name], float64(share.Draw(home, f.Name)>>11)/(1<<53)
 		if r := s.Replicas[f.Name]; r.Told {
 			uncached := t.Prompt.uncachedTokens(f.Warm)
-			if k.prefillBacklogged(r, uncached, t.Route.GapTarget, now) {
+			if rt.prefillBacklogged(r, uncached, t.Route.GapTarget, now) {
 				continue
 			}
-			f.Wait = k.predictWait(r, uncached, now)
+			f.Wait = rt.predictWait(r, uncached, now)
 		}
 		out = append(out, f)
 	}
 	return out
 }
 
-// Others says whether another replica that answers holds what a request needs.
-func (k *Router) HasAlternative(t Target, not string) bool {
-	s, now, item := k.Current(), k.clock.Since(), t.Item.String()
+// HasAlternative reports whether another responsive replica with a free slot holds what a request needs.
+func (rt *Router) HasAlternative(t Target, except string) bool {
+	s, now, item := rt.Current(), rt.clock.Since(), t.Item.String()
 	for _, id := range s.index.replicasFor(t, item) {
 		r := s.Replicas[id]
-		if id != not && k.serves(t, item, id, r, now) && r.isResponsive(now) && int(r.Live.Inflight.Load()) < r.inflightLimit() {
+		if id != except && rt.serves(t, item, id, r, now) && r.isResponsive(now) && int(r.Live.Inflight.Load()) < r.inflightLimit() {
 			return true
 		}
 	}
 	return false
 }
 
-// Serves says whether a replica is still known to hold what a request needs.
-func (k *Router) Serves(t Target, id string) bool {
-	r := k.Current().Replicas[id]
-	return r != nil && k.serves(t, t.Item.String(), id, r, k.clock.Since())
+// Serves reports whether a replica is still known to hold what a request needs.
+func (rt *Router) Serves(t Target, id string) bool {
+	r := rt.Current().Replicas[id]
+	return r != nil && rt.serves(t, t.Item.String(), id, r, rt.clock.Since())
 }
 
-// serves says whether a replica holds the item that a request needs and may be sent to.
-func (k *Router) serves(t Target, item, id string, r *Replica, now time.Duration) bool {
+// serves reports whether a replica holds the item that a request needs and may be used.
+func (rt *Router) serves(t Target, item, id string, r *Replica, now time.Duration) bool {
 	isModel := t.Route.Kind == "model"
 	switch {
 	case r.Listed.Model != isModel, isModel && !r.holds(t, item):
 		return false
-	case r.Listed.Leaving, now-k.lastReportAt(r) > maxReportAge, now-time.Duration(r.Live.refusedAt.Load()) < refusedBackoff:
+	case r.Listed.Leaving, now-rt.lastReportAt(r) > maxReportAge, now-time.Duration(r.Live.refusedAt.Load()) < refusedBackoff:
 		return false
 	case !t.selects(r):
 		return false
 	case isModel && r.Told && r.Live.reportedMissing(item, now):
 		return false
 	}
-	return !inventory.Marked(k.gossip, id)
+	return !inventory.Marked(rt.gossip, id)
 }
 
-// holds says whether a replica holds the model that a request needs, and its adapter.
+// holds reports whether a replica holds the model that a request needs, and its adapter.
 func (r *Replica) holds(t Target, item string) bool {
 	return r.Ready[item] && (t.Item.Adapter == "" || r.Ready[t.Item.Model])
 }
 
-// selects says whether a replica is of the service, or has the labels, that the route names.
+// selects reports whether a replica belongs to the service or has the labels that the route names.
 func (t Target) selects(r *Replica) bool {
 	if t.Route.Service != "" && r.Listed.Labels[conf.ServiceLabel] == t.Route.Service {
 		return true
--- a/internal/route/draft.go
+++ b/internal/route/draft.go
@@ -7,7 +7,7 @@
 	"drumstall.example/internal/kernel/sharded"
 )
 
-// copyOnWrite is a map that belongs to the table before, too, until it is changed.
+// copyOnWrite is a map that is shared with the previous snapshot until the first change.
 type copyOnWrite[V any] struct {
 	entries map[string]V
 	owned   bool
@@ -34,13 +34,13 @@
 	}
 }
 
-// index finds the replicas that may hold what a request needs.
+// index maps what a request needs to the replicas that may serve it. All lists are sorted.
 type index struct {
-	holders  sharded.Map[[]string] // of each item: the replicas of models that are ready for it
+	holders  sharded.Map[[]string] // by item: the model replicas that have it loaded
 	services []string              // replicas that hold no models
 }
 
-// able are the replicas that are worth a look for a request.
+// replicasFor returns the replicas that may serve a request.
 func (x index) replicasFor(t Target, item string) []string {
 	if t.Route.Kind == "model" {
 		holders, _ := x.holders.Get(item)
@@ -49,14 +49,13 @@
 	return x.services
 }
 
-// indexing is an index while it is changed; no list is changed in its place.
+// indexDraft is an index under construction; its lists are replaced, never modified in place.
 type indexDraft struct {
 	holders  sharded.Draft[[]string]
 	services []string
 }
 
-// moved brings the index up to date with a row that takes the place of another;
-// either may be nil.
+// update updates the index for a row that replaces another; either may be nil.
 func (x *indexDraft) update(id string, before, after *Replica) {
 	for item := range before.modelItems() {
 		if !after.modelItems()[item] {
@@ -68,15 +67,15 @@
 			x.holders.Set(item, withID(x.holdersOf(item), id))
 		}
 	}
-	switch was, is := before.isService(), after.isService(); {
-	case was && !is:
+	switch wasService, nowService := before.isService(), after.isService(); {
+	case wasService && !nowService:
 		x.services = withoutID(x.services, id)
-	case is && !was:
+	case nowService && !wasService:
 		x.services = withID(x.services, id)
 	}
 }
 
-// letGo notes that a replica holds an item no more.
+// removeHolder removes a replica from the holders of an item.
 func (x *indexDraft) removeHolder(id, item string) {
 	if left := withoutID(x.holdersOf(item), id); len(left) > 0 {
 		x.holders.Set(item, left)
@@ -85,13 +84,13 @@
 	}
 }
 
-// of is the replicas that are ready for an item.
+// holdersOf returns the replicas that have an item loaded.
 func (x *indexDraft) holdersOf(item string) []string {
 	holders, _ := x.holders.Get(item)
 	return holders
 }
 
-// models are the items that a replica of models is ready for.
+// modelItems returns the items that a model replica has loaded; nil for services.
 func (r *Replica) modelItems() map[string]bool {
 	if r == nil || !r.Listed.Model {
 		return nil
@@ -101,7 +100,7 @@
 
 func (r *Replica) isService() bool { return r != nil && !r.Listed.Model }
 
-// with is a new sorted list that has id, too.
+// withID returns a sorted list with id added, without modifying the argument.
 func withID(sorted []string, id string) []string {
 	at, found := slices.BinarySearch(sorted, id)
 	if found {
@@ -110,7 +109,7 @@
 	return slices.Concat(sorted[:at], []string{id}, sorted[at:])
 }
 
-// without is a new sorted list that lacks id.
+// withoutID returns a sorted list with id removed, without modifying the argument.
 func withoutID(sorted []string, id string) []string {
 	at, found := slices.BinarySearch(sorted, id)
 	if !found {
--- a/internal/route/live.go
+++ b/internal/route/live.go
@@ -8,104 +8,106 @@
 	"drumstall.example/internal/conf"
 )
 
-// Live counts what this proxy has on a replica; it outlives the snapshots.
+// Live is the state that this proxy keeps of a replica across snapshots: its
+// in-flight requests and what was observed of the replica's answers.
 type Live struct {
 	Inflight    atomic.Int64
-	wantsReport atomic.Bool // its report is wanted out of turn
-	// elsewhere is how many requests of others it has by its answers, as of the latest renewal of the table.
+	wantsReport atomic.Bool // a report is wanted before the next regular poll
+	// othersInflight is the number of requests of other edges, by the load hints, as of the last renewal of the table.
 	othersInflight      atomic.Int64
 	lastHint            atomic.Pointer[loadHint]
 	pendingPrefill      pendingPrefill
-	lastChunkAt         atomic.Int64 // when a piece of an answer came from it last, on our clock
-	firstChunkMean      atomic.Int64 // how long a first piece takes, on average of late
-	firstChunkDeviation atomic.Int64 // how far that is off, on average of late
-	refusedAt           atomic.Int64 // when a connection was refused last, on our clock
-	overloadedAt        atomic.Int64 // when it last would not run what it was sent, on our clock
-	silentAt            atomic.Int64 // when it last kept us waiting for longer than it does, on our clock
+	lastChunkAt         atomic.Int64 // when it last sent a chunk of an answer, on this proxy's clock
+	firstChunkMean      atomic.Int64 // moving average of the time to the first chunk
+	firstChunkDeviation atomic.Int64 // moving average of the deviation from that
+	refusedAt           atomic.Int64 // when it last refused a connection, on this proxy's clock
+	overloadedAt        atomic.Int64 // when it last refused to run a request, on this proxy's clock
+	silentAt            atomic.Int64 // when it was last silent for longer than usual, on this proxy's clock
 	mu                  sync.Mutex
 	itemInflight        map[string]int
-	tenantInflight      map[string]int           // requests of each tenant; none without tenants
-	missingAt           map[string]time.Duration // items that it has said it does not hold, and when
+	tenantInflight      map[string]int           // in-flight requests of each tenant; empty without tenants
+	missingAt           map[string]time.Duration // when it last said that it does not hold an item
 }
 
-// loadWord is what an answer said of a replica's load.
+// loadHint is the load of a replica as stated in one of its answers.
 type loadHint struct {
-	others  int // requests there that are not ours
-	waiting int // requests there whose prompt has not been read
+	others  int // requests on it that are not from this proxy
+	waiting int // requests on it that wait for prefill
 	at      time.Duration
 }
 
-// ofTenant is how many requests of a tenant this proxy has there.
+// inflightOfTenant returns the number of in-flight requests of a tenant from this proxy.
 func (l *Live) inflightOfTenant(tenant string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tenantInflight[tenant]
 }
 
-// count adds to a count that is forgotten at 0; the caller holds mu.
+// addCount adds to a counter and deletes it when it reaches 0. The caller holds mu.
 func addCount(counts map[string]int, name string, by int) {
 	if counts[name] += by; counts[name] == 0 {
 		delete(counts, name)
 	}
 }
 
-// wordLasts is how long what an answer said of a replica's load is gone by.
+// loadHintTTL is how long a load hint is used.
 const loadHintTTL = time.Second
 
-// First notes how long a request waited for its first piece. Why: two notes at
-// once may lose one of them, which changes next to nothing.
+// ObserveFirstChunk records how long a request waited for its first chunk. One of two concurrent
+// observations may be lost, which hardly changes the averages.
 func (l *Live) ObserveFirstChunk(took time.Duration) {
 	old, new := l.firstChunkMean.Load(), int64(took)
 	if old == 0 {
 		l.firstChunkMean.Store(new)
 		return
 	}
-	off := max(new-old, old-new)
+	deviation := max(new-old, old-new)
 	l.firstChunkMean.Store(old + (new-old)/5)
-	l.firstChunkDeviation.Store(l.firstChunkDeviation.Load()*4/5 + off/5)
+	l.firstChunkDeviation.Store(l.firstChunkDeviation.Load()*4/5 + deviation/5)
 }
 
-// FirstFor is how long a first piece may well take, as seen of late; 0 is not known.
+// ExpectedFirstChunk is an upper estimate of the time to the first chunk, from recent requests; 0 means unknown.
 func (l *Live) ExpectedFirstChunk() time.Duration {
 	return time.Duration(l.firstChunkMean.Load() + 2*l.firstChunkDeviation.Load())
 }
 
-// Patience is how long a first piece is waited for before the silence itself says
-// something; 0 is not known.
+// FirstChunkTimeout is how long to wait for a first chunk before the silence is taken as a
+// symptom of a stalled replica; 0 means unknown.
 func (l *Live) FirstChunkTimeout() time.Duration {
-	may := l.ExpectedFirstChunk()
-	if may == 0 {
+	expected := l.ExpectedFirstChunk()
+	if expected == 0 {
 		return 0
 	}
-	return max(firstChunkTimeoutFactor*may, minFirstChunkTimeout)
+	return max(firstChunkTimeoutFactor*expected, minFirstChunkTimeout)
 }
 
-// others is how many requests of others an answer has told of lately.
+// hintedOthers returns the number of requests of other edges by the last load hint; 0 if there is no recent one.
 func (l *Live) hintedOthers(now time.Duration) int {
-	w := l.lastHint.Load()
-	if w == nil || now-w.at > loadHintTTL {
+	hint := l.lastHint.Load()
+	if hint == nil || now-hint.at > loadHintTTL {
 		return 0
 	}
-	return w.others
+	return hint.others
 }
 
-// Heard notes what an answer said of a replica's load.
-func (k *Router) RecordLoad(r *Replica, running, waiting int) {
-	r.Live.lastHint.Store(&loadHint{others: max(0, running+waiting-int(r.Live.Inflight.Load())), waiting: waiting, at: k.clock.Since()})
+// RecordLoad stores the load that an answer of a replica stated.
+func (rt *Router) RecordLoad(r *Replica, running, waiting int) {
+	r.Live.lastHint.Store(&loadHint{others: max(0, running+waiting-int(r.Live.Inflight.Load())), waiting: waiting, at: rt.clock.Since()})
 }
 
-// Silent notes that a replica kept a request waiting for longer than it does; it is
-// asked how it is at once.
-func (k *Router) RecordSilence(r *Replica) {
-	r.Live.silentAt.Store(int64(k.clock.Since()))
+// RecordSilence records that a replica kept a request waiting for longer than usual, and requests
+// a report from it at once.
+func (rt *Router) RecordSilence(r *Replica) {
+	r.Live.silentAt.Store(int64(rt.clock.Since()))
 	r.Live.wantsReport.Store(true)
 }
 
-// quietFor is how long a silence or a refusal counts against a replica that is
-// not asked for reports.
+// failurePenalty is how long a silence counts against a replica that is not polled for reports;
+// a refusal counts for a quarter of it.
 const failurePenalty = 400 * time.Millisecond
 
-// answers says that a report asked for later than its last silence has come.
+// isResponsive reports whether a report that was requested after the last silence has arrived or,
+// for a replica that is not polled, whether the penalty for the silence is over.
 func (r *Replica) isResponsive(now time.Duration) bool {
 	if r.Told {
 		return now-time.Duration(r.Live.silentAt.Load()) > failurePenalty
@@ -113,7 +115,8 @@
 	return time.Duration(r.Live.silentAt.Load()) < r.reportedAt
 }
 
-// over says that it would not run what it was sent last, and has not been heard since.
+// isOverloaded reports whether the replica refused to run a request and has not reported since or,
+// if it is not polled, whether the penalty for that is still in force.
 func (r *Replica) isOverloaded(now time.Duration) bool {
 	if r.Told {
 		return now-time.Duration(r.Live.overloadedAt.Load()) < failurePenalty/4
@@ -121,31 +124,31 @@
 	return time.Duration(r.Live.overloadedAt.Load()) >= r.reportedAt
 }
 
-// Full notes that a replica would not run what it was sent; it gets nothing until
-// it has been asked how it is.
-func (k *Router) RecordOverload(r *Replica) {
-	r.Live.overloadedAt.Store(int64(k.clock.Since()))
+// RecordOverload records that a replica refused to run a request. It is sent nothing
+// until it has reported again.
+func (rt *Router) RecordOverload(r *Replica) {
+	r.Live.overloadedAt.Store(int64(rt.clock.Since()))
 	r.Live.wantsReport.Store(true)
 }
 
-// HeardFrom notes that a piece of an answer came from a replica.
-func (k *Router) RecordChunk(r *Replica) { r.Live.lastChunkAt.Store(int64(k.clock.Since())) }
+// RecordChunk records that a chunk of an answer arrived from a replica.
+func (rt *Router) RecordChunk(r *Replica) { r.Live.lastChunkAt.Store(int64(rt.clock.Since())) }
 
-// aliveFor is how long a replica counts as alive after a piece of any answer.
+// aliveWindow is how long a replica counts as alive after a chunk of any answer.
 const aliveWindow = 400 * time.Millisecond
 
-// Alive says that a piece of an answer came from a replica just now.
-func (k *Router) Alive(r *Replica) bool {
-	return k.clock.Since()-time.Duration(r.Live.lastChunkAt.Load()) < aliveWindow
+// Alive reports whether a chunk of any answer arrived from a replica within aliveWindow.
+func (rt *Router) Alive(r *Replica) bool {
+	return rt.clock.Since()-time.Duration(r.Live.lastChunkAt.Load()) < aliveWindow
 }
 
-// missingFor is how long a replica's word that it does not hold an item counts.
+// missingTTL is how long a replica's statement that it does not hold an item counts.
 const missingTTL = 300 * time.Millisecond
 
-// Missing notes that a replica said it does not hold an item; it gets no request
-// for it until its controller's word changes.
-func (k *Router) RecordMissing(r *Replica, item conf.Item) {
-	now := k.clock.Since()
+// RecordMissing records that a replica said it does not hold an item. It gets no request
+// for the item for missingTTL.
+func (rt *Router) RecordMissing(r *Replica, item conf.Item) {
+	now := rt.clock.Since()
 	r.Live.mu.Lock()
 	defer r.Live.mu.Unlock()
 	if r.Live.missingAt == nil {
@@ -154,7 +157,7 @@
 	r.Live.missingAt[item.String()] = now
 }
 
-// lacks says that a replica has just said that it does not hold an item.
+// reportedMissing reports whether the replica said within missingTTL that it does not hold an item.
 func (l *Live) reportedMissing(item string, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,8 +165,10 @@
 	return found && now-at < missingTTL
 }
 
-// refusedFor is how long a replica that took no connection is left out.
+// refusedBackoff is how long a replica that refused a connection is left out.
 const refusedBackoff = time.Second
 
-// Refused notes that a replica took no connection; it is left out for a moment.
-func (k *Router) RecordConnectionRefused(r *Replica) { r.Live.refusedAt.Store(int64(k.clock.Since())) }
+// RecordConnectionRefused records that a replica refused a connection. It is left out for refusedBackoff.
+func (rt *Router) RecordConnectionRefused(r *Replica) {
+	r.Live.refusedAt.Store(int64(rt.clock.Since()))
+}
--- a/internal/route/look.go
+++ b/internal/route/look.go
@@ -10,22 +10,23 @@
 	"drumstall.example/internal/kernel/run"
 )
 
+// report is a replica's own report, or the failure to get one.
 type report struct {
 	status         backend.Report
 	requestedAt    time.Duration
-	ownInflight    int64 // our requests on it when it was asked
-	othersInflight int   // those of others then
-	previousOthers int   // those of others at the look before
+	ownInflight    int64 // in-flight requests of this proxy when the report was requested
+	othersInflight int   // those of other edges at that time
+	previousOthers int   // those of other edges in the previous report
 	valid          bool
-	draw           float64 // drawn for this report
+	draw           float64 // random number in [0, 1), drawn once per report
 }
 
-// look asks replicas how they are; the table so goes on without controllers.
-func (k *Router) poll(ctx context.Context, which func(*Replica) bool) {
-	s := k.Current()
+// poll requests reports from replicas, so that the table stays up to date without controllers.
+func (rt *Router) poll(ctx context.Context, wanted func(*Replica) bool) {
+	s := rt.Current()
 	ids := make([]string, 0, len(s.Replicas))
 	for id, r := range s.Replicas {
-		if which(r) {
+		if wanted(r) {
 			ids = append(ids, id)
 		}
 	}
@@ -36,40 +37,40 @@
 		id string
 		r  report
 	}
-	asked := k.clock.Since()
-	ch := run.Fan(k.group, len(ids), func(ctx context.Context, i int) answer {
+	start := rt.clock.Since()
+	ch := run.Fan(rt.group, len(ids), func(ctx context.Context, i int) answer {
 		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		r := s.Replicas[ids[i]]
 		mine := r.Live.Inflight.Load()
-		v, err := k.deps.Replicas.Report(ctx, r.Listed.Target())
-		return answer{ids[i], report{status: v, requestedAt: asked, ownInflight: mine, valid: err == nil}}
+		v, err := rt.deps.Replicas.Report(ctx, r.Listed.Target())
+		return answer{ids[i], report{status: v, requestedAt: start, ownInflight: mine, valid: err == nil}}
 	})
-	var got []answer
+	var received []answer
 	for range ids {
 		a := <-ch
 		if !a.r.valid {
 			if a.id == "" { // this proxy is stopping
 				continue
 			}
-			// Why: one that does not say how it is may be dark; whoever has a choice goes elsewhere until it does.
-			s.Replicas[a.id].Live.silentAt.Store(int64(asked))
+			// A replica that does not report may be unreachable; requests that have a choice avoid it until it does.
+			s.Replicas[a.id].Live.silentAt.Store(int64(start))
 			continue
 		}
-		got = append(got, a)
+		received = append(received, a)
 		if a.r.status.Leaving {
-			inventory.Mark(k.gossip, a.id)
+			inventory.Mark(rt.gossip, a.id)
 		}
 	}
-	_ = k.actor.Tell(func() {
-		for _, a := range got {
-			a.r.othersInflight, a.r.previousOthers = max(0, a.r.status.Inflight-int(a.r.ownInflight)), k.reports[a.id].othersInflight
+	_ = rt.actor.Tell(func() {
+		for _, a := range received {
+			a.r.othersInflight, a.r.previousOthers = max(0, a.r.status.Inflight-int(a.r.ownInflight)), rt.reports[a.id].othersInflight
 			a.r.draw = rand.Float64()
 			if a.r.status.Inflight >= a.r.status.Slots {
-				k.lastFull[a.r.status.Model] = a.r.requestedAt
+				rt.lastFull[a.r.status.Model] = a.r.requestedAt
 			}
-			k.reports[a.id] = a.r
+			rt.reports[a.id] = a.r
 		}
-		k.renew()
+		rt.renew()
 	})
 }
--- a/internal/route/memory.go
+++ b/internal/route/memory.go
@@ -6,8 +6,9 @@
 	"drumstall.example/internal/kernel/sharedcache"
 )
 
-// memory knows which prefixes this proxy has sent where. Without tenants it
-// forgets the older half at once when it is full; with tenants each keeps its share.
+// prefixMemory records which prompt prefixes this proxy has sent to which replicas. Without tenants it
+// keeps two generations and drops the older one when the newer one is full; with tenants it evicts
+// by share.
 type prefixMemory struct {
 	mu          sync.Mutex
 	generations [2]map[uint64]warmReplicas
@@ -15,15 +16,15 @@
 	reads       map[string]Reads                         // by tenant
 }
 
-// Reads counts the tokens of a tenant's prompts, and how many of them were to be
-// warm where they were sent.
+// Reads counts the tokens of a tenant's prompts, and how many of them were expected to be
+// warm on the replica they were sent to.
 type Reads struct{ Tokens, Warm uint64 }
 
 func newPrefixMemory() *prefixMemory {
 	return &prefixMemory{generations: [2]map[uint64]warmReplicas{{}, {}}}
 }
 
-// divide shares the memory between tenants from now on; without any it is everybody's.
+// setShares divides the memory between tenants by share; an empty map switches tenants off.
 func (m *prefixMemory) setShares(shares map[string]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -32,7 +33,7 @@
 		return
 	}
 	if m.shared == nil {
-		// Why: what was remembered before is still looked up until as much has come anew.
+		// Prefixes recorded before are still looked up until generationSize newer ones have been added.
 		m.shared, m.reads = sharedcache.New[uint64, warmReplicas](2*generationSize, nil), map[string]Reads{}
 	}
 	m.shared.SetShares(shares)
@@ -43,7 +44,7 @@
 	}
 }
 
-// spots are the replicas where a prefix is warm.
+// replicasWarm returns the replicas where a prefix is warm. The caller holds mu.
 func (m *prefixMemory) replicasWarm(digest uint64) (warmReplicas, bool) {
 	if m.shared != nil {
 		if s, found := m.shared.Peek(digest); found {
@@ -57,7 +58,7 @@
 	return s, found
 }
 
-// warm is, for each replica where any of the prompt is warm, how much of it.
+// warmFractions returns the warm fraction of the prompt for each replica where any of it is warm.
 func (m *prefixMemory) warmFractions(p Prompt) map[string]float64 {
 	out := map[string]float64{}
 	m.mu.Lock()
@@ -76,16 +77,16 @@
 	return out
 }
 
-// sent remembers that a prompt is warm on a replica from now on.
-func (m *prefixMemory) add(p Prompt, id string, by sharedcache.Owner) {
+// add records that a prompt is warm on a replica from now on.
+func (m *prefixMemory) add(p Prompt, id string, owner sharedcache.Owner) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.shared != nil {
-		m.addShared(p, id, by)
+		m.addShared(p, id, owner)
 		return
 	}
 	for _, d := range p.digests {
-		// Why: two generations bound the memory and forget the oldest half at once.
+		// Two generations bound the memory; the older one is dropped as a whole.
 		if len(m.generations[0]) >= generationSize {
 			m.generations[1], m.generations[0] = m.generations[0], map[uint64]warmReplicas{}
 		}
@@ -97,19 +98,19 @@
 	}
 }
 
-// sentBy is sent among tenants. Why: the beginning of a prompt is put last, as
-// the latest used; what comes behind it is worth nothing without it.
-func (m *prefixMemory) addShared(p Prompt, id string, by sharedcache.Owner) {
+// addShared is add with tenants. The beginning of a prompt is put last, as the most
+// recently used, because the parts after it are useless without it.
+func (m *prefixMemory) addShared(p Prompt, id string, owner sharedcache.Owner) {
 	for i := len(p.digests) - 1; i >= 0; i-- {
 		s, _ := m.replicasWarm(p.digests[i])
-		m.shared.Put(p.digests[i], by, 1, s.with(id))
+		m.shared.Put(p.digests[i], owner, 1, s.with(id))
 	}
 	if m.shared.Len() >= generationSize {
 		m.generations = [2]map[uint64]warmReplicas{{}, {}}
 	}
 }
 
-// read counts a prompt that is sent where so much of it is warm.
+// countRead counts a prompt that is sent to a replica where the given fraction of it is warm.
 func (m *prefixMemory) countRead(tenant string, p Prompt, warm float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,7 +123,7 @@
 	m.reads[tenant] = r
 }
 
-// figures are what each tenant has here.
+// stats returns the cache usage and the token counts of each tenant; nil without tenants.
 func (m *prefixMemory) stats() ([]sharedcache.Usage, map[string]Reads) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/route/memory_test.go
+++ b/internal/route/memory_test.go
@@ -9,14 +9,14 @@
 	"drumstall.example/internal/kernel/sharedcache"
 )
 
-// body is a prompt of its own, of some bytes.
+// body returns a distinct prompt for each n, of the given size in bytes.
 func body(n uint64, size int) []byte {
 	b := make([]byte, size)
 	binary.LittleEndian.PutUint64(b, n)
 	return b
 }
 
-// bulkRun sends many long prompts, each of its own.
+// addDistinctPrompts adds many long, distinct prompts.
 func addDistinctPrompts(m *prefixMemory, prompts int, by sharedcache.Owner) {
 	for i := range prompts {
 		m.add(PromptFromBody("m", body(uint64(1_000_000+i), 4096)), "r-9", by)
@@ -41,9 +41,9 @@
 				known++
 			}
 		}
-		// Why: without tenants all is as it was, and the run flushes the memory; that shows that it is heavy enough.
+		// Without tenants the bulk flushes the memory, which shows that it is large enough for this test.
 		if c.keeps != (known == 1000) || !c.keeps && known > 0 {
-			t.Errorf("shares %v: %d of 1000 prompts are known to be warm", c.shares, known)
+			t.Errorf("shares %v: %d of 1000 prompts are known to be warm after the bulk", c.shares, known)
 		}
 	}
 }
@@ -54,20 +54,20 @@
 	m.add(p, "r-1", sharedcache.Owner{})
 	m.setShares(map[string]int{"transport": 1})
 	if got := m.warmFractions(p)["r-1"]; got != 1 {
-		t.Errorf("%v of it is warm after tenants came", got)
+		t.Errorf("warm fraction is %v after tenants were enabled, want 1", got)
 	}
 	m.add(p, "r-2", sharedcache.Owner{Tenant: "transport"})
 	if got := m.warmFractions(p); got["r-1"] != 1 || got["r-2"] != 1 {
-		t.Errorf("warm %v", got)
+		t.Errorf("warm fractions %v, want 1 on r-1 and r-2", got)
 	}
 	addDistinctPrompts(m, 10_000, sharedcache.Owner{Tenant: "transport"})
 	if len(m.generations[0])+len(m.generations[1]) > 0 {
-		t.Error("what was remembered before is kept for ever")
+		t.Error("prefixes from before tenants were enabled are never dropped")
 	}
 	m.setShares(nil)
 	m.add(p, "r-3", sharedcache.Owner{})
 	if got := m.warmFractions(p)["r-3"]; got != 1 {
-		t.Errorf("%v of it is warm after tenants went", got)
+		t.Errorf("warm fraction is %v after tenants were disabled, want 1", got)
 	}
 }
 
@@ -99,12 +99,12 @@
 	}
 	m.setShares(map[string]int{"a": 1})
 	if _, reads = m.stats(); len(reads) != 1 {
-		t.Errorf("a tenant that is gone is still counted: %v", reads)
+		t.Errorf("a tenant that is no longer configured is still counted: %v", reads)
 	}
 }
 
-// What it costs on a request's path to look a prompt up and to remember it, and
-// how much memory an entry takes, without tenants and with them.
+// BenchmarkMemory measures the lookup and the addition of a prompt on the request path, and
+// the memory per entry, without and with tenants.
 func BenchmarkMemory(b *testing.B) {
 	for _, tenants := range []int{0, 2, 16} {
 		b.Run(fmt.Sprint("tenants=", tenants), func(b *testing.B) {
--- a/internal/route/owner.go
+++ b/internal/route/owner.go
@@ -10,9 +10,9 @@
 	"drumstall.example/internal/state"
 )
 
-// owner is whose a request is; without tenants it is nobody's.
-func (k *Router) ownerOf(t Target) sharedcache.Owner {
-	cfg := k.Current().Conf
+// ownerOf returns the tenant and urgency rank that a request belongs to; the zero Owner without tenants.
+func (rt *Router) ownerOf(t Target) sharedcache.Owner {
+	cfg := rt.Current().Conf
 	if !cfg.HasTenants() {
 		return sharedcache.Owner{}
 	}
@@ -20,61 +20,61 @@
 	return sharedcache.Owner{Tenant: cfg.TenantOf(class), Rank: cfg.Classes[class].Urgency()}
 }
 
-// countFor counts a prompt that is sent for a tenant.
-func (k *Router) countPrompt(by party, p Prompt, r *Replica) {
-	now := k.clock.Since()
-	warm := k.prefixes.warmFractions(p)[r.Listed.ID]
-	k.prefixes.countRead(by.Tenant, p, warm)
-	k.bulk.addTokens(by, int(float64(p.Tokens())*(1-warm)), float64(k.cacheCapacity.Load()), now)
+// countPrompt counts the tokens of a prompt that is sent for a tenant, and how many of them are warm.
+func (rt *Router) countPrompt(owner party, p Prompt, r *Replica) {
+	now := rt.clock.Since()
+	warm := rt.prefixes.warmFractions(p)[r.Listed.ID]
+	rt.prefixes.countRead(owner.Tenant, p, warm)
+	rt.bulk.addTokens(owner, int(float64(p.Tokens())*(1-warm)), float64(rt.cacheCapacity.Load()), now)
 }
 
-// TenantPrefix begins the keys that tell all proxies which tenants have requests.
+// TenantPrefix is the prefix of the gossip keys that announce which tenants have requests.
 const TenantPrefix = "tenant/"
 
-// presenceEvery is how often the proxies together tell of a party that has requests.
+// presenceInterval is how often the proxies together announce that a party has requests.
 const presenceInterval = presenceTTL / 5
 
 func presenceKey(p party) string { return TenantPrefix + p.Tenant + "/" + strconv.Itoa(p.Rank) }
 
-// tellPresence tells the other proxies that a party has requests, unless one has just done so.
-func (k *Router) announcePresence(p party, now time.Duration) {
-	if !k.bulk.markPresent(p, now, presenceInterval) {
+// announcePresence announces to the other proxies that a party has requests, unless one of them has just done so.
+func (rt *Router) announcePresence(p party, now time.Duration) {
+	if !rt.bulk.markPresent(p, now, presenceInterval) {
 		return
 	}
 	key := presenceKey(p)
-	// Why: the number counts up from the last one seen and says nothing of any clock.
-	k.gossip.Put(gossip.Entry{Key: key, Stamp: state.Stamp{Version: k.gossip.StampOf(key).Version + 1}, Value: []byte{1}})
+	// The version counts up from the last one seen and does not depend on any clock.
+	rt.gossip.Put(gossip.Entry{Key: key, Stamp: state.Stamp{Version: rt.gossip.StampOf(key).Version + 1}, Value: []byte{1}})
 }
 
-// takePresence notes that a party has requests, by the word of any proxy. A word
-// that is already there when this proxy begins counts as new.
-func (k *Router) applyPresence(d *draft, e gossip.Entry) {
+// applyPresence records that any proxy announced requests of a party. An entry
+// that already exists when this proxy starts counts as new.
+func (rt *Router) applyPresence(d *draft, e gossip.Entry) {
 	tenant, rank, found := strings.Cut(strings.TrimPrefix(e.Key, TenantPrefix), "/")
 	n, err := strconv.Atoi(rank)
 	if e.Gone || !found || err != nil {
 		return
 	}
-	k.bulk.markPresent(party{Tenant: tenant, Rank: n}, d.now, 0)
+	rt.bulk.markPresent(party{Tenant: tenant, Rank: n}, d.now, 0)
 }
 
-// TenantFigures is what one tenant has at this proxy.
+// TenantStats holds the statistics of one tenant at this proxy.
 type TenantStats struct {
 	Share    int
-	Prefixes int // prefixes remembered as warm
+	Prefixes int // prefixes known to be warm
 	Evicted  uint64
 	Reads
 	IsBulk bool // it sends more new prompts than its share of the replicas' caches holds
 }
 
-// Tenants are the figures of all tenants; none without tenants.
-func (k *Router) StatsByTenant() map[string]TenantStats {
-	usages, reads := k.prefixes.stats()
+// StatsByTenant returns the statistics of all tenants; nil without tenants.
+func (rt *Router) StatsByTenant() map[string]TenantStats {
+	usages, reads := rt.prefixes.stats()
 	if reads == nil {
 		return nil
 	}
 	out := map[string]TenantStats{}
-	for tenant, share := range k.Current().Conf.Shares() {
-		out[tenant] = TenantStats{Share: share, Reads: reads[tenant], IsBulk: k.bulk.isBulk(tenant)}
+	for tenant, share := range rt.Current().Conf.Shares() {
+		out[tenant] = TenantStats{Share: share, Reads: reads[tenant], IsBulk: rt.bulk.isBulk(tenant)}
 	}
 	for _, u := range usages {
 		if f, found := out[u.Tenant]; found {
--- a/internal/route/place.go
+++ b/internal/route/place.go
@@ -5,73 +5,74 @@
 	"time"
 )
 
-// Place is what a request takes at a replica.
+// Attempt is a request that was assigned to a replica. Its callbacks update the
+// counters of the replica.
 type Attempt struct {
-	FirstChunk func() // its first piece has come
-	Done       func() // it has ended
+	FirstChunk func() // called when the first chunk of the answer arrives
+	Done       func() // called when the attempt has ended
 }
 
-// Took remembers where a prefix is warm now, counts the request there, and
-// gives back how to uncount it.
-func (k *Router) StartAttempt(t Target, r *Replica) Attempt {
-	item, by := t.Item.String(), k.ownerOf(t)
+// StartAttempt counts a request as in flight on a replica and records that its prompt is
+// warm there from now on. The caller ends the count with Done.
+func (rt *Router) StartAttempt(t Target, r *Replica) Attempt {
+	item, owner := t.Item.String(), rt.ownerOf(t)
 	tokens := 0
 	if t.Route.Kind == "model" && r.Told {
-		tokens = t.Prompt.uncachedTokens(k.prefixes.warmFractions(t.Prompt)[r.Listed.ID])
+		tokens = t.Prompt.uncachedTokens(rt.prefixes.warmFractions(t.Prompt)[r.Listed.ID])
 		r.Live.pendingPrefill.tokens.Add(int64(tokens))
-		pace, _ := k.predictor.Pace()
+		pace, _ := rt.predictor.Pace()
 		if !t.Counted {
-			k.addWork(t.Item.Model, time.Duration(tokens)*pace)
+			rt.addWork(t.Item.Model, time.Duration(tokens)*pace)
 		}
 	}
 	if t.Route.Kind == "model" {
-		if by.Tenant != "" {
-			k.countPrompt(by, t.Prompt, r)
+		if owner.Tenant != "" {
+			rt.countPrompt(owner, t.Prompt, r)
 		}
-		k.prefixes.add(t.Prompt, r.Listed.ID, by)
+		rt.prefixes.add(t.Prompt, r.Listed.ID, owner)
 		if r.Told && r.underPressure() {
-			k.recordPressure(t.Item.Model, k.clock.Since())
+			rt.recordPressure(t.Item.Model, rt.clock.Since())
 		}
 	}
 	r.Live.Inflight.Add(1)
 	r.Live.mu.Lock()
 	r.Live.itemInflight[item]++
-	if by.Tenant != "" {
-		addCount(r.Live.tenantInflight, by.Tenant, 1)
+	if owner.Tenant != "" {
+		addCount(r.Live.tenantInflight, owner.Tenant, 1)
 	}
 	r.Live.mu.Unlock()
-	if by.Tenant != "" {
-		k.announcePresence(by, k.clock.Since())
+	if owner.Tenant != "" {
+		rt.announcePresence(owner, rt.clock.Since())
 	}
-	load, sentAt := r.Load(), k.clock.Since()
+	load, sentAt := r.Load(), rt.clock.Since()
 	var first, once sync.Once
-	begun := func(answered bool) {
+	firstChunk := func(answered bool) {
 		first.Do(func() {
 			r.Live.pendingPrefill.tokens.Add(int64(-tokens))
 			if answered && tokens > 0 {
-				k.predictor.Learn(tokens, load, k.clock.Since()-sentAt)
+				rt.predictor.Learn(tokens, load, rt.clock.Since()-sentAt)
 			}
 		})
 	}
 	done := func() {
-		begun(false)
+		firstChunk(false)
 		once.Do(func() {
 			r.Live.Inflight.Add(-1)
 			r.Live.mu.Lock()
 			addCount(r.Live.itemInflight, item, -1)
-			if by.Tenant != "" {
-				addCount(r.Live.tenantInflight, by.Tenant, -1)
+			if owner.Tenant != "" {
+				addCount(r.Live.tenantInflight, owner.Tenant, -1)
 			}
 			r.Live.mu.Unlock()
 		})
 	}
-	return Attempt{FirstChunk: func() { begun(true) }, Done: done}
+	return Attempt{FirstChunk: func() { firstChunk(true) }, Done: done}
 }
 
-// Inflight is what this proxy has on each replica now.
-func (k *Router) Inflight() map[string]map[string]int {
+// Inflight returns this proxy's in-flight requests by replica and item.
+func (rt *Router) Inflight() map[string]map[string]int {
 	out := map[string]map[string]int{}
-	for id, r := range k.Current().Replicas {
+	for id, r := range rt.Current().Replicas {
 		r.Live.mu.Lock()
 		if len(r.Live.itemInflight) > 0 {
 			m := make(map[string]int, len(r.Live.itemInflight))
--- a/internal/route/predict.go
+++ b/internal/route/predict.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// readPace is how long one token of a prompt takes to be read, until it has been seen.
+	// defaultPrefillPace is the assumed prefill time per prompt token until one has been observed.
 	defaultPrefillPace = time.Millisecond / 30
-	// quietLoad is up to how many requests on a replica a first event tells how fast prompts are read.
+	// maxLearnLoad is the highest number of requests on a replica at which a first chunk is used to learn the pace.
 	maxLearnLoad = 2
-	// longPrompt is from how many tokens on it does.
+	// minLearnTokens is the shortest prompt that is used to learn the pace.
 	minLearnTokens = 300
-	// heldUp is how much a prompt that is read counts for each request that waits for its next event meanwhile.
+	// prefillInterference is the cost of a prefill for each running request whose next chunk it delays, as a fraction of
+	// the prefill time.
 	prefillInterference = 0.3
-	// perRequest is what each running request adds to the wait.
+	// waitPerRequest is what each running request adds to the predicted wait.
 	waitPerRequest = 2 * time.Millisecond
 )
 
-// Predictor learns how fast the replicas read prompts.
+// Predictor learns the prefill pace of the replicas: the time per prompt token.
 type Predictor struct {
 	mu            sync.Mutex
 	pace          time.Duration // per token
-	averageTokens float64       // tokens of a prompt, on average
+	averageTokens float64       // moving average of the uncached tokens of a prompt
 	known         bool
 }
 
-// Pace is how long one token of a prompt takes to be read.
+// Pace returns the prefill time per token and the average number of tokens of a prompt.
 func (p *Predictor) Pace() (perToken time.Duration, meanTokens float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,8 +39,8 @@
 	return p.pace, p.averageTokens
 }
 
-// Learn takes the time to a first event, and the tokens that were read for it,
-// on a replica that had load requests.
+// Learn updates the predictor with the time to a first chunk, on a replica with load
+// requests that had to read the given number of tokens for it.
 func (p *Predictor) Learn(tokens, load int, first time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,61 +48,61 @@
 	if tokens < minLearnTokens || load > maxLearnLoad {
 		return
 	}
-	seen := first / time.Duration(tokens)
+	observed := first / time.Duration(tokens)
 	switch {
 	case !p.known:
-		p.pace, p.known = seen, true
-	case seen < p.pace:
-		// Why: what holds a first event up only ever makes it later, so the quick ones tell the pace.
-		p.pace += (seen - p.pace) / 4
+		p.pace, p.known = observed, true
+	case observed < p.pace:
+		// Interference only ever delays a first chunk, so fast observations are closer to the true pace.
+		p.pace += (observed - p.pace) / 4
 	default:
-		p.pace += (seen - p.pace) / 64
+		p.pace += (observed - p.pace) / 64
 	}
 }
 
-// backlogPart of the pause that should not occur is how long the prompts that a
-// replica still has to read may take before it gets another from here.
+// maxBacklogFraction of the route's gap target is how long the pending prefill of a replica
+// may take before this proxy sends it no further prompt.
 const maxBacklogFraction = 0.45
 
-// wordFresh is how long what an answer said of prompts that wait is taken as the present.
+// loadHintFresh is how long the number of waiting prompts in a load hint is taken as current.
 const loadHintFresh = 150 * time.Millisecond
 
-// swamped says that one more prompt would make the running answers of a replica
-// pause for too long. Why: a replica reads prompts between the tokens of other
-// answers, and what is read together stops those.
-func (k *Router) prefillBacklogged(r *Replica, uncached int, gap time.Duration, now time.Duration) bool {
+// prefillBacklogged reports whether one more prompt would make the running answers of a replica
+// pause for too long. A replica interleaves prefill with the token generation of other
+// answers, and prompts that are read together stall those.
+func (rt *Router) prefillBacklogged(r *Replica, uncached int, gap time.Duration, now time.Duration) bool {
 	ahead := float64(r.Live.pendingPrefill.tokens.Load())
-	if w := r.Live.lastHint.Load(); w != nil && now-w.at < loadHintFresh {
-		_, mean := k.predictor.Pace()
-		ahead += float64(w.waiting) * mean
+	if hint := r.Live.lastHint.Load(); hint != nil && now-hint.at < loadHintFresh {
+		_, mean := rt.predictor.Pace()
+		ahead += float64(hint.waiting) * mean
 	}
 	if gap <= 0 || ahead == 0 {
 		return false
 	}
-	pace, _ := k.predictor.Pace()
+	pace, _ := rt.predictor.Pace()
 	return (ahead+float64(uncached))*float64(pace) > maxBacklogFraction*float64(gap)
 }
 
-// unread counts the prompt tokens that a replica has been sent and has not answered.
+// pendingPrefill counts the uncached prompt tokens sent to a replica in requests whose answers have not begun.
 type pendingPrefill struct{ tokens atomic.Int64 }
 
-// wait predicts how long the first event of a prompt takes on a replica, and
-// adds what its reading holds up there.
-func (k *Router) predictWait(r *Replica, uncached int, now time.Duration) time.Duration {
-	pace, mean := k.predictor.Pace()
+// predictWait predicts the time to the first chunk on a replica, and adds the delay
+// that the prefill causes to the requests running there.
+func (rt *Router) predictWait(r *Replica, uncached int, now time.Duration) time.Duration {
+	pace, mean := rt.predictor.Pace()
 	ahead := float64(r.Live.pendingPrefill.tokens.Load()) + float64(r.Live.hintedWaiting(now))*mean
 	own := float64(uncached) * (1 + prefillInterference*float64(r.Load()))
 	return time.Duration(math.Round((ahead+own)*float64(pace))) + time.Duration(r.Load())*waitPerRequest
 }
 
-// othersWaiting is how many requests of others wait to be read, as an answer has told lately.
+// hintedWaiting returns the number of requests that wait for prefill by the last load hint; 0 if there is no recent one.
 func (l *Live) hintedWaiting(now time.Duration) int {
-	w := l.lastHint.Load()
-	if w == nil || now-w.at > loadHintTTL {
+	hint := l.lastHint.Load()
+	if hint == nil || now-hint.at > loadHintTTL {
 		return 0
 	}
-	return w.waiting
+	return hint.waiting
 }
 
-// Size is the number of tokens of a prompt whose parts were named.
+// Size returns the number of tokens of a prompt made of named parts, or the number of bytes of one made of a body.
 func (p Prompt) Size() int { return p.size }
--- a/internal/route/predict_test.go
+++ b/internal/route/predict_test.go
@@ -38,10 +38,10 @@
 	quick.Learn(1000, 0, 32*time.Millisecond)
 	slow.Learn(1000, 0, 128*time.Millisecond)
 	if pace, _ := quick.Pace(); pace != 56*time.Microsecond {
-		t.Errorf("after a quick one: %v", pace)
+		t.Errorf("after a fast sample: %v", pace)
 	}
 	if pace, _ := slow.Pace(); pace != 65*time.Microsecond {
-		t.Errorf("after a slow one: %v", pace)
+		t.Errorf("after a slow sample: %v", pace)
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// randomParts draws parts from few names, so that prompts share beginnings by chance too.
+// randomParts draws parts from a few names, so that prompts also share prefixes by chance.
 func randomParts(rnd *rand.Rand, n int) []Part {
 	var out []Part
 	for range n {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// shared is how many tokens of b come before the first part that differs from a's.
+// sharedTokens returns the number of tokens of b before the first part that differs from a's.
 func sharedTokens(a, b []Part) int {
 	n := 0
 	for i := range min(len(a), len(b), maxParts) {
@@ -101,7 +101,7 @@
 		p := PromptFromParts("m", is)
 		want := float64(sharedTokens(was, is)) / float64(p.Size())
 		if got := m.warmFractions(p)["r"]; math.Abs(got-want) > 1e-9 {
-			t.Fatalf("seed %d: %v after %v is warm by %v, want %v", seed, is, was, got, want)
+			t.Fatalf("seed %d: warm fraction of %v after %v is %v, want %v", seed, is, was, got, want)
 		}
 		if got := m.warmFractions(PromptFromParts("other", is)); len(got) > 0 {
 			t.Fatalf("seed %d: warm for another model: %v", seed, got)
@@ -114,7 +114,7 @@
 	m.add(PromptFromParts("m", []Part{{"ab", 1}, {"c", 1}}), "r", sharedcache.Owner{})
 	for _, parts := range [][]Part{{{"a", 1}, {"bc", 1}}, {{"abc", 2}}, {{"a", 1}, {"b", 1}, {"c", 1}}, {{"c", 1}, {"ab", 1}}} {
 		if got := m.warmFractions(PromptFromParts("m", parts)); len(got) > 0 {
-			t.Errorf("%v is warm: %v", parts, got)
+			t.Errorf("%v is warm, though its parts differ: %v", parts, got)
 		}
 	}
 }
@@ -129,12 +129,12 @@
 	}
 }
 
-// Parts may be named with no tokens in them.
+// Callers may name parts without tokens; the warm fraction must not be NaN then.
 func TestWarmFractionOfPromptWithoutTokens(t *testing.T) {
 	m := newPrefixMemory()
 	p := PromptFromParts("m", []Part{{"a", 0}})
 	m.add(p, "r", sharedcache.Owner{})
 	if got := m.warmFractions(p)["r"]; math.IsNaN(got) || got < 0 || got > 1 {
-		t.Errorf("it is warm by %v", got)
+		t.Errorf("warm fraction is %v, want a number from 0 to 1", got)
 	}
 }
--- a/internal/route/press.go
+++ b/internal/route/press.go
@@ -6,16 +6,17 @@
 	"drumstall.example/internal/conf"
 )
 
-// pressedShare of its places, and at most pressedMost requests, is how many a
-// replica may have before one more answer comes noticeably later there.
+// A replica is under pressure, so that one more answer is noticeably slower there, from
+// Slots/pressureSlotDivisor or maxPressureThreshold requests on, whichever is less, but not below 2 requests.
 const (
 	pressureSlotDivisor  = 2
 	maxPressureThreshold = 16
-	// pressedLasts is how long an item counts as pressed after a request of it went to such a replica.
+	// pressureWindow is the window in which requests under pressure are counted for an item. The count is dropped two
+	// windows after the window began.
 	pressureWindow = time.Second
 )
 
-// pressing counts the requests of an item that had to go where many are.
+// pressureCount counts the requests of an item that went to a replica under pressure.
 type pressureCount struct {
 	since time.Duration
 	count int
@@ -25,59 +26,59 @@
 	return r.Load() >= max(2, min(maxPressureThreshold, r.Slots/pressureSlotDivisor))
 }
 
-// Press notes that an answer of an item came later, or with longer pauses, than it should.
-func (k *Router) RecordPressure(item conf.Item) { k.recordPressure(item.Model, k.clock.Since()) }
+// RecordPressure records that an answer for an item started later, or had longer pauses, than its targets allow.
+func (rt *Router) RecordPressure(item conf.Item) { rt.recordPressure(item.Model, rt.clock.Since()) }
 
-// press notes that a request had to go where many are.
-func (k *Router) recordPressure(item string, now time.Duration) {
-	k.pressureMu.Lock()
-	defer k.pressureMu.Unlock()
-	p := k.pressure[item]
+// recordPressure counts a request for an item that went to a replica under pressure or was served too slowly.
+func (rt *Router) recordPressure(item string, now time.Duration) {
+	rt.pressureMu.Lock()
+	defer rt.pressureMu.Unlock()
+	p := rt.pressure[item]
 	if now-p.since > pressureWindow {
 		p = pressureCount{since: now}
 	}
 	p.count++
-	k.pressure[item] = p
+	rt.pressure[item] = p
 }
 
-// CountWaiting counts the work of a request that has to wait, and says in the
-// target that it did. Why: what waits for a model's first copy tells how many copies its
-// work needs, and would otherwise only be counted once that copy is there and has too much to do.
-func (k *Router) CountWaitingWork(t *Target) {
-	if k.deps.PollReplicas || t.Route.Kind != "model" || t.Counted {
+// CountWaitingWork counts the predicted work of a request that has to wait, and marks the target
+// as counted. The requests that wait for the first copy of a model show how many copies are needed;
+// otherwise their work would be counted only once that copy is loaded and already overloaded.
+func (rt *Router) CountWaitingWork(t *Target) {
+	if rt.deps.PollReplicas || t.Route.Kind != "model" || t.Counted {
 		return
 	}
-	pace, _ := k.predictor.Pace()
-	k.addWork(t.Item.Model, time.Duration(t.Prompt.Size())*pace)
+	pace, _ := rt.predictor.Pace()
+	rt.addWork(t.Item.Model, time.Duration(t.Prompt.Size())*pace)
 	t.Counted = true
 }
 
-func (k *Router) addWork(model string, d time.Duration) {
-	k.pressureMu.Lock()
-	defer k.pressureMu.Unlock()
-	k.work[model] += d
+func (rt *Router) addWork(model string, d time.Duration) {
+	rt.pressureMu.Lock()
+	defer rt.pressureMu.Unlock()
+	rt.work[model] += d
 }
 
-// Work is the time that replicas have taken to read each model's prompts, as predicted, so far, in ms.
-func (k *Router) PrefillWorkMs() map[string]uint64 {
-	k.pressureMu.Lock()
-	defer k.pressureMu.Unlock()
-	out := make(map[string]uint64, len(k.work))
-	for model, d := range k.work {
+// PrefillWorkMs returns the predicted prefill time spent on each model so far, in milliseconds.
+func (rt *Router) PrefillWorkMs() map[string]uint64 {
+	rt.pressureMu.Lock()
+	defer rt.pressureMu.Unlock()
+	out := make(map[string]uint64, len(rt.work))
+	for model, d := range rt.work {
 		out[model] = uint64(d.Milliseconds())
 	}
 	return out
 }
 
-// Pressed is the items whose holders all have many requests, with how many came lately.
-func (k *Router) Pressure() map[string]int {
-	k.pressureMu.Lock()
-	defer k.pressureMu.Unlock()
-	now := k.clock.Since()
+// Pressure returns the number of recent requests under pressure for each item that has any.
+func (rt *Router) Pressure() map[string]int {
+	rt.pressureMu.Lock()
+	defer rt.pressureMu.Unlock()
+	now := rt.clock.Since()
 	out := map[string]int{}
-	for item, p := range k.pressure {
+	for item, p := range rt.pressure {
 		if now-p.since > 2*pressureWindow {
-			delete(k.pressure, item)
+			delete(rt.pressure, item)
 			continue
 		}
 		out[item] = p.count
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -17,12 +17,12 @@
 const (
 	replicaPrefix    = "replica/"
 	predictionPrefix = "expect/"
-	// expectLasts is how long a planner's word on an item that nobody holds counts.
+	// predictionTTL is how long a planner's prediction for an item that no replica holds is valid.
 	predictionTTL = 3 * time.Second
 )
 
-// draft is the next table while it is made. What does not change is shared with
-// the table before.
+// draft is the next snapshot under construction. Unchanged parts are shared with the
+// previous snapshot.
 type draft struct {
 	next           Snapshot
 	now            time.Duration
@@ -30,8 +30,8 @@
 	acked          copyOnWrite[state.Stamp]
 	predictions    sharded.Draft[plan.Expect]
 	index          indexDraft
-	confChanged    bool // a newer configuration is in force
-	readyAtChanged bool // what is on its way is to be found anew
+	confChanged    bool // a newer configuration has been applied
+	readyAtChanged bool // the ready times of loading items must be recomputed
 }
 
 func newDraft(s *Snapshot, now time.Duration) *draft {
@@ -40,12 +40,12 @@
 		index:       indexDraft{holders: sharded.NewDraft(s.index.holders), services: s.index.services}}
 }
 
-// changed says whether the draft differs from the table before.
+// changed reports whether the draft differs from the previous snapshot.
 func (d *draft) changed() bool {
 	return d.confChanged || d.readyAtChanged || d.replicas.owned || d.acked.owned || d.predictions.Changed()
 }
 
-// snapshot is the finished table.
+// snapshot returns the finished snapshot.
 func (d *draft) snapshot() *Snapshot {
 	s := d.next
 	s.Replicas, s.Acked, s.Expect = d.replicas.entries, d.acked.entries, d.predictions.Map()
@@ -53,83 +53,83 @@
 	return &s
 }
 
-// renew brings the table up to what is known now: it takes what is new, and makes
-// only those rows anew that this concerns.
-func (k *Router) renew() {
-	d := newDraft(k.Current(), k.clock.Since())
-	fresh, cursor, _ := k.gossip.After(k.cursor)
-	k.cursor = cursor
-	if k.applyConf(d, fresh) || k.deps.PollReplicas {
-		k.rebuildRows(d)
+// renew brings the table up to date: it applies the new gossip entries and rebuilds
+// only the rows that they affect.
+func (rt *Router) renew() {
+	d := newDraft(rt.Current(), rt.clock.Since())
+	newEntries, cursor, _ := rt.gossip.After(rt.cursor)
+	rt.cursor = cursor
+	if rt.applyConf(d, newEntries) || rt.deps.PollReplicas {
+		rt.rebuildRows(d)
 	}
-	for _, e := range fresh {
+	for _, e := range newEntries {
 		switch {
 		case strings.HasPrefix(e.Key, replicaPrefix):
-			k.applyReplica(d, e)
+			rt.applyReplica(d, e)
 		case strings.HasPrefix(e.Key, predictionPrefix):
-			k.applyPrediction(d, e)
+			rt.applyPrediction(d, e)
 		case strings.HasPrefix(e.Key, TenantPrefix):
-			k.applyPresence(d, e)
+			rt.applyPresence(d, e)
 		}
 	}
-	k.predictionExpiry.expire(d)
+	rt.predictionExpiry.expire(d)
 	if d.readyAtChanged {
-		d.next.Coming = k.earliestReady(d)
+		d.next.Coming = rt.earliestReady(d)
 	}
-	k.refreshLive(d)
+	rt.refreshLive(d)
 	if d.changed() {
-		k.current.Store(d.snapshot())
+		rt.current.Store(d.snapshot())
 	}
-	k.forgetDeparted(d)
-	if f := k.onTable.Load(); f != nil {
+	rt.forgetDeparted(d)
+	if f := rt.onTable.Load(); f != nil {
 		(*f)()
 	}
 }
 
-// takeConf brings a newer configuration into force, and says whether there was one. Of several that
-// come while this keeper rests from reading one, the newest is read.
-func (k *Router) applyConf(d *draft, fresh []gossip.Entry) bool {
-	for _, e := range fresh {
-		k.confPending = k.confPending || e.Key == conf.Key
+// applyConf applies a newer configuration and reports whether there was one. Of several configurations
+// that arrive during the rest after reading one, only the newest is read.
+func (rt *Router) applyConf(d *draft, newEntries []gossip.Entry) bool {
+	for _, e := range newEntries {
+		rt.confPending = rt.confPending || e.Key == conf.Key
 	}
-	if !k.confPending || k.confRest.Left(d.now) > 0 {
+	if !rt.confPending || rt.confRest.Left(d.now) > 0 {
 		return false
 	}
-	k.confPending = false
-	e, found := k.gossip.Get(conf.Key)
+	rt.confPending = false
+	e, found := rt.gossip.Get(conf.Key)
 	if !found || !e.Stamp.Newer(d.next.Stamp) {
 		return false
 	}
-	began := k.clock.Since()
+	began := rt.clock.Since()
 	kept, effective, err := conf.Read(e.Value)
 	if err != nil {
 		return false
 	}
-	ended := k.clock.Since()
-	k.confRest.Worked(began, ended)
-	if k.deps.Log != nil {
-		k.deps.Log.Info("configuration in force", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "serial", kept.Serial, "tookMs", (ended - began).Milliseconds())
+	ended := rt.clock.Since()
+	rt.confRest.Worked(began, ended)
+	if rt.deps.Log != nil {
+		rt.deps.Log.Info("configuration in force", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "serial", kept.Serial, "tookMs", (ended - began).Milliseconds())
 	}
 	d.next.Conf, d.next.Stamp, d.next.Serial = effective, e.Stamp, kept.Serial
 	d.next.Version++
 	d.confChanged = true
-	k.prefixes.setShares(effective.Shares())
-	k.bulk.setShares(effective.Shares())
+	rt.prefixes.setShares(effective.Shares())
+	rt.bulk.setShares(effective.Shares())
 	return true
 }
 
-// remake makes each row anew. Why: all rest on the configuration, and what was asked
-// of the replicas themselves counts for less as it grows old.
-func (k *Router) rebuildRows(d *draft) {
-	for _, t := range k.entries {
-		d.put(k.newRow(t, d.next.Conf, d.now))
+// rebuildRows rebuilds all rows. Each depends on the configuration, and with polled reports
+// also on the age of those reports.
+func (rt *Router) rebuildRows(d *draft) {
+	for _, e := range rt.entries {
+		d.put(rt.newRow(e, d.next.Conf, d.now))
 	}
 	d.readyAtChanged = true
 }
 
-// takeReplica takes a replica's entry.
-func (k *Router) applyReplica(d *draft, e gossip.Entry) {
-	before := k.entries[e.Key]
+// applyReplica applies the status entry of a replica.
+func (rt *Router) applyReplica(d *draft, e gossip.Entry) {
+	before := rt.entries[e.Key]
 	var after *entry
 	if !e.Gone {
 		after = decodeEntry(e, d.now)
@@ -140,47 +140,47 @@
 	d.next.Version++
 	d.readyAtChanged = d.readyAtChanged || before.isLoading() || after.isLoading()
 	if after.isLoading() {
-		k.loadingEntries[e.Key] = after
+		rt.loadingEntries[e.Key] = after
 	} else {
-		delete(k.loadingEntries, e.Key)
+		delete(rt.loadingEntries, e.Key)
 	}
 	if before != nil && (after == nil || after.status.Listed.ID != before.status.Listed.ID) {
-		delete(k.entries, e.Key)
-		k.departed[before.status.Listed.ID] = struct{}{}
+		delete(rt.entries, e.Key)
+		rt.departed[before.status.Listed.ID] = struct{}{}
 		d.drop(before.status.Listed.ID)
 	}
 	if after != nil {
-		k.entries[e.Key] = after
-		d.put(k.newRow(after, d.next.Conf, d.now))
+		rt.entries[e.Key] = after
+		d.put(rt.newRow(after, d.next.Conf, d.now))
 		d.acked.set(after.status.Listed.ID, e.Stamp)
 	}
 }
 
-// brings says that something is on its way to the replica.
-func (t *entry) isLoading() bool { return t != nil && len(t.loading) > 0 }
+// isLoading reports whether the replica is loading an item or is going to.
+func (e *entry) isLoading() bool { return e != nil && len(e.loading) > 0 }
 
-// put gives a row its place in the table.
+// put adds or replaces a row.
 func (d *draft) put(r *Replica) {
 	id := r.Listed.ID
 	d.index.update(id, d.replicas.entries[id], r)
 	d.replicas.set(id, r)
 }
 
-// drop takes a row out of the table.
+// drop removes a row.
 func (d *draft) drop(id string) {
 	d.index.update(id, d.replicas.entries[id], nil)
 	d.replicas.drop(id)
 	d.acked.drop(id)
 }
 
-// coming is what is on its way to any replica.
-func (k *Router) earliestReady(d *draft) map[string]time.Duration {
+// earliestReady returns when each loading item should be ready on its first replica.
+func (rt *Router) earliestReady(d *draft) map[string]time.Duration {
 	out := map[string]time.Duration{}
-	for _, t := range k.loadingEntries {
-		if t.status.Dark || d.replicas.entries[t.status.Listed.ID].Listed.Leaving {
+	for _, e := range rt.loadingEntries {
+		if e.status.Dark || d.replicas.entries[e.status.Listed.ID].Listed.Leaving {
 			continue
 		}
-		for _, c := range t.loading {
+		for _, c := range e.loading {
 			if old, found := out[c.item]; !found || c.readyAt < old {
 				out[c.item] = c.readyAt
 			}
@@ -189,8 +189,8 @@
 	return out
 }
 
-// refresh notes what changes with the time alone, for the rows as they are.
-func (k *Router) refreshLive(d *draft) {
+// refreshLive updates the values that change over time without any new entry.
+func (rt *Router) refreshLive(d *draft) {
 	cacheTokens := 0
 	for _, r := range d.replicas.entries {
 		if r.Told {
@@ -200,34 +200,34 @@
 			cacheTokens += r.cacheTokens
 		}
 	}
-	// Why: each proxy sees its own part of what the caches take in.
-	room := cacheTokens / max(1, k.deps.Edges())
-	k.cacheCapacity.Store(int64(room))
+	// Each proxy sees only its own part of the prompts that the caches receive.
+	room := cacheTokens / max(1, rt.deps.Edges())
+	rt.cacheCapacity.Store(int64(room))
 	if cacheTokens > 0 {
-		k.bulk.reassessAll(float64(room), d.now)
+		rt.bulk.reassessAll(float64(room), d.now)
 	}
-	k.renewedAt.Store(int64(d.now))
+	rt.renewedAt.Store(int64(d.now))
 }
 
-// forget drops what is kept of replicas that are gone.
-func (k *Router) forgetDeparted(d *draft) {
-	for id := range k.departed {
+// forgetDeparted drops the state of replicas that have left, once their last request has ended.
+func (rt *Router) forgetDeparted(d *draft) {
+	for id := range rt.departed {
 		if d.replicas.entries[id] != nil {
-			delete(k.departed, id)
+			delete(rt.departed, id)
 			continue
 		}
-		if live := k.lives[id]; live == nil || live.Inflight.Load() == 0 {
-			delete(k.lives, id)
-			delete(k.reports, id)
-			delete(k.departed, id)
+		if live := rt.lives[id]; live == nil || live.Inflight.Load() == 0 {
+			delete(rt.lives, id)
+			delete(rt.reports, id)
+			delete(rt.departed, id)
 		}
 	}
 }
 
-// expects are the planners' words that count now, the oldest first.
+// predictionExpiry tracks when the predictions in the table expire, the oldest first.
 type predictionExpiry struct {
 	ordered deque.Deque[timedPrediction]
-	latest  map[string]time.Duration // of each item: when the latest word on it came
+	latest  map[string]time.Duration // by item: when its latest prediction arrived
 }
 
 type timedPrediction struct {
@@ -235,29 +235,29 @@
 	at   time.Duration
 }
 
-// takeExpect takes a planner's word.
-func (k *Router) applyPrediction(d *draft, e gossip.Entry) {
+// applyPrediction applies the prediction of a planner.
+func (rt *Router) applyPrediction(d *draft, e gossip.Entry) {
 	item := e.Key[len(predictionPrefix):]
-	var x plan.Expect
-	if e.Gone || wire.Unpack(e.Value, &x) != nil {
-		delete(k.predictionExpiry.latest, item)
+	var prediction plan.Expect
+	if e.Gone || wire.Unpack(e.Value, &prediction) != nil {
+		delete(rt.predictionExpiry.latest, item)
 		d.predictions.Drop(item)
 		return
 	}
-	if k.predictionExpiry.latest == nil {
-		k.predictionExpiry.latest = map[string]time.Duration{}
+	if rt.predictionExpiry.latest == nil {
+		rt.predictionExpiry.latest = map[string]time.Duration{}
 	}
-	k.predictionExpiry.latest[item] = d.now
-	k.predictionExpiry.ordered.PushBack(timedPrediction{item, d.now})
-	d.predictions.Set(item, x)
+	rt.predictionExpiry.latest[item] = d.now
+	rt.predictionExpiry.ordered.PushBack(timedPrediction{item, d.now})
+	d.predictions.Set(item, prediction)
 }
 
-// expire drops the words that count no more. Why: a refusal is news for a while only.
-func (x *predictionExpiry) expire(d *draft) {
-	for x.ordered.Len() > 0 && d.now-x.ordered.Front().at >= predictionTTL {
-		old := x.ordered.PopFront()
-		if at, found := x.latest[old.item]; found && at == old.at {
-			delete(x.latest, old.item)
+// expire drops expired predictions, because a refusal is only valid for a while.
+func (p *predictionExpiry) expire(d *draft) {
+	for p.ordered.Len() > 0 && d.now-p.ordered.Front().at >= predictionTTL {
+		old := p.ordered.PopFront()
+		if at, found := p.latest[old.item]; found && at == old.at {
+			delete(p.latest, old.item)
 			d.predictions.Drop(old.item)
 		}
 	}
--- a/internal/route/renew_bench_test.go
+++ b/internal/route/renew_bench_test.go
@@ -12,7 +12,7 @@
 	"drumstall.example/internal/place/order"
 )
 
-// benchStatus is a word on a replica that holds ten items.
+// benchStatus returns the status entry of a replica that holds ten items.
 func benchStatus(number, version int) []byte {
 	n := order.Status{Listed: inventory.Listed{ID: fmt.Sprint("r", number), Model: true, Zone: "z1"}, Slots: 8, FreeMib: version, Items: map[string]string{}}
 	for i := range 10 {
@@ -32,7 +32,7 @@
 
 func BenchmarkRenew(b *testing.B) {
 	for _, replicas := range []int{150, 600} {
-		b.Run(fmt.Sprintf("news of one of %d", replicas), func(b *testing.B) {
+		b.Run(fmt.Sprintf("status change at one of %d", replicas), func(b *testing.B) {
 			w := newBenchFixture(replicas)
 			for i := 0; b.Loop(); i++ {
 				w.gossip.Put(gossip.Entry{Key: order.Key("r1"), Stamp: w.stamp(), Value: benchStatus(1, i)})
--- a/internal/route/renew_reference_test.go
+++ b/internal/route/renew_reference_test.go
@@ -16,7 +16,7 @@
 	"drumstall.example/internal/state"
 )
 
-// tableMadeAnew is the reference: it looks at all news and makes every row each time.
+// referenceTable is the reference implementation: it reads all gossip entries and rebuilds every row each time.
 type referenceTable struct {
 	fixture   *fixture
 	conf      conf.Effective
@@ -24,13 +24,13 @@
 	entries   map[string]firstSeen
 }
 
-// seenEntry is when an entry was first seen in its present form.
+// firstSeen is the stamp of an entry and when it was first seen with this stamp.
 type firstSeen struct {
 	stamp state.Stamp
 	at    time.Duration
 }
 
-// plainRow is a row with all that requests go by written out.
+// expectedRow is a row with all values that the choice of a replica depends on.
 type expectedRow struct {
 	Listed                        inventory.Listed
 	Slots                         int
@@ -57,34 +57,34 @@
 	return strings.Join(slices.Sorted(maps.Keys(ready)), " ")
 }
 
-func (m *referenceTable) build() expectedTable {
-	w, out, now := m.fixture, emptyTable(), m.fixture.clock.now
-	if e, found := w.gossip.Get(conf.Key); found && e.Stamp.Newer(m.confStamp) {
+func (ref *referenceTable) build() expectedTable {
+	w, out, now := ref.fixture, emptyTable(), ref.fixture.clock.now
+	if e, found := w.gossip.Get(conf.Key); found && e.Stamp.Newer(ref.confStamp) {
 		kept, err := conf.Unpack(e.Value)
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		if m.conf, err = conf.Effect(kept); err != nil {
+		if ref.conf, err = conf.Effect(kept); err != nil {
 			w.t.Fatal(err)
 		}
-		m.confStamp = e.Stamp
+		ref.confStamp = e.Stamp
 	}
-	out.Stamp = m.confStamp
-	before := m.entries
-	m.entries = map[string]firstSeen{}
+	out.Stamp = ref.confStamp
+	before := ref.entries
+	ref.entries = map[string]firstSeen{}
 	seen := func(e gossip.Entry) time.Duration {
 		s, found := before[e.Key]
 		if !found || s.stamp != e.Stamp {
 			s = firstSeen{e.Stamp, now}
 		}
-		m.entries[e.Key] = s
+		ref.entries[e.Key] = s
 		return s.at
 	}
 	for _, e := range w.gossip.List(replicaPrefix) {
 		at := seen(e)
 		var n order.Status
 		if wire.Unpack(e.Value, &n) == nil {
-			row := m.row(n, now)
+			row := ref.row(n, now)
 			out.Rows[row.Listed.ID], out.Acked[row.Listed.ID] = row, e.Stamp
 			addReadyAt(out.ReadyAt, n, row.Listed.Leaving, at)
 		}
@@ -113,15 +113,15 @@
 	}
 }
 
-func (m *referenceTable) row(n order.Status, now time.Duration) expectedRow {
-	k := m.fixture.router
+func (ref *referenceTable) row(n order.Status, now time.Duration) expectedRow {
+	router := ref.fixture.router
 	r := expectedRow{Listed: n.Listed, Slots: n.Slots, ReportedAt: never, ServiceTime: time.Duration(n.ServeMs) * time.Millisecond}
-	r.Listed.Leaving = n.Listed.Leaving || m.conf.Drained(n.Listed.Labels, n.Listed.Zone)
+	r.Listed.Leaving = n.Listed.Leaving || ref.conf.Drained(n.Listed.Labels, n.Listed.Zone)
 	ready := map[string]bool{}
-	if h := k.reports[n.Listed.ID]; h.valid {
+	if h := router.reports[n.Listed.ID]; h.valid {
 		r.ReportedAt, r.Slots, r.ServiceTime, r.OthersInflight, r.InflightLimit = h.requestedAt, h.status.Slots, h.status.ServeFor, h.othersInflight, int(h.ownInflight)
 		if free := h.status.Slots - max(h.othersInflight, h.previousOthers) - int(h.ownInflight); free > 0 {
-			r.InflightLimit += quotaOfFree(free, h.status.Slots, max(1, m.fixture.edges), now-k.lastFull[h.status.Model], h.draw)
+			r.InflightLimit += quotaOfFree(free, h.status.Slots, max(1, ref.fixture.edges), now-router.lastFull[h.status.Model], h.draw)
 		}
 		r.Listed.Leaving = r.Listed.Leaving || h.status.Leaving
 		for item, l := range h.status.Items {
@@ -130,11 +130,11 @@
 			}
 		}
 	}
-	if !k.deps.PollReplicas {
+	if !router.deps.PollReplicas {
 		r.ViaController = true
 		if !n.Dark {
 			r.ReportedAt, r.Slots = now, max(n.Slots, n.Listed.Slots)
-			if live := k.lives[n.Listed.ID]; live != nil {
+			if live := router.lives[n.Listed.ID]; live != nil {
 				r.OthersInflight = live.hintedOthers(now)
 			}
 			r.InflightLimit = max(0, r.Slots-r.OthersInflight)
@@ -149,7 +149,7 @@
 	return r
 }
 
-// plain is the keeper's table in the same form.
+// actual returns the router's table in the same form.
 func (w *fixture) actual() expectedTable {
 	s, out := w.router.Current(), emptyTable()
 	for id, r := range s.Replicas {
--- a/internal/route/renew_test.go
+++ b/internal/route/renew_test.go
@@ -14,7 +14,7 @@
 	"drumstall.example/internal/place/order"
 )
 
-// checkIndex compares who is found by the index with who is found by a look at all.
+// checkIndex compares the replicas found by the index with those found by a scan of all replicas.
 func (w *fixture) checkIndex(step int) {
 	s := w.router.Current()
 	targets := []Target{{Route: conf.Route{Kind: "service", Service: "s1", Selector: conf.OfService("s1")}}, {Route: conf.Route{Kind: "service", Selector: conf.OfService("s2")}}}
@@ -35,18 +35,18 @@
 		}
 		slices.Sort(all)
 		if !slices.Equal(all, found) {
-			w.t.Fatalf("step %d: %v can serve %s, found were %v", step, all, t.Lane(), found)
+			w.t.Fatalf("step %d: %v can serve %s, the index finds %v", step, all, t.Lane(), found)
 		}
 		for _, id := range found {
 			if inventory.Marked(w.gossip, id) {
-				w.t.Fatalf("step %d: %s is leaving and is found", step, id)
+				w.t.Fatalf("step %d: %s is leaving, and the index finds it", step, id)
 			}
 		}
 	}
 }
 
-// The table that is kept up to date is at each moment the one that would be made of
-// all news, whatever came, in whatever order.
+// The incrementally renewed table equals the table rebuilt from all gossip entries, whatever
+// entries arrive in whatever order.
 func TestIncrementalTableEqualsRebuiltTable(t *testing.T) {
 	for _, ask := range []bool{false, true} {
 		for seed := range uint64(60) {
@@ -54,7 +54,7 @@
 			for step := range 250 {
 				w.step()
 				if w.rng.IntN(3) == 0 {
-					continue // what comes together makes one table
+					continue // entries that arrive together lead to one renewal
 				}
 				before, was := w.router.Current(), w.actual()
 				w.router.renew()
@@ -70,22 +70,22 @@
 	}
 }
 
-// checkVersion sees to it that the version rises exactly when a configuration or what is told of a replica is new.
+// checkVersion checks that the version rises exactly when the configuration or the status of a replica changes.
 func (w *fixture) checkVersion(before, after *Snapshot) {
 	differs := before.Stamp != after.Stamp || !maps.Equal(before.Acked, after.Acked)
 	if differs != (after.Version > before.Version) {
-		w.t.Fatalf("version %d after %d; told something new: %v", after.Version, before.Version, differs)
+		w.t.Fatalf("version %d after %d; configuration or status changed: %v", after.Version, before.Version, differs)
 	}
 }
 
-// checkKept sees to it that a table that somebody still reads has not changed.
+// checkUnmodified checks that a published snapshot has not been modified.
 func (w *fixture) checkUnmodified(before *Snapshot, was expectedTable) {
 	if !maps.Equal(before.Acked, was.Acked) || !maps.Equal(maps.Collect(before.Expect.All()), was.Predictions) || !maps.Equal(before.Coming, was.ReadyAt) || len(before.Replicas) != len(was.Rows) {
-		w.t.Fatal("a table was changed after it had been given out")
+		w.t.Fatal("a snapshot was modified after it was published")
 	}
 	for id, r := range before.Replicas {
 		if joinReadyItems(r.Ready) != was.Rows[id].Ready || !reflect.DeepEqual(r.Listed, was.Rows[id].Listed) {
-			w.t.Fatalf("the row of %s was changed after it had been given out", id)
+			w.t.Fatalf("the row of %s was modified after it was published", id)
 		}
 	}
 }
@@ -101,19 +101,19 @@
 		w.router.renew()
 	}
 	if w.router.Current() != before {
-		t.Error("the table was made anew though nothing had changed")
+		t.Error("a new snapshot was published though nothing had changed")
 	}
 	if _, held, _ := w.router.Choose(Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "a"}}); held != 2 {
-		t.Errorf("%d replicas are found after ten seconds, want 2", held)
+		t.Errorf("%d replicas hold the item after ten seconds, want 2", held)
 	}
 	w.gossip.Put(gossip.Entry{Key: order.Key("r4"), Stamp: w.stamp(), Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r4", Model: true}, Slots: 1})})
 	w.router.renew()
 	if w.router.Current().Replicas["r3"] != before.Replicas["r3"] {
-		t.Error("a row was made anew that nothing was told of")
+		t.Error("a row was rebuilt though its status had not changed")
 	}
 }
 
-// A proxy whose own loops have stood still cannot know of what came meanwhile.
+// A proxy whose own loops were frozen does not know what changed in the meantime.
 func TestNoReplicaIsChosenFromAStaleTable(t *testing.T) {
 	w := newFixture(t, 1, false)
 	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r3", Model: true}, Slots: 2, Items: map[string]string{"a": backend.Loaded}})})
@@ -121,7 +121,7 @@
 	target := Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "a"}}
 	w.clock.now += maxReportAge + 1
 	if _, held, _ := w.router.Choose(target); held != 0 {
-		t.Error("a replica is found though the table is too old")
+		t.Error("a replica is found though the table is stale")
 	}
 	w.router.renew()
 	if _, held, _ := w.router.Choose(target); held != 1 {
@@ -138,11 +138,11 @@
 	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Gone: true})
 	w.router.renew()
 	if w.router.lives["r3"] != live {
-		t.Error("what is kept of a replica went before its last request")
+		t.Error("the live state of a replica was dropped before its last request ended")
 	}
 	live.Inflight.Add(-1)
 	w.router.renew()
 	if len(w.router.lives) != 0 || len(w.router.departed) != 0 {
-		t.Error("something is still kept of a replica that is gone")
+		t.Error("live state is kept for a replica that has left")
 	}
 }
--- a/internal/route/renew_world_test.go
+++ b/internal/route/renew_world_test.go
@@ -20,13 +20,13 @@
 	"drumstall.example/internal/state"
 )
 
-// handClock stands still until it is set.
+// manualClock is a clock that changes only when a test sets it.
 type manualClock struct{ now time.Duration }
 
 func (c *manualClock) Since() time.Duration { return c.now }
 func (c *manualClock) Wall() time.Time      { return time.Unix(0, 0).Add(c.now) }
 
-// world is a keeper that is renewed by hand, and random news for it.
+// fixture is a router that is renewed by hand, with a source of random gossip entries.
 type fixture struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -56,7 +56,7 @@
 	return state.Stamp{Epoch: 1, Version: w.version}
 }
 
-// replicaStatus is a random word on a replica: those with a number below two are of a service.
+// replicaStatus returns a random, sometimes malformed status entry. Replicas with a number below two belong to services.
 func (w *fixture) replicaStatus(id string) []byte {
 	if w.rng.IntN(25) == 0 {
 		return []byte{0xff}
@@ -72,7 +72,7 @@
 	return wire.Pack(n)
 }
 
-// configuration drains replicas of one service, or none.
+// configuration returns a configuration that drains the replicas of one service, or of none.
 func (w *fixture) configuration() []byte {
 	kept := conf.Kept{Serial: w.version, Objects: map[string][]byte{}}
 	if w.rng.IntN(2) == 0 {
@@ -81,7 +81,7 @@
 	return kept.Pack()
 }
 
-// step makes something happen.
+// step makes one random change and advances the clock.
 func (w *fixture) step() {
 	switch w.rng.IntN(12) {
 	case 0, 1, 2, 3:
@@ -107,7 +107,7 @@
 	w.clock.now += time.Duration(w.rng.IntN(400)) * time.Millisecond
 }
 
-// requests are sent, end, and tell something of a replica.
+// requests changes the number of in-flight requests of a replica or records an observation of it.
 func (w *fixture) requests() {
 	all := slices.Sorted(maps.Keys(w.router.Current().Replicas))
 	if len(all) == 0 {
@@ -130,7 +130,7 @@
 	}
 }
 
-// report is what a replica that is asked says of itself.
+// report stores a random report of a polled replica.
 func (w *fixture) report(r *Replica) {
 	v := backend.Report{ID: r.Listed.ID, Model: r.Listed.Model, Slots: 4, Inflight: w.rng.IntN(5), Leaving: w.rng.IntN(6) == 0, Items: map[conf.Item]backend.Line{}}
 	for range w.rng.IntN(3) {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,6 @@
-// Package route turns gossip and the replicas' own reports into an immutable
-// table of who may serve what, swapped atomically.
+// Package route keeps the proxy's routing table and chooses replicas for
+// requests. The table is built from gossip and the replicas' own reports; each
+// version of it is an immutable Snapshot that is swapped in atomically.
 package route
 
 import (
@@ -25,52 +26,52 @@
 	renewInterval = 100 * time.Millisecond
 	pollInterval  = 500 * time.Millisecond
 	pollTimeout   = 450 * time.Millisecond
-	// dark is how old a replica's own report may be while it is still routed to.
+	// maxReportAge is how old the last report of a replica may be before the replica is no longer routed to.
 	maxReportAge = 2 * time.Second
-	// deaf is how long this proxy may hear nothing that could tell of a leaving
-	// replica before it sends nothing any more.
+	// defaultIsolationLimit is how long this proxy may be out of contact with every source that could announce a leaving
+	// replica before it stops sending requests.
 	defaultIsolationLimit = 2500 * time.Millisecond
-	// crowded is how long after a replica was full it is taken for granted that many want their places.
+	// contentionWindow is how long after a replica was seen full many edges are assumed to compete for free slots.
 	contentionWindow = 5 * time.Second
-	// fewToo of its places is what a replica may be sent too many at once.
+	// overcommitDivisor bounds overcommitment: a replica may be sent up to Slots/overcommitDivisor requests too many at once.
 	overcommitDivisor = 4
-	// patient times what a first piece may well take is longer than chance makes it.
+	// firstChunkTimeoutFactor times the expected time to a first chunk exceeds its random variation.
 	firstChunkTimeoutFactor = 3
-	// leastPatience is what a machine may well stand still for by itself.
+	// minFirstChunkTimeout covers the pauses that a healthy machine makes by itself.
 	minFirstChunkTimeout = 40 * time.Millisecond
 )
 
-// Replica is one row of the table. It stays the same until what is told of its
-// replica changes, or the configuration.
+// Replica is one row of the table. It is replaced only when the status of its
+// replica or the configuration changes.
 type Replica struct {
 	Listed         inventory.Listed
 	Slots          int
-	reportedOthers int // requests of other edges on it, as of its report
-	quota          int // requests we may have on it until its next report
+	reportedOthers int // in-flight requests of other edges, as of its report
+	quota          int // requests this proxy may have in flight on it until its next report
 	ServiceTime    time.Duration
 	Ready          map[string]bool
 	reportedAt     time.Duration
-	Told           bool // what is known of it comes from its controller and its answers, not from reports to us
-	Unreachable    bool // its controller says that it does not answer
+	Told           bool // its state comes from its controller and from its answers, not from reports to this proxy
+	Unreachable    bool // its controller cannot reach it
 	Live           *Live
-	// cacheTokens is what it keeps of prompts where tenants share that and it evicts by last use alone; else 0.
+	// cacheTokens is the size of its prefix cache where tenants share the cache and it evicts in LRU order only; otherwise 0.
 	cacheTokens int
 }
 
-// Snapshot is the table; it is never changed.
+// Snapshot is one immutable version of the table.
 type Snapshot struct {
 	Conf     conf.Effective
 	Serial   uint64
 	Stamp    state.Stamp
 	Replicas map[string]*Replica
-	Expect   sharded.Map[plan.Expect] // of items that nobody holds: planners' words
-	Coming   map[string]time.Duration // items on their way: when they should be there, on our clock
+	Expect   sharded.Map[plan.Expect] // predictions of the planners, for items that no replica holds
+	Coming   map[string]time.Duration // when each loading item should be ready, on this proxy's clock
 	Acked    map[string]state.Stamp
-	Version  uint64 // rises when the configuration or what is told of a replica changes
+	Version  uint64 // rises when the configuration or the status of a replica changes
 	index    index
 }
 
-// Keeper keeps the table.
+// Router keeps the table up to date and chooses replicas from it.
 type Router struct {
 	deps             Deps
 	gossip           *gossip.Table
@@ -80,92 +81,92 @@
 	current          atomic.Pointer[Snapshot]
 	lives            map[string]*Live
 	reports          map[string]report
-	entries          map[string]*entry // of each replica's entry, by its key
-	loadingEntries   map[string]*entry // those of told to which something is on its way
-	cursor           uint64            // how far the news has been followed
-	confPending      bool              // a configuration has come that was not read yet
-	confRest         rest.Rest         // of configurations
+	entries          map[string]*entry // decoded status entry of each replica, by gossip key
+	loadingEntries   map[string]*entry // those of entries whose replica is loading an item
+	cursor           uint64            // position up to which the gossip has been read
+	confPending      bool              // a configuration has arrived and has not been read yet
+	confRest         rest.Rest         // limits the time spent on reading configurations
 	predictionExpiry predictionExpiry
-	renewedAt        atomic.Int64           // when the table was brought up to date last, on our clock
-	departed         map[string]struct{}    // replicas that have left the table, of which something is kept
-	lastFull         map[bool]time.Duration // when a replica was last seen full: of models, of services
+	renewedAt        atomic.Int64           // when the table was last brought up to date, on this proxy's clock
+	departed         map[string]struct{}    // replicas that have left the table and still have live state
+	lastFull         map[bool]time.Duration // when a replica was last seen full: true for models, false for services
 	renewSoon        *run.Nudge
 	onTable          atomic.Pointer[func()]
 	prefixes         *prefixMemory
 	bulk             *bulkDetector
-	// cacheRoom is what all replicas' caches hold of this proxy's prompts, in tokens, where they evict by last use alone.
+	// cacheCapacity is this proxy's part of the prefix caches of all replicas that evict in LRU order only, in tokens.
 	cacheCapacity atomic.Int64
 
 	predictor Predictor
 
 	pressureMu sync.Mutex
 	pressure   map[string]pressureCount
-	work       map[string]time.Duration // of each model: replicas' time to read its prompts, so far
+	work       map[string]time.Duration // predicted prefill time spent on each model so far
 }
 
-// Deps is what a keeper needs from the rest of the proxy.
+// Deps holds the dependencies of a Router.
 type Deps struct {
 	Group    *run.Group
 	Gossip   *gossip.Table
 	Clock    tick.Clock
 	Replicas backend.Client
 	Zone     func() string
-	// HeardFor is how long ago anyone was heard who would know of leaving replicas.
+	// SinceContact is the time since the last contact with a source that knows which replicas are leaving.
 	SinceContact func() time.Duration
-	// Edges is how many share the replicas.
+	// Edges is the number of edges that share the replicas.
 	Edges func() int
-	// Ask says that this proxy asks replicas for their reports itself.
+	// PollReplicas makes this proxy request reports from the replicas itself.
 	PollReplicas bool
-	// Log is told what is decided seldom; nil is nobody.
+	// Log receives infrequent decisions; nil discards them.
 	Log *slog.Logger
-	// Deaf is how long nobody may be heard before nothing is sent any more; 0 is the default.
+	// Deaf is how long contact may be lost before no more requests are sent; 0 is the default.
 	Deaf time.Duration
 }
 
-// NewKeeper keeps a table fresh.
+// NewRouter starts a Router, which renews its table until the group stops.
 func NewRouter(d Deps) *Router {
 	if d.Deaf == 0 {
 		d.Deaf = defaultIsolationLimit
 	}
-	k := &Router{deps: d, gossip: d.Gossip, clock: d.Clock, group: d.Group, lives: map[string]*Live{}, reports: map[string]report{},
+	rt := &Router{deps: d, gossip: d.Gossip, clock: d.Clock, group: d.Group, lives: map[string]*Live{}, reports: map[string]report{},
 		entries: map[string]*entry{}, loadingEntries: map[string]*entry{}, confRest: conf.ReadingRest(),
 		departed: map[string]struct{}{},
 		lastFull: map[bool]time.Duration{true: -1 << 61, false: -1 << 61},
 		prefixes: newPrefixMemory(), bulk: newBulkDetector(d.Log), pressure: map[string]pressureCount{}, work: map[string]time.Duration{}}
-	k.current.Store(&Snapshot{Conf: conf.Empty()})
-	k.actor = run.NewActor(d.Group, 256, renewInterval, k.renew)
-	// Why: a configuration and a withdrawn item are in force at once, not at the next interval; news that comes
-	// together makes one table.
-	k.renewSoon = run.NewNudge(k.actor, k.renew)
-	d.Gossip.OnNew(func(gossip.Entry) { k.renewSoon.Now() })
+	rt.current.Store(&Snapshot{Conf: conf.Empty()})
+	rt.actor = run.NewActor(d.Group, 256, renewInterval, rt.renew)
+	// A new configuration or a withdrawn item takes effect at once, not at the next interval. Entries that arrive
+	// together lead to a single renewal.
+	rt.renewSoon = run.NewNudge(rt.actor, rt.renew)
+	d.Gossip.OnNew(func(gossip.Entry) { rt.renewSoon.Now() })
 	if !d.PollReplicas {
-		return k
+		return rt
 	}
-	d.Group.Every(pollInterval, func(ctx context.Context) { k.poll(ctx, func(*Replica) bool { return true }) })
-	// Why: a replica just learned of is of no use until it has been looked at, nor is one whose room we have used up.
+	d.Group.Every(pollInterval, func(ctx context.Context) { rt.poll(ctx, func(*Replica) bool { return true }) })
+	// A newly listed replica is not usable before its first report, nor is one whose quota is used up before its next.
 	d.Group.Every(renewInterval, func(ctx context.Context) {
-		k.poll(ctx, func(r *Replica) bool { return r.Live.wantsReport.Swap(false) })
+		rt.poll(ctx, func(r *Replica) bool { return r.Live.wantsReport.Swap(false) })
 	})
-	return k
+	return rt
 }
 
-// OnTable names what is called after each new table.
-func (k *Router) OnTable(f func()) { k.onTable.Store(&f) }
+// OnTable sets the function that is called after each renewal.
+func (rt *Router) OnTable(f func()) { rt.onTable.Store(&f) }
 
-// Now is the table as it is.
-func (k *Router) Current() *Snapshot { return k.current.Load() }
+// Current returns the latest table.
+func (rt *Router) Current() *Snapshot { return rt.current.Load() }
 
-// Target is what a request needs.
+// Target describes what a request needs.
 type Target struct {
 	Route  conf.Route
 	Item   conf.Item
 	Prompt Prompt
-	Avoid  string // a replica that is taken only where no other can be
-	// Counted says that the work of this request has been counted while it waited.
+	Avoid  string // a replica that is chosen only if no other can be
+	// Counted is set once the work of this request has been counted while it waited.
 	Counted bool
 }
 
-// Lane groups requests that need the same.
+// Lane is the key of requests that need the same item or service.
 func (t Target) Lane() string {
 	switch {
 	case t.Route.Kind == "model":
@@ -177,14 +178,14 @@
 	return t.Item.String()
 }
 
-// Sendable says whether a request may go to a replica at this very moment.
-func (k *Router) Sendable(id string) bool {
-	// Why: a mark may have come since the table was made, and a proxy that hears nobody cannot know of marks.
-	return !inventory.Marked(k.gossip, id) && !k.Isolated()
+// Sendable reports whether a request may be sent to a replica right now.
+func (rt *Router) Sendable(id string) bool {
+	// A leaving mark may have arrived since the table was built, and an isolated proxy receives no marks.
+	return !inventory.Marked(rt.gossip, id) && !rt.Isolated()
 }
 
-// Since is the clock that Coming is told by.
-func (k *Router) MonotonicNow() time.Duration { return k.clock.Since() }
+// MonotonicNow reads the clock that the times in Snapshot.Coming refer to.
+func (rt *Router) MonotonicNow() time.Duration { return rt.clock.Since() }
 
-// Deaf says that nobody is heard who would tell of leaving replicas.
-func (k *Router) Isolated() bool { return k.deps.SinceContact() >= k.deps.Deaf }
+// Isolated reports whether contact with all sources that announce leaving replicas has been lost for too long.
+func (rt *Router) Isolated() bool { return rt.deps.SinceContact() >= rt.deps.Deaf }
--- a/internal/route/steer.go
+++ b/internal/route/steer.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// warmEnough is the part of a prompt that is warm at a replica from which on it pushes out little there.
+	// minWarmFraction of a prompt must be warm at a replica for the prompt to evict little there.
 	minWarmFraction = 0.5
-	// nightPart of a tenant's replicas is where its less urgent bulk goes.
+	// bulkReplicaDivisor: 1/bulkReplicaDivisor of a tenant's replicas take its less urgent bulk.
 	bulkReplicaDivisor = 2
-	// placesPart of a replica's places, times the others' part of the shares, is what a tenant leaves free there
-	// that has its own share of them.
+	// reservedSlotDivisor: Slots/reservedSlotDivisor times the other tenants' fraction of the shares is the number of
+	// slots that a tenant which already has its own share must leave free on a replica.
 	reservedSlotDivisor = 4
 )
 
-// steering says where a request may push out what others keep warm. The zero
-// value leaves every replica open.
+// steering restricts the replicas where a request may evict the warm prefixes of others. The zero
+// value allows every replica.
 type steering struct {
 	enabled bool
-	allowed map[string]bool // replicas that its new prompts may go to; nil is any
-	avoid   map[string]bool // replicas that others' bulk goes to
+	allowed map[string]bool // replicas that its new prompts may go to; nil allows any
+	avoid   map[string]bool // replicas that take the bulk of other parties
 
 	tenant         string
-	othersFraction float64 // part of the shares that is other tenants' who are present; 0 is nobody
+	othersFraction float64 // fraction of the shares held by other present tenants; 0 if there are none
 	edges          int
 }
 
-// crowds says whether a request would take a place that is kept free for other
-// tenants. Why: a tenant that waits for places everywhere would find one somewhere, and hardly ever where
-// its prompts are warm.
+// needsReservedSlot reports whether a request would use a slot that is reserved for other
+// tenants. Without reserved slots, a tenant that has to wait for a free slot anywhere would rarely get one
+// where its prompts are warm.
 func (s steering) needsReservedSlot(r *Replica) bool {
 	if s.othersFraction == 0 {
 		return false
 	}
-	kept := int(math.Ceil(float64(r.Slots/reservedSlotDivisor) * s.othersFraction))
-	if kept == 0 || r.Load() < r.Slots-kept {
+	reserved := int(math.Ceil(float64(r.Slots/reservedSlotDivisor) * s.othersFraction))
+	if reserved == 0 || r.Load() < r.Slots-reserved {
 		return false
 	}
 	return float64(r.Live.inflightOfTenant(s.tenant)*s.edges) >= float64(r.Slots)*(1-s.othersFraction)
@@ -47,7 +47,7 @@
 
 func (s steering) allows(id string) bool { return s.allowed == nil || s.allowed[id] }
 
-// verdict is what the judge "share" goes by.
+// shareScore is the value that package judge weighs under the name "share".
 func (s steering) shareScore(id string) float64 {
 	if !s.enabled || s.avoid[id] {
 		return 0
@@ -55,34 +55,35 @@
 	return 1
 }
 
-// steer says where a request may go among the replicas that hold what it needs. It
-// is off without tenants.
-func (k *Router) steer(t Target, s *Snapshot, able []string, now time.Duration) steering {
+// steer determines which of the replicas that hold what a request needs it may go to. It
+// restricts nothing without tenants.
+func (rt *Router) steer(t Target, s *Snapshot, holders []string, now time.Duration) steering {
 	if !s.Conf.HasTenants() {
 		return steering{}
 	}
-	by := k.ownerOf(t)
-	b := k.bulk
+	owner := rt.ownerOf(t)
+	b := rt.bulk
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := k.steerBulk(t, s, able, by, now)
-	out.tenant, out.edges = by.Tenant, max(1, k.deps.Edges())
+	out := rt.steerBulk(t, s, holders, owner, now)
+	out.tenant, out.edges = owner.Tenant, max(1, rt.deps.Edges())
 	present := b.present(now)
-	if sum := b.presentShares(now); sum > 0 && present[by.Tenant] < sum {
-		out.othersFraction = 1 - float64(b.shares[by.Tenant])/float64(sum+b.shares[by.Tenant]-present[by.Tenant])
+	if sum := b.presentShares(now); sum > 0 && present[owner.Tenant] < sum {
+		out.othersFraction = 1 - float64(b.shares[owner.Tenant])/float64(sum+b.shares[owner.Tenant]-present[owner.Tenant])
 	}
 	return out
 }
 
-// steerBulk says where a prompt may push out what others keep warm. It is off where no
-// replica's cache is known or all divide theirs, and while nobody sends bulk.
-func (k *Router) steerBulk(t Target, s *Snapshot, able []string, by party, now time.Duration) steering {
-	b := k.bulk
-	if len(b.bulkParties) == 0 || t.Route.Kind != "model" || len(able) < 2 {
+// steerBulk determines on which replicas a prompt may evict the warm prefixes of others. It restricts
+// nothing while nobody sends bulk, or if fewer than two replicas have a cache of known size that
+// evicts in LRU order only.
+func (rt *Router) steerBulk(t Target, s *Snapshot, holders []string, owner party, now time.Duration) steering {
+	b := rt.bulk
+	if len(b.bulkParties) == 0 || t.Route.Kind != "model" || len(holders) < 2 {
 		return steering{}
 	}
-	steered := make([]string, 0, len(able))
-	for _, id := range able {
+	steered := make([]string, 0, len(holders))
+	for _, id := range holders {
 		if r := s.Replicas[id]; r.cacheTokens > 0 && !r.Listed.Leaving {
 			steered = append(steered, id)
 		}
@@ -90,20 +91,20 @@
 	if len(steered) < 2 {
 		return steering{}
 	}
-	out := b.divideReplicas(by, steered, now)
-	// Why: a request that has failed on a replica must not find the next one closed to it.
+	out := b.divideReplicas(owner, steered, now)
+	// A retry after a failure on one replica must be allowed on every other one.
 	if t.Avoid != "" {
 		out.allowed = nil
 	}
 	if out.allowed == nil {
 		return out
 	}
-	for _, id := range able {
+	for _, id := range holders {
 		if r := s.Replicas[id]; r.cacheTokens == 0 {
 			out.allowed[id] = true
 		}
 	}
-	for id, warm := range k.prefixes.warmFractions(t.Prompt) {
+	for id, warm := range rt.prefixes.warmFractions(t.Prompt) {
 		if warm >= minWarmFraction {
 			out.allowed[id] = true
 		}
@@ -111,42 +112,42 @@
 	return out
 }
 
-// among divides replicas between the tenants that are present and, within the
-// tenant, between what is urgent and its own bulk.
-func (b *bulkDetector) divideReplicas(by party, ids []string, now time.Duration) steering {
+// divideReplicas divides replicas between the present tenants and, within the
+// tenant, between urgent requests and its own bulk.
+func (b *bulkDetector) divideReplicas(owner party, ids []string, now time.Duration) steering {
 	out := steering{enabled: true, avoid: map[string]bool{}}
 	present := b.present(now)
 	if len(present) > 1 {
-		for tenant, home := range assignReplicas(present, ids) {
+		for tenant, assigned := range assignReplicas(present, ids) {
 			switch {
 			case !b.bulkParties[wholeTenant(tenant)]:
 				continue
-			case tenant == by.Tenant:
-				out.allowed = setOf(home)
+			case tenant == owner.Tenant:
+				out.allowed = setOf(assigned)
 				continue
 			}
-			for _, id := range home {
+			for _, id := range assigned {
 				out.avoid[id] = true
 			}
 		}
 	}
-	mine := b.openReplicas(by.Tenant, ids, out)
-	if len(mine) < 2 {
+	own := b.openReplicas(owner.Tenant, ids, out)
+	if len(own) < 2 {
 		return out
 	}
-	night := mine[clampCount(len(mine)-len(mine)/bulkReplicaDivisor, len(mine)):]
+	bulkReplicas := own[clampCount(len(own)-len(own)/bulkReplicaDivisor, len(own)):]
 	switch {
-	case b.bulkParties[by]:
-		out.allowed = setOf(night)
-	case b.hasLessUrgentBulk(by):
-		for _, id := range night {
+	case b.bulkParties[owner]:
+		out.allowed = setOf(bulkReplicas)
+	case b.hasLessUrgentBulk(owner):
+		for _, id := range bulkReplicas {
 			out.avoid[id] = true
 		}
 	}
 	return out
 }
 
-// open are the replicas that a tenant's new prompts go to, in the tenant's own order.
+// openReplicas returns the replicas that a tenant's new prompts may go to, in the tenant's ranking.
 func (b *bulkDetector) openReplicas(tenant string, ids []string, s steering) []string {
 	var out []string
 	for _, id := range rankedFor(tenant, ids) {
@@ -157,19 +158,19 @@
 	return out
 }
 
-// isAnyBulky says whether a less urgent step of the same tenant sends bulk.
-func (b *bulkDetector) hasLessUrgentBulk(by party) bool {
+// hasLessUrgentBulk reports whether a less urgent rank of the same tenant sends bulk.
+func (b *bulkDetector) hasLessUrgentBulk(owner party) bool {
 	for p := range b.bulkParties {
-		if p.Tenant == by.Tenant && p.Rank > by.Rank {
+		if p.Tenant == owner.Tenant && p.Rank > owner.Rank {
 			return true
 		}
 	}
 	return false
 }
 
-// homes gives each tenant as many replicas as its share is, at least one, and no
-// replica to two tenants while there are enough. Why: that is settled by who is present, not by who sends bulk,
-// since all proxies see that alike.
+// assignReplicas assigns replicas to each tenant in proportion to its share, at least one, and no
+// replica to two tenants while there are enough. The assignment depends on which tenants are present, not on
+// which send bulk, because all proxies agree on the former.
 func assignReplicas(present map[string]int, ids []string) map[string][]string {
 	sum := 0
 	for _, share := range present {
@@ -182,18 +183,18 @@
 			out[tenant] = rankedFor(tenant, ids)[:n]
 			continue
 		}
-		mine := rankedFor(tenant, left)
-		out[tenant], left = mine[:n], mine[n:]
+		ranked := rankedFor(tenant, left)
+		out[tenant], left = ranked[:n], ranked[n:]
 	}
 	return out
 }
 
-// inOrderOf are replicas in the order in which a tenant's bulk takes them, alike at every proxy.
+// rankedFor returns replicas in the order in which a tenant's bulk uses them; it is the same at every proxy.
 func rankedFor(tenant string, ids []string) []string {
 	return share.Ranked([]byte(tenant), ids)
 }
 
-// part1 is a part of n things that leaves at least one on either side.
+// clampCount limits part of n to leave at least one on either side.
 func clampCount(part, n int) int { return max(1, min(part, n-1)) }
 
 func setOf(ids []string) map[string]bool {
--- a/internal/route/steer_test.go
+++ b/internal/route/steer_test.go
@@ -16,7 +16,7 @@
 	"drumstall.example/internal/state"
 )
 
-// sharedWorld is a keeper with four replicas of one model, renewed by hand.
+// tenantFixture is a router with replicas of one model and a manual clock, renewed by hand.
 type tenantFixture struct {
 	*Router
 	clock  *manualClock
@@ -58,13 +58,13 @@
 
 func (s *tenantFixture) configure(t *testing.T, doc string) {
 	t.Helper()
-	k, err := conf.ReadWhole("application/json", []byte(doc))
+	kept, err := conf.ReadWhole("application/json", []byte(doc))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.serial++
-	k.Serial = s.serial
-	s.gossip.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: s.serial}, Value: k.Pack()})
+	kept.Serial = s.serial
+	s.gossip.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: s.serial}, Value: kept.Pack()})
 	s.renew()
 }
 
@@ -72,7 +72,7 @@
 	return Target{Route: conf.Route{Kind: "model", Class: class}, Item: conf.Item{Model: "m"}, Prompt: PromptFromParts("m", []Part{{fmt.Sprint(class, prompt), 1000}})}
 }
 
-// send sends a prompt where it should go, and says where that was.
+// send starts and ends an attempt at the chosen replica and returns its ID; empty if there is none.
 func (s *tenantFixture) send(class string, prompt int) string {
 	t := s.target(class, prompt)
 	r, _, _ := s.Choose(t)
@@ -83,7 +83,7 @@
 	return r.Listed.ID
 }
 
-// spread is how many prompts of a class went to each replica.
+// spread sends n prompts of a class and returns how many went to each replica.
 func (s *tenantFixture) spread(class string, from, n int) map[string]int {
 	out := map[string]int{}
 	for i := range n {
@@ -95,9 +95,9 @@
 func TestBulkOfAnotherTenantIsSteeredToItsShareOfReplicas(t *testing.T) {
 	for _, c := range []struct {
 		name, doc string
-		replicas  int // that the bulk goes to
+		replicas  int // number of replicas that take the bulk
 	}{
-		{"replicas that evict by last use", fmt.Sprintf(withTenants, ""), 2},
+		{"replicas that evict in LRU order", fmt.Sprintf(withTenants, ""), 2},
 		{"replicas that divide their cache", fmt.Sprintf(withTenants, `,"cacheByShare":true`), 4},
 		{"no tenants", withoutTenants, 4},
 	} {
@@ -122,18 +122,18 @@
 func TestTenantUsesIdleCachesOfOthers(t *testing.T) {
 	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	if got := s.spread("bulk", 0, 400); len(got) != 4 {
-		t.Errorf("a tenant alone uses %v", got)
+		t.Errorf("a tenant without others uses %v, want 4 replicas", got)
 	}
 	s.spread("plates", 0, 1)
 	if got := s.spread("bulk", 1000, 200); len(got) != 2 {
-		t.Errorf("beside another it uses %v", got)
+		t.Errorf("beside another tenant it uses %v, want 2 replicas", got)
 	}
-	// The other vanishes.
+	// The other tenant becomes absent.
 	s.renew()
 	s.clock.now += presenceTTL
 	s.renew()
 	if got := s.spread("bulk", 2000, 400); len(got) != 4 {
-		t.Errorf("alone again it uses %v", got)
+		t.Errorf("after the other became absent it uses %v, want 4 replicas", got)
 	}
 }
 
@@ -141,23 +141,23 @@
 	a, b := newTenantFixture(t, fmt.Sprintf(withTenants, "")), newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	a.send("plates", 0)
 	fresh, _, _ := a.gossip.After(0)
-	told := 0
+	announced := 0
 	for _, e := range fresh {
 		if e.Key == presenceKey(party{Tenant: "ours"}) {
 			b.gossip.Put(e)
-			told++
+			announced++
 		}
 	}
 	b.renew()
 	b.spread("bulk", 0, 100)
-	if got := b.spread("bulk", 1000, 200); told != 1 || len(got) != 2 {
-		t.Errorf("told %d times; the bulk at the other proxy goes to %v", told, got)
+	if got := b.spread("bulk", 1000, 200); announced != 1 || len(got) != 2 {
+		t.Errorf("announced %d times, want 1; the bulk at the other proxy goes to %v, want 2 replicas", announced, got)
 	}
 }
 
 func TestSteeringAllowsWarmReplicasAndRetries(t *testing.T) {
 	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
-	s.spread("bulk", 0, 8) // warm all over, before anybody else is there
+	s.spread("bulk", 0, 8) // warm on all replicas, before another tenant is present
 	s.spread("plates", 0, 4)
 	s.spread("bulk", 1000, 200)
 	now, able := s.clock.now, []string{"r0", "r1", "r2", "r3"}
@@ -177,11 +177,11 @@
 	again.Avoid = "r0"
 	for _, id := range able {
 		if !s.steer(again, s.Current(), able, now).allows(id) {
-			t.Errorf("a request that has failed elsewhere may not go to %s", id)
+			t.Errorf("a request that failed on another replica may not go to %s", id)
 		}
 	}
 	if got := s.steer(s.target("bulk", 5000), s.Current(), able[:1], now); got.enabled {
-		t.Errorf("with one replica there is nothing to choose: %+v", got)
+		t.Errorf("steering is enabled with a single replica: %+v", got)
 	}
 }
 
@@ -191,16 +191,16 @@
 	s.spread("night", 0, 100)
 	night, urgent := s.spread("night", 1000, 100), s.spread("plates", 100, 5)
 	if len(night) != 2 {
-		t.Errorf("the night's work goes to %v, want half of the replicas", night)
+		t.Errorf("the bulk of the least urgent rank goes to %v, want half of the replicas", night)
 	}
 	for id := range urgent {
 		if night[id] > 0 {
-			t.Errorf("urgent work goes to %s, where the night's goes", id)
+			t.Errorf("urgent requests go to %s, where the bulk goes", id)
 		}
 	}
 	f := s.StatsByTenant()["ours"]
 	if f.Share != 1 || f.Tokens != 209_000 || f.Warm != 0 || f.Prefixes != 209 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("statistics %+v", f)
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 }
 
-// What the look at tenants adds to a choice while one of them sends bulk.
+// BenchmarkChooseAmongTenants measures what tenants add to a choice, also while one of them sends bulk.
 func BenchmarkChooseAmongTenants(b *testing.B) {
 	for _, replicas := range []int{4, 150} {
 		for _, c := range []struct {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -10,126 +10,127 @@
 	"drumstall.example/internal/place/order"
 )
 
-// never is a time long before the start, on our clock.
+// never is a time long before the start, on this proxy's clock.
 const never = -1 << 62
 
-// told is a replica's entry as it was first seen here in its present form, decoded once.
+// entry is the decoded status entry of a replica, with the time at which this version of it arrived.
 type entry struct {
 	receivedAt time.Duration
 	status     *order.Status
-	loaded     []string      // items that the replica holds, by its controller
-	loading    []loadingItem // items on their way to it
+	loaded     []string      // items that the replica holds, according to its controller
+	loading    []loadingItem // items that it is loading or has reserved room for
 }
 
-// comingItem is an item that is on its way to a replica.
+// loadingItem is an item that a replica is loading or is going to load.
 type loadingItem struct {
 	item    string
-	readyAt time.Duration // when it should be there, on our clock
+	readyAt time.Duration // when it should be ready, on this proxy's clock
 }
 
-// decode reads a replica's entry; nil when it cannot be read.
+// decodeEntry decodes the status entry of a replica; it returns nil if the entry is malformed.
 func decodeEntry(e gossip.Entry, now time.Duration) *entry {
-	var n order.Status
-	if wire.Unpack(e.Value, &n) != nil {
+	var st order.Status
+	if wire.Unpack(e.Value, &st) != nil {
 		return nil
 	}
-	t := entry{receivedAt: now, status: &n}
-	for item, state := range n.Items {
+	decoded := entry{receivedAt: now, status: &st}
+	for item, state := range st.Items {
 		switch state {
 		case backend.Loaded:
-			t.loaded = append(t.loaded, item)
+			decoded.loaded = append(decoded.loaded, item)
 		case order.Reserved, backend.Loading:
-			t.loading = append(t.loading, loadingItem{item, now + time.Duration(n.ReadyMs[item])*time.Millisecond})
+			decoded.loading = append(decoded.loading, loadingItem{item, now + time.Duration(st.ReadyMs[item])*time.Millisecond})
 		}
 	}
-	return &t
+	return &decoded
 }
 
-// row is a replica as it is known now.
-func (k *Router) newRow(t *entry, effective conf.Effective, now time.Duration) *Replica {
-	n := t.status
-	r := &Replica{Listed: n.Listed, Live: k.liveState(n.Listed.ID), Slots: n.Slots, reportedAt: never, Ready: make(map[string]bool, len(t.loaded)),
-		ServiceTime: time.Duration(n.ServeMs) * time.Millisecond}
-	// Why: a drain is in force with the configuration, not only when the controller has heard of it.
-	r.Listed.Leaving = n.Listed.Leaving || effective.Drained(n.Listed.Labels, n.Listed.Zone)
-	if h := k.reports[n.Listed.ID]; h.valid {
-		k.fillFromReport(r, n, h, now)
+// newRow builds the table row of a replica from everything known about it.
+func (rt *Router) newRow(e *entry, effective conf.Effective, now time.Duration) *Replica {
+	st := e.status
+	r := &Replica{Listed: st.Listed, Live: rt.liveState(st.Listed.ID), Slots: st.Slots, reportedAt: never, Ready: make(map[string]bool, len(e.loaded)),
+		ServiceTime: time.Duration(st.ServeMs) * time.Millisecond}
+	// A drain takes effect with the configuration, even before the controller has received it.
+	r.Listed.Leaving = st.Listed.Leaving || effective.Drained(st.Listed.Labels, st.Listed.Zone)
+	if rep := rt.reports[st.Listed.ID]; rep.valid {
+		rt.fillFromReport(r, st, rep, now)
 	}
-	if !k.deps.PollReplicas {
-		r.fillFromController(t)
+	if !rt.deps.PollReplicas {
+		r.fillFromController(e)
 	}
-	if effective.HasTenants() && n.Listed.Model {
-		if s, found := effective.ServiceOf(n.Listed.Labels); found && !s.CacheByShare {
+	if effective.HasTenants() && st.Listed.Model {
+		if s, found := effective.ServiceOf(st.Listed.Labels); found && !s.CacheByShare {
 			r.cacheTokens = s.CacheTokens
 		}
 	}
 	return r
 }
 
-// liveOf is what outlives the tables of a replica.
-func (k *Router) liveState(id string) *Live {
-	if live := k.lives[id]; live != nil {
+// liveState returns the state of a replica that outlives the snapshots, and creates it if needed.
+func (rt *Router) liveState(id string) *Live {
+	if live := rt.lives[id]; live != nil {
 		return live
 	}
 	live := &Live{itemInflight: map[string]int{}, tenantInflight: map[string]int{}}
 	live.refusedAt.Store(never)
 	live.silentAt.Store(never)
 	live.overloadedAt.Store(never)
-	// Why: its report is not waited for until the next interval; a replica just learned of is of no use without it.
+	// A newly listed replica is not usable before its first report, so the report is requested at once.
 	live.wantsReport.Store(true)
-	k.lives[id] = live
+	rt.lives[id] = live
 	return live
 }
 
-// byReport fills a row from what the replica itself reported to this proxy.
-func (k *Router) fillFromReport(r *Replica, n *order.Status, h report, now time.Duration) {
-	r.reportedAt, r.Slots, r.ServiceTime = h.requestedAt, h.status.Slots, h.status.ServeFor
-	r.reportedOthers = h.othersInflight
-	// Why: all edges see the same free places. Each takes its part of them and then looks again; if each took
-	// them all, a crowd would be sent to replicas that must refuse it.
-	edges := max(1, k.deps.Edges())
-	r.quota = int(h.ownInflight)
-	// Others' places must be seen free twice: what has just ended there is replaced by them at once.
-	if free := h.status.Slots - max(h.othersInflight, h.previousOthers) - int(h.ownInflight); free > 0 {
-		r.quota += quotaOfFree(free, h.status.Slots, edges, now-k.lastFull[h.status.Model], h.draw)
+// fillFromReport fills a row from the replica's own report to this proxy.
+func (rt *Router) fillFromReport(r *Replica, st *order.Status, rep report, now time.Duration) {
+	r.reportedAt, r.Slots, r.ServiceTime = rep.requestedAt, rep.status.Slots, rep.status.ServeFor
+	r.reportedOthers = rep.othersInflight
+	// All edges see the same free slots. Each uses its part of them and then requests a new report; if each used
+	// all of them, the replicas would be overrun and would have to refuse requests.
+	edges := max(1, rt.deps.Edges())
+	r.quota = int(rep.ownInflight)
+	// Slots used by other edges must be seen free in two consecutive reports, because those edges replace a request that
+	// has just ended at once.
+	if free := rep.status.Slots - max(rep.othersInflight, rep.previousOthers) - int(rep.ownInflight); free > 0 {
+		r.quota += quotaOfFree(free, rep.status.Slots, edges, now-rt.lastFull[rep.status.Model], rep.draw)
 	}
-	r.Listed.Leaving = r.Listed.Leaving || h.status.Leaving
-	for item, l := range h.status.Items {
-		// Why: the replica knows best what it holds; its controller knows what it is about to let go.
-		st := n.Items[item.String()]
-		if l.State == backend.Loaded && st != order.Leaving && st != backend.Unloading {
+	r.Listed.Leaving = r.Listed.Leaving || rep.status.Leaving
+	for item, line := range rep.status.Items {
+		// The replica is authoritative for what it holds, its controller for what is about to be unloaded.
+		controllerState := st.Items[item.String()]
+		if line.State == backend.Loaded && controllerState != order.Leaving && controllerState != backend.Unloading {
 			r.Ready[item.String()] = true
 		}
 	}
 }
 
-// byWord fills a row from what the replica's controller tells. What its answers
-// told of its load, and when the table was renewed last, is looked up where it is used.
-func (r *Replica) fillFromController(t *entry) {
+// fillFromController fills a row from the status that the replica's controller publishes. The load
+// hints of its answers and the time of the last renewal are read where they are used.
+func (r *Replica) fillFromController(e *entry) {
 	r.Told = true
-	if r.Unreachable = t.status.Dark; r.Unreachable {
+	if r.Unreachable = e.status.Dark; r.Unreachable {
 		return
 	}
-	r.Slots = max(t.status.Slots, t.status.Listed.Slots)
-	for _, item := range t.loaded {
+	r.Slots = max(e.status.Slots, e.status.Listed.Slots)
+	for _, item := range e.loaded {
 		r.Ready[item] = true
 	}
 }
 
-// part is how many of a replica's free places one edge may take until the next
-// report; fullFor is how long ago any replica of the kind was seen full.
-func quotaOfFree(free, slots, edges int, fullFor time.Duration, luck float64) int {
+// quotaOfFree returns how many of a replica's free slots one edge may use until the next
+// report. sinceFull is the time since any replica of the same kind was seen full; draw is uniform in [0, 1).
+func quotaOfFree(free, slots, edges int, sinceFull time.Duration, draw float64) int {
 	if free >= edges {
 		return free / edges
 	}
-	// Why: a few too many are worth it, for a place that waits for a lot to fall on it is a place unused.
+	// A slight overcommitment is accepted, because a slot that no edge draws stays unused.
 	if edges-free <= slots/overcommitDivisor {
 		return 1
 	}
-	// Why: while no replica is full most edges have nothing to send, and one request need not wait for a lot to
-	// fall on it. Otherwise there are more edges than places, and if each took one, the replica would have to refuse most;
-	// so each takes one as often as makes the free places in all.
-	if fullFor > contentionWindow || luck < float64(free)/float64(edges) {
+	// While no replica is full, most edges have nothing to send, and a request need not wait for a successful draw.
+	// Otherwise there are more edges than free slots, and the replica would have to refuse most requests if each edge
+	// used one; so each edge uses one with a probability that adds up to the free slots over all edges.
+	if sinceFull > contentionWindow || draw < float64(free)/float64(edges) {
 		return 1
 	}
 	return 0
--- a/internal/route/warmth.go
+++ b/internal/route/warmth.go
@@ -3,33 +3,33 @@
 import "hash/fnv"
 
 const (
-	// remembered is how many prefixes one generation of the memory holds.
+	// generationSize is the number of prefixes in one generation of the prefix memory.
 	generationSize = 50_000
-	// step is the shortest part of a prompt that is told apart, and where more than that is shared, parts
-	// grow by half.
+	// minPartBytes is the size of the shortest part of a body that is digested separately. A later part is half as
+	// long as everything before it, rounded down to a multiple of minPartBytes.
 	minPartBytes = 256
-	// maxParts bounds what one request adds to the memory.
+	// maxParts bounds the digests that one request adds to the prefix memory.
 	maxParts = 24
-	// holders is how many replicas are remembered for one prefix.
+	// maxWarmReplicas is the number of replicas recorded for one prefix.
 	maxWarmReplicas = 3
 )
 
-// Prompt is what decides where a request's cache is warm: digests of its first
-// parts, the shortest first, and the size of each.
+// Prompt holds the digests of the prefixes of a prompt, the shortest first, and the size of each
+// prefix. They decide where the prompt is warm.
 type Prompt struct {
 	digests      []uint64
 	sizes        []int
 	size         int
-	sizesInBytes bool // sizes are of bytes, as its parts have no names
+	sizesInBytes bool // sizes are in bytes, because the prompt has no named parts
 }
 
-// ReadPrompt digests a body for an item.
+// PromptFromBody digests a request body for an item.
 func PromptFromBody(item string, body []byte) Prompt {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(item))
 	p := Prompt{size: len(body), sizesInBytes: true}
 	for at, end := 0, minPartBytes; at < len(body) && len(p.sizes) < maxParts; {
-		// Why: the last part ends where the body does; it is the request's own, and tells one that is sent again.
+		// The last part ends with the body. It is specific to the request, and identifies one that is sent again.
 		end = min(end, len(body))
 		_, _ = h.Write(body[at:end])
 		p.digests, p.sizes = append(p.digests, h.Sum64()), append(p.sizes, end)
@@ -38,14 +38,14 @@
 	return p
 }
 
-// Part is one part of a prompt that its caller has named.
+// Part is a part of a prompt that the caller has named, with its size.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// PromptOf digests the named parts of a prompt for an item; a part is only
-// warm where every part before it is.
+// PromptFromParts digests the named parts of a prompt for an item. A part is warm only
+// where every part before it is.
 func PromptFromParts(item string, parts []Part) Prompt {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(item))
@@ -59,10 +59,10 @@
 	return p
 }
 
-// bytesPerToken is what a token of a prompt is taken for whose tokens nobody has counted.
+// bytesPerToken is the assumed size of a token in a prompt whose tokens were not counted.
 const bytesPerToken = 4
 
-// Tokens is how many tokens a prompt has.
+// Tokens returns the number of tokens of a prompt, estimated if only its bytes are known.
 func (p Prompt) Tokens() int {
 	if p.sizesInBytes {
 		return (p.size + bytesPerToken - 1) / bytesPerToken
@@ -70,12 +70,13 @@
 	return p.size
 }
 
-// uncached is how many tokens of a prompt are to be read where part of it is warm.
+// uncachedTokens returns the size of the part to be read where the given fraction of the prompt is warm.
 func (p Prompt) uncachedTokens(warm float64) int { return int(float64(p.size) * (1 - warm)) }
 
-// home is the digest that decides where a prompt goes that is warm nowhere. Why:
-// the end of a prompt is the caller's own and its beginning is everybody's; those that share the greater
-// part should meet, and those that share only the beginning should not.
+// homeDigest is the digest that selects the replica for a prompt that is warm nowhere: that of the longest
+// prefix of at most three quarters of the prompt, or of the first part if that is longer. The end of a prompt is specific to its caller and the beginning is
+// common to all; prompts that share most of their text should go to the same replica, and prompts that
+// share only the beginning should not.
 func (p Prompt) homeDigest() uint64 {
 	if len(p.sizes) == 0 {
 		return 0
@@ -87,7 +88,7 @@
 	return p.digests[i]
 }
 
-// spots are the replicas where a prefix is warm, the latest first.
+// warmReplicas are the replicas where a prefix is warm, the most recent first.
 type warmReplicas [maxWarmReplicas]string
 
 func (s warmReplicas) with(id string) warmReplicas {
