--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,6 @@
-// Package queue holds requests until a replica can take them: by class and
-// by what they need, bounded, each with a deadline.
+// Package queue holds the requests of a proxy that wait for a replica. Waiters are
+// queued by class and by what they need; each class is bounded and each waiter
+// has a deadline.
 package queue
 
 import (
@@ -14,56 +15,57 @@
 	"drumstall.example/internal/route"
 )
 
-// Waiter states. Claiming for an attempt and withdrawing are the same one step, so
-// a request told "not run" can never be sent afterwards.
+// Waiter states. Claiming for an attempt and withdrawing are transitions of one atomic state, so
+// a request that was answered "not run" can never be sent afterwards.
 const (
 	waiting int32 = iota
 	claimed
 	withdrawn
 )
 
-// Waiter is a request that waits.
+// Waiter is a request that waits for a replica.
 type Waiter struct {
 	Target     route.Target
 	Class      string
 	Deadline   time.Time
 	EnqueuedAt time.Time
 	state      atomic.Int32
-	Answer     chan Answer // one place
+	Answer     chan Answer // buffered, one element
 }
 
-// Answer ends the wait: a replica, or the reason why there will be none.
+// Answer ends a wait. It holds either a replica or an explanation why the request was rejected.
 type Answer struct {
 	Replica     *route.Replica
-	Begun       func() // the first piece of the answer has come
+	Begun       func() // called when the first chunk of the replica's answer arrives
 	Done        func()
 	Explanation string
 	Late        bool
 	RetryS      int
 }
 
-// NewWaiter is a request that waits until the deadline.
+// NewWaiter returns a waiter that was enqueued at now and waits until the deadline.
 func NewWaiter(target route.Target, class string, now, deadline time.Time) *Waiter {
 	return &Waiter{Target: target, Class: class, EnqueuedAt: now, Deadline: deadline, Answer: make(chan Answer, 1)}
 }
 
-// Claim takes the waiter for an attempt.
+// Claim reserves the waiter for an attempt. It reports false if the waiter was claimed or withdrawn before.
 func (w *Waiter) Claim() bool { return w.state.CompareAndSwap(waiting, claimed) }
 
-// Withdraw takes the waiter out; after that it can never be sent.
+// Withdraw cancels the waiter, which can never be sent afterwards. It reports false if the waiter was claimed or withdrawn
+// before.
 func (w *Waiter) Withdraw() bool { return w.state.CompareAndSwap(waiting, withdrawn) }
 
-// Waits says whether the waiter still waits.
+// IsWaiting reports whether the waiter has been neither claimed nor withdrawn.
 func (w *Waiter) IsWaiting() bool { return w.state.Load() == waiting }
 
-// Lane is the waiters of one class that need the same.
+// Lane holds the waiters of one class that need the same item or service, in order of arrival.
 type Lane struct {
 	Key     string
 	Waiters deque.Deque[*Waiter]
-	Empty   time.Time // since when nobody has held what it needs; zero: somebody does
+	Empty   time.Time // since when no replica has held what it needs; zero if one does
 }
 
-// Class is the queue of one class of clients.
+// Class is the queue of one request class.
 type Class struct {
 	Name           string
 	Conf           conf.Class
@@ -71,20 +73,20 @@
 	lanes          map[string]*Lane
 	laneOrder      []string
 	size           int
-	weightedServed float64 // attempts so far over weight, for a fair share
+	weightedServed float64 // waiters served so far divided by the weight, for weighted fair queueing
 }
 
-// Queue is all requests that wait at a proxy, by class; one actor owns it.
+// Queue holds all requests that wait at a proxy, by class. It is owned by one actor and not safe for concurrent use.
 type Queue struct {
 	classes map[string]*Class
 	tenants map[string]*Tenant
 	shares  map[string]int
 }
 
-// New is an empty queue.
+// New returns an empty queue.
 func New() *Queue { return &Queue{classes: map[string]*Class{}, tenants: map[string]*Tenant{}} }
 
-// Class gives a class its queue, with the bounds now in force.
+// Class returns the queue of a class, created if needed, with the given configuration applied.
 func (q *Queue) Class(name string, c conf.Class) *Class {
 	cl := q.classes[name]
 	if cl == nil {
@@ -95,7 +97,8 @@
 	return cl
 }
 
-// least is where a class that was away starts, so that it cannot claim the past.
+// minWeightedServed returns the lowest weightedServed of the classes with waiters. A class that was idle
+// starts there, so that it gets no credit for the time it was idle.
 func (q *Queue) minWeightedServed() float64 {
 	low, any := 0.0, false
 	for _, c := range q.classes {
@@ -106,7 +109,7 @@
 	return low
 }
 
-// Put adds a waiter; false when the class has no place left.
+// Push adds a waiter. It reports false if the queue of the class is full.
 func (q *Queue) Push(c *Class, w *Waiter) bool {
 	if c.size >= c.Conf.Queue {
 		c.sweep()
@@ -130,7 +133,7 @@
 	return true
 }
 
-// sweep lets go of waiters that no longer wait.
+// sweep removes waiters that no longer wait, and empty lanes.
 func (c *Class) sweep() {
 	kept := c.laneOrder[:0]
 	for _, key := range c.laneOrder {
@@ -151,7 +154,7 @@
 	c.laneOrder = kept
 }
 
-// Sweep lets go of all waiters that no longer wait, and of empty classes.
+// Sweep removes all waiters that no longer wait, then empty classes and idle tenants.
 func (q *Queue) Sweep() {
 	for name, c := range q.classes {
 		c.sweep()
@@ -162,10 +165,10 @@
 	q.sweepTenants()
 }
 
-// Known says whether there are classes that a sweep may let go of.
+// HasClasses reports whether there are classes that a sweep may remove.
 func (q *Queue) HasClasses() bool { return len(q.classes) > 0 }
 
-// Holds says whether there are waiters, whether they still wait or not.
+// HasWaiters reports whether the queue holds any waiters, including those that no longer wait.
 func (q *Queue) HasWaiters() bool {
 	for _, c := range q.classes {
 		if c.size > 0 {
@@ -175,8 +178,9 @@
 	return false
 }
 
-// Order is the classes with waiters in the order in which they are served: of the
-// tenant first that has had the least for its share, and within a tenant urgent ones first, then by rank, then whoever has had the least for its weight.
+// Order returns the classes with waiters in the order in which they are served: first the classes of the
+// tenant that was served least for its share; within a tenant the urgent ones first, then by rank, then the
+// class that was served least for its weight.
 func (q *Queue) Order() []*Class {
 	var out []*Class
 	for _, c := range q.classes {
@@ -199,8 +203,8 @@
 	return out
 }
 
-// Lanes calls f with each lane in turn until it says stop; the turn goes on
-// behind the lane that was served.
+// EachLane calls f for each lane with a waiter, in round-robin order, until f reports that it served the lane or
+// wants to stop. The next round begins after the lane that was served.
 func (c *Class) EachLane(f func(l *Lane) (served, stop bool)) {
 	for i := 0; i < len(c.laneOrder); i++ {
 		l := c.lanes[c.laneOrder[i]]
@@ -218,7 +222,7 @@
 	}
 }
 
-// Pop takes the front waiter of a lane and counts it as served.
+// Pop removes the front waiter of a lane and counts it as served.
 func (c *Class) Pop(l *Lane) *Waiter {
 	c.size--
 	c.weightedServed += 1 / float64(max(c.Conf.Weight, 1))
@@ -226,7 +230,7 @@
 	return l.Waiters.PopFront()
 }
 
-// Waiting counts the waiters of model lanes, by item.
+// Waiting returns the number of waiters for models, by item.
 func (q *Queue) Waiting() map[string]int {
 	out := map[string]int{}
 	for _, c := range q.classes {
@@ -241,8 +245,8 @@
 	return out
 }
 
-// front lets go of waiters at a lane's front that no longer wait, and gives the
-// first that does; nil when there is none.
+// front removes waiters that no longer wait from the front of a lane and returns the
+// first one that does; nil if there is none.
 func (c *Class) front(l *Lane) *Waiter {
 	for l.Waiters.Len() > 0 {
 		if w := l.Waiters.Front(); w.IsWaiting() {
@@ -254,7 +258,7 @@
 	return nil
 }
 
-// Oldest is the waiter that has waited longest for what w needs.
+// Oldest returns the waiter of the class that has waited longest for what w needs.
 func (c *Class) Oldest(w *Waiter) *Waiter {
 	if l := c.lanes[w.Target.Lane()]; l != nil {
 		if first := c.front(l); first != nil {
@@ -264,5 +268,5 @@
 	return w
 }
 
-// Size is how many waiters a class holds.
+// Size returns the number of waiters in the class, including those that no longer wait and have not been removed yet.
 func (c *Class) Size() int { return c.size }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -16,12 +16,12 @@
 	for range n {
 		target := route.Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: model}}
 		if !q.Push(q.Class(class, c), NewWaiter(target, class, now, now.Add(time.Minute))) {
-			t.Fatalf("%s has no place", class)
+			t.Fatalf("the queue of class %s is full", class)
 		}
 	}
 }
 
-// serve takes n waiters as admission does, and says whose they were.
+// serve pops n waiters in the way that admission does, and returns the class and lane of each.
 func serve(q *Queue, n int) []string {
 	var out []string
 	for range n {
@@ -49,28 +49,28 @@
 	return n
 }
 
-// Urgent ones go first however long others have waited; the others share by
-// weight, and within a class the items take turns.
+// Urgent classes go first however long others have waited; the others are served by
+// weight, and within a class the lanes are served round-robin.
 func TestServiceOrder(t *testing.T) {
 	q := New()
 	pushWaiters(t, q, "batch", conf.Class{Weight: 1, Queue: 100}, "a", 50)
 	pushWaiters(t, q, "desk", conf.Class{Weight: 4, Queue: 100}, "a", 40)
 	pushWaiters(t, q, "desk", conf.Class{Weight: 4, Queue: 100}, "b", 40)
 	if got := serve(q, 50); countPrefix(got, "desk") != 40 || countPrefix(got, "desk a") != 20 {
-		t.Errorf("of 50 served %d were of the class with four fifths of the weight, %d of them of the first of its two items", countPrefix(got, "desk"), countPrefix(got, "desk a"))
+		t.Errorf("of 50 served waiters %d were of the class with four fifths of the weight, %d of them of the first of its two items", countPrefix(got, "desk"), countPrefix(got, "desk a"))
 	}
 	pushWaiters(t, q, "roadside", conf.Class{Urgent: true, Weight: 1, Queue: 100}, "a", 5)
 	if got := serve(q, 6); countPrefix(got[:5], "roadside") != 5 || countPrefix(got[5:], "roadside") != 0 {
-		t.Errorf("urgent ones were not served first: %v", got)
+		t.Errorf("urgent waiters were not served first: %v", got)
 	}
-	// A class that was away does not claim what it missed.
+	// A class that was idle gets no credit for that time.
 	pushWaiters(t, q, "staff", conf.Class{Weight: 4, Queue: 100}, "a", 40)
 	if got := serve(q, 18); countPrefix(got, "staff") > 9 || countPrefix(got, "staff") < 7 {
-		t.Errorf("a class that comes late got %d of 18: %v", countPrefix(got, "staff"), got)
+		t.Errorf("a class that was idle got %d of 18: %v", countPrefix(got, "staff"), got)
 	}
 }
 
-// A queue is bounded; what has been withdrawn makes place and is never sent.
+// A queue is bounded; a withdrawn waiter frees its place and is never sent.
 func TestQueueIsBounded(t *testing.T) {
 	q := New()
 	c := q.Class("desk", conf.Class{Weight: 1, Queue: 3})
@@ -83,19 +83,19 @@
 	}
 	for i := range 4 {
 		if try() != (i < 3) {
-			t.Fatalf("waiter %d of a queue of 3", i+1)
+			t.Fatalf("waiter %d in a queue of 3: wrong result of Push", i+1)
 		}
 	}
 	if !all[1].Withdraw() || all[1].Claim() {
-		t.Error("a withdrawn waiter can be sent")
+		t.Error("a withdrawn waiter can be claimed")
 	}
 	if !all[2].Claim() || all[2].Withdraw() {
-		t.Error("a waiter that was sent can be withdrawn as not run")
+		t.Error("a claimed waiter can be withdrawn")
 	}
 	if !try() {
-		t.Error("those that no longer wait take places")
+		t.Error("waiters that no longer wait still count against the bound")
 	}
 	if q.Sweep(); c.Size() != 2 {
-		t.Errorf("%d are held, 2 wait", c.Size())
+		t.Errorf("the class holds %d waiters, want the 2 that wait", c.Size())
 	}
 }
--- a/internal/queue/tenant.go
+++ b/internal/queue/tenant.go
@@ -6,16 +6,16 @@
 	"drumstall.example/internal/conf"
 )
 
-// Tenant is the turn of one tenant among those with requests that wait. Without
-// tenants there is one for all.
+// Tenant is the state of one tenant in weighted fair queueing between tenants. If no
+// tenants are configured, one unnamed tenant owns all classes.
 type Tenant struct {
 	Name           string
-	Inflight       atomic.Int64 // its requests that are out now
+	Inflight       atomic.Int64 // its requests at replicas now
 	share          int
-	weightedServed float64 // requests served so far over the share
+	weightedServed float64 // requests served so far divided by the share
 }
 
-// SetShares gives tenants their shares; none is to do without tenants.
+// SetShares sets the shares of the tenants; an empty map disables tenants.
 func (q *Queue) SetShares(shares map[string]int) {
 	q.shares = shares
 	for _, t := range q.tenants {
@@ -23,7 +23,7 @@
 	}
 }
 
-// tenant is that of a class.
+// tenantOf returns the tenant of a class, created if needed.
 func (q *Queue) tenantOf(c conf.Class) *Tenant {
 	name := ""
 	if len(q.shares) > 0 {
@@ -39,8 +39,8 @@
 	return t
 }
 
-// welcome lets a tenant that was away start with the others, so that it cannot
-// claim the past.
+// catchUp raises a tenant without waiters to the level of the tenants with waiters, so that it
+// gets no credit for the time it was idle.
 func (q *Queue) catchUp(t *Tenant) {
 	low, others := 0.0, false
 	for _, c := range q.classes {
@@ -55,7 +55,7 @@
 	t.weightedServed = max(t.weightedServed, low)
 }
 
-// sweepTenants forgets tenants without any request, waiting or out.
+// sweepTenants removes tenants without any request, waiting or in flight.
 func (q *Queue) sweepTenants() {
 	used := map[*Tenant]bool{}
 	for _, c := range q.classes {
@@ -68,8 +68,8 @@
 	}
 }
 
-// OthersPart is the part of what is kept for urgent requests that is other
-// tenants' than this one's.
+// OthersFraction returns the fraction of the attempts reserved for urgent requests that belongs to
+// other tenants.
 func (q *Queue) OthersFraction(t *Tenant) float64 {
 	sum := 0
 	for _, share := range q.shares {
