--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission admits requests to replicas: by class, capacity and deadline. It
-// gives up at once on what cannot be served in time.
+// Package admission admits requests to replicas by class, capacity and deadline. It
+// rejects a request at once if it cannot be served in time.
 package admission
 
 import (
@@ -14,13 +14,13 @@
 
 const (
 	recheckInterval = 20 * time.Millisecond
-	sweepInterval   = 5 * recheckInterval // between two sweeps of waiters that no longer wait
+	sweepInterval   = 5 * recheckInterval // between two removals of waiters that no longer wait
 	mailboxDepth    = 4096
-	// reserve is the share of attempts that only urgent classes may use.
+	// urgentReserveDivisor: 1/urgentReserveDivisor of the attempts is reserved for urgent classes.
 	urgentReserveDivisor = 4
 )
 
-// Controller owns the queue of a proxy.
+// Controller owns the queue of a proxy and assigns replicas to its waiters.
 type Controller struct {
 	actor           *run.Actor
 	routes          *route.Router
@@ -29,18 +29,18 @@
 	attempts        atomic.Int64
 	urgentAttempts  atomic.Int64
 	waiting         atomic.Pointer[map[string]int]
-	dispatchSoon    *run.Nudge // dispatches soon
-	recheck         *run.Alarm // the next look at those who wait
+	dispatchSoon    *run.Nudge // triggers dispatch
+	recheck         *run.Alarm // triggers the next check of the waiters
 	sweepAlarm      *run.Alarm
 	noHolderTimeout time.Duration
 	closed          atomic.Bool
-	onMiss          func() // tells at once that a request waits for what nobody holds
+	onMiss          func() // called when a request waits for an item that no replica holds
 }
 
-// New opens admission.
-// hold is how long an item that nobody holds is waited for without any word.
-func New(g *run.Group, routes *route.Router, hold time.Duration, onMiss func()) *Controller {
-	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, noHolderTimeout: hold, onMiss: onMiss}
+// New starts admission. noHolderTimeout is how long requests wait for an item that no replica holds
+// while no prediction arrives for it; onMiss is called for each such request.
+func New(g *run.Group, routes *route.Router, noHolderTimeout time.Duration, onMiss func()) *Controller {
+	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, noHolderTimeout: noHolderTimeout, onMiss: onMiss}
 	ac.waiting.Store(&map[string]int{})
 	ac.actor = run.NewActor(g, mailboxDepth, 0, nil)
 	ac.recheck, ac.sweepAlarm = run.NewAlarm(ac.actor, ac.onRecheck), run.NewAlarm(ac.actor, ac.onSweep)
@@ -49,13 +49,13 @@
 	return ac
 }
 
-// Waiting is how many requests wait for each item.
+// Waiting returns the number of requests that wait for each item.
 func (ac *Controller) Waiting() map[string]int { return *ac.waiting.Load() }
 
-// Shots is how many requests are out now.
+// Attempts returns the number of attempts in flight.
 func (ac *Controller) Attempts() int64 { return ac.attempts.Load() }
 
-// Enter waits until a replica can take the request, and says which, or why not.
+// Acquire waits until a replica can take the request and returns it, or an explanation why there is none.
 func (ac *Controller) Acquire(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
 	w := queue.NewWaiter(target, class, ac.now(), deadline)
 	if ac.actor.Tell(func() { ac.enqueue(w) }) != nil {
@@ -69,16 +69,16 @@
 		return a
 	case <-wait.C:
 	case <-ctx.Done():
-		late.Explanation = "the client left"
+		late.Explanation = "the client disconnected"
 	}
 	if w.Withdraw() {
 		return late
 	}
-	// Why: it was claimed in the same moment; the claim stands, and its replica must be let go if unused.
+	// The waiter was claimed concurrently. The claim stands, and the caller must release its replica if it is unused.
 	return <-w.Answer
 }
 
-// Close turns away whatever waits, and whatever comes from now on.
+// Close rejects all waiters and all later requests.
 func (ac *Controller) Close() {
 	ac.closed.Store(true)
 	_ = ac.actor.Tell(func() {
@@ -93,7 +93,7 @@
 	})
 }
 
-// stopped is the answer once admission has closed.
+// stoppingResult is the answer to all requests once admission is closed.
 var stoppingResult = queue.Answer{Explanation: "this proxy is stopping", RetryS: 1}
 
 func refuse(w *queue.Waiter, a queue.Answer) {
@@ -107,13 +107,13 @@
 		refuse(w, stoppingResult)
 		return
 	}
-	cl, known := ac.routes.Current().Conf.Classes[w.Class]
+	classConf, known := ac.routes.Current().Conf.Classes[w.Class]
 	if !known {
-		refuse(w, queue.Answer{Explanation: "its class has gone", RetryS: 1})
+		refuse(w, queue.Answer{Explanation: "its class is no longer configured", RetryS: 1})
 		return
 	}
 	ac.queue.SetShares(ac.routes.Current().Conf.Shares())
-	c := ac.queue.Class(w.Class, cl)
+	c := ac.queue.Class(w.Class, classConf)
 	ac.sweepAlarm.In(sweepInterval)
 	if !ac.queue.Push(c, w) {
 		refuse(w, queue.Answer{Explanation: "the holding of class " + w.Class + " is full", RetryS: 1})
@@ -124,7 +124,7 @@
 		return
 	}
 	ac.recheck.In(recheckInterval)
-	// Why: if what is ahead already takes longer than the deadline, waiting would only delay the no.
+	// If the waiters ahead already take longer than the deadline allows, waiting would only delay the rejection.
 	_, held, serve := ac.routes.Choose(w.Target)
 	if held == 0 {
 		ac.routes.CountWaitingWork(&w.Target)
@@ -133,7 +133,7 @@
 	}
 	if held > 0 {
 		ahead := time.Duration(c.Size()) * serve
-		// Why: who waits longest for the same tells best how long it takes, other edges and other classes included.
+		// The age of the oldest waiter for the same item is the best estimate, as it includes other edges and other classes.
 		ahead = max(ahead, ac.now().Sub(c.Oldest(w).EnqueuedAt))
 		if ahead > w.Deadline.Sub(w.EnqueuedAt) {
 			refuse(w, queue.Answer{Explanation: "too many wait ahead of it", RetryS: retryAfterSeconds(ahead - w.Deadline.Sub(w.EnqueuedAt))})
@@ -143,20 +143,20 @@
 
 func retryAfterSeconds(d time.Duration) int { return max(1, min(60, int(d/time.Second)+1)) }
 
-// dispatch gives replicas to waiters until none can be given more.
+// dispatch assigns replicas to waiters until no more can be assigned.
 func (ac *Controller) dispatch() {
 	limit := int64(ac.routes.Current().Conf.Limits.Attempts)
 	for progress := true; progress; {
 		progress = false
 		for _, c := range ac.queue.Order() {
 			full := ac.attempts.Load() >= limit
-			// Why: urgent requests find places that others can never fill.
+			// Other requests can never use the attempts that are reserved for urgent ones.
 			if !c.Conf.Urgent {
 				full = ac.attempts.Load()-ac.urgentAttempts.Load() >= limit-limit/urgentReserveDivisor || full
 			}
-			// Why: a tenant that calls all its requests urgent must leave the others' part of those places free.
-			kept := int64(float64(limit/urgentReserveDivisor) * ac.queue.OthersFraction(c.Of))
-			if full || kept > 0 && c.Of.Inflight.Load() >= limit-kept {
+			// A tenant whose requests are all urgent must leave the other tenants' part of the reserve free.
+			reserved := int64(float64(limit/urgentReserveDivisor) * ac.queue.OthersFraction(c.Of))
+			if full || reserved > 0 && c.Of.Inflight.Load() >= limit-reserved {
 				continue
 			}
 			c.EachLane(func(l *queue.Lane) (bool, bool) {
@@ -172,8 +172,8 @@
 				}
 				w := c.Pop(l)
 				progress = true
-				// Why: an attempt whose first piece comes after the deadline does the work, and tells its caller that nobody
-				// knows whether it did.
+				// An attempt whose first chunk arrives after the deadline does the work, but its caller gets an unknown
+				// outcome.
 				if w.Deadline.Sub(ac.now()) < r.Live.ExpectedFirstChunk() {
 					refuse(w, queue.Answer{Explanation: "its answer would begin after the deadline", Late: true, RetryS: 1})
 				} else if w.Claim() {
@@ -195,13 +195,13 @@
 	if urgent {
 		ac.urgentAttempts.Add(1)
 	}
-	place := ac.routes.StartAttempt(w.Target, r)
+	attempt := ac.routes.StartAttempt(w.Target, r)
 	var once atomic.Bool
-	w.Answer <- queue.Answer{Replica: r, Begun: func() { place.FirstChunk(); ac.dispatchSoon.Now() }, Done: func() {
+	w.Answer <- queue.Answer{Replica: r, Begun: func() { attempt.FirstChunk(); ac.dispatchSoon.Now() }, Done: func() {
 		if once.Swap(true) {
 			return
 		}
-		place.Done()
+		attempt.Done()
 		ac.attempts.Add(-1)
 		tenant.Inflight.Add(-1)
 		if urgent {
@@ -211,8 +211,8 @@
 	}}
 }
 
-// onTick looks at those who wait. Why: most of the time nobody does, and a proxy
-// that sleeps then costs nothing.
+// onRecheck dispatches, rejects hopeless waiters and sets the alarm again while there are waiters. Most of the
+// time there are none, and an idle proxy then uses no processor time.
 func (ac *Controller) onRecheck() {
 	ac.dispatch()
 	ac.rejectHopeless()
@@ -221,7 +221,7 @@
 	}
 }
 
-// onSweep lets go of waiters that no longer wait, and of classes without any.
+// onSweep removes waiters that no longer wait, and classes without any.
 func (ac *Controller) onSweep() {
 	ac.queue.Sweep()
 	ac.publishWaiting()
@@ -235,7 +235,7 @@
 	ac.waiting.Store(&w)
 }
 
-// hopeless turns away what no load and no freed place can serve in time.
+// rejectHopeless rejects waiters that neither a load nor a freed slot can serve in time.
 func (ac *Controller) rejectHopeless() {
 	s := ac.routes.Current()
 	now := ac.now()
@@ -248,25 +248,25 @@
 				l.Empty = time.Time{}
 				return false, false
 			}
-			x, told := s.Expect.Get(l.Key)
-			at, coming := s.Coming[l.Key]
+			prediction, predicted := s.Expect.Get(l.Key)
+			at, loading := s.Coming[l.Key]
 			ready := now.Add(at - ac.routes.MonotonicNow())
-			// Why: silence counts from the last word. A load that is just done is no longer on its way, and the
-			// replica has not told us yet; those that waited for it must not be dropped in between.
-			if coming || told && !x.Refused {
+			// The timeout counts from the last sign of progress. A load that has just ended is no longer listed as loading
+			// while the replica is not known to hold the item yet; its waiters must not be rejected in between.
+			if loading || predicted && !prediction.Refused {
 				l.Empty = now
 			}
 			for i := range l.Waiters.Len() {
 				w := l.Waiters.At(i)
 				switch {
 				case !w.IsWaiting():
-				case coming && ready.After(w.Deadline):
+				case loading && ready.After(w.Deadline):
 					refuse(w, queue.Answer{Explanation: "it will be loaded too late", RetryS: retryAfterSeconds(ready.Sub(now))})
-				case coming:
-				case told && x.Refused:
-					refuse(w, queue.Answer{Explanation: x.Why, RetryS: max(1, x.RetryS)})
+				case loading:
+				case predicted && prediction.Refused:
+					refuse(w, queue.Answer{Explanation: prediction.Why, RetryS: max(1, prediction.RetryS)})
 				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.noHolderTimeout:
-					refuse(w, queue.Answer{Explanation: "nobody has it and no controller answers", RetryS: 2})
+					refuse(w, queue.Answer{Explanation: "no replica holds it and no controller answers", RetryS: 2})
 				}
 			}
 			return false, false
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,18 +19,18 @@
 	"drumstall.example/internal/state"
 )
 
-// opened is admission in simulated time, with a class and no replica.
-func withController(t *testing.T, f func(g *Controller, n *gossip.Table)) {
+// withController runs f with admission in simulated time, with one class and no replica.
+func withController(t *testing.T, f func(ac *Controller, table *gossip.Table)) {
 	synctest.Test(t, func(*testing.T) {
 		group := run.NewGroup(context.Background())
 		defer group.Stop()
-		n := gossip.NewTable()
-		k := route.NewRouter(route.Deps{Group: group, Gossip: n, Clock: simhost.NewClock(), Zone: func() string { return "z" },
+		table := gossip.NewTable()
+		router := route.NewRouter(route.Deps{Group: group, Gossip: table, Clock: simhost.NewClock(), Zone: func() string { return "z" },
 			SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
-		g := New(group, k, time.Second, func() {})
-		n.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: conf.Kept{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}.Pack()})
+		ac := New(group, router, time.Second, func() {})
+		table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: conf.Kept{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}.Pack()})
 		synctest.Wait()
-		f(g, n)
+		f(ac, table)
 	})
 }
 
@@ -44,60 +44,60 @@
 }
 
 func TestItemWithoutHolderIsRejectedAfterTimeout(t *testing.T) {
-	withController(t, func(g *Controller, _ *gossip.Table) {
+	withController(t, func(ac *Controller, _ *gossip.Table) {
 		began := time.Now()
-		a := g.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute))
-		if took := time.Since(began); a.Replica != nil || a.Explanation != "nobody has it and no controller answers" || took < time.Second || took > time.Second+2*recheckInterval {
+		a := ac.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute))
+		if took := time.Since(began); a.Replica != nil || a.Explanation != "no replica holds it and no controller answers" || took < time.Second || took > time.Second+2*recheckInterval {
 			t.Errorf("got %+v after %v", a, took)
 		}
 	})
 }
 
-// Admission stands still while nobody waits; whoever comes later is looked after all the same.
+// Admission is idle while there are no waiters; later waiters must still be served and removed.
 func TestIdleControllerServesLaterWaiters(t *testing.T) {
-	withController(t, func(g *Controller, n *gossip.Table) {
+	withController(t, func(ac *Controller, table *gossip.Table) {
 		for round := range 3 {
 			time.Sleep(10 * time.Second)
-			n.Put(holderEntry(uint64(2*round + 1)))
+			table.Put(holderEntry(uint64(2*round + 1)))
 			synctest.Wait()
-			first := g.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute))
+			first := ac.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute))
 			if first.Replica == nil {
 				t.Fatalf("round %d: %+v", round, first)
 			}
 			var second queue.Answer
 			group := run.NewGroup(context.Background())
-			group.Go(func(ctx context.Context) { second = g.Acquire(ctx, target(), "c", time.Now().Add(time.Minute)) })
+			group.Go(func(ctx context.Context) { second = ac.Acquire(ctx, target(), "c", time.Now().Add(time.Minute)) })
 			time.Sleep(5 * time.Second)
-			if n := g.Waiting()["m"]; n != 1 {
-				t.Errorf("round %d: %d wait, want 1", round, n)
+			if n := ac.Waiting()["m"]; n != 1 {
+				t.Errorf("round %d: %d requests wait, want 1", round, n)
 			}
 			first.Done()
 			synctest.Wait()
 			group.Stop()
 			if second.Replica == nil {
-				t.Fatalf("round %d, who waited: %+v", round, second)
+				t.Fatalf("round %d, second request: %+v", round, second)
 			}
 			second.Done()
 			time.Sleep(2 * sweepInterval)
 			synctest.Wait()
-			if n := len(g.Waiting()); n != 0 {
-				t.Errorf("round %d: %d items are waited for when nobody waits", round, n)
+			if n := len(ac.Waiting()); n != 0 {
+				t.Errorf("round %d: %d items have waiters, want none", round, n)
 			}
 		}
 	})
 }
 
-// A replica that is left out for a while is used as soon as that is over, with no
-// news that says so.
+// A replica that is left out after a refused connection is used again as soon as the back-off is over,
+// without any new gossip entry.
 func TestWaiterIsServedAfterConnectionBackOff(t *testing.T) {
-	withController(t, func(g *Controller, n *gossip.Table) {
-		n.Put(holderEntry(1))
+	withController(t, func(ac *Controller, table *gossip.Table) {
+		table.Put(holderEntry(1))
 		synctest.Wait()
-		a := g.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute))
+		a := ac.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute))
 		a.Done()
-		g.routes.RecordConnectionRefused(a.Replica)
+		ac.routes.RecordConnectionRefused(a.Replica)
 		began := time.Now()
-		if a = g.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute)); a.Replica == nil {
+		if a = ac.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute)); a.Replica == nil {
 			t.Fatalf("got %+v", a)
 		}
 		if took := time.Since(began); took < time.Second/2 || took > time.Second+2*recheckInterval {
@@ -107,15 +107,15 @@
 }
 
 func TestWithdrawnWaitersAreRemoved(t *testing.T) {
-	withController(t, func(g *Controller, _ *gossip.Table) {
+	withController(t, func(ac *Controller, _ *gossip.Table) {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
-		if a := g.Acquire(ctx, target(), "c", time.Now().Add(time.Minute)); a.Replica != nil {
+		if a := ac.Acquire(ctx, target(), "c", time.Now().Add(time.Minute)); a.Replica != nil {
 			t.Errorf("got %+v", a)
 		}
 		time.Sleep(2 * sweepInterval)
 		synctest.Wait()
-		if g.queue.HasClasses() || len(g.Waiting()) != 0 {
+		if ac.queue.HasClasses() || len(ac.Waiting()) != 0 {
 			t.Error("a withdrawn waiter is still held")
 		}
 	})
--- a/internal/admission/work_test.go
+++ b/internal/admission/work_test.go
@@ -12,27 +12,27 @@
 	"drumstall.example/internal/route"
 )
 
-// A model that nobody holds is asked for by many: how much work that is must be
-// known before the first copy is there, or the next copies come one after the other.
+// Many requests ask for a model that no replica holds. Their work must be counted before the first copy
+// is loaded, or further copies are loaded one after the other.
 func TestWorkOfWaitersIsCountedBeforeTheFirstCopyLoads(t *testing.T) {
-	withController(t, func(g *Controller, _ *gossip.Table) {
+	withController(t, func(ac *Controller, _ *gossip.Table) {
 		group := run.NewGroup(context.Background())
 		defer group.Stop()
 		misses := 0
-		g.onMiss = func() { misses++ }
+		ac.onMiss = func() { misses++ }
 		target := route.Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "m"}, Prompt: route.PromptFromParts("m", []route.Part{{ID: "p", Tokens: 3000}})}
 		const asked = 10
-		// Why: until a pace has been seen, 30 tokens are taken to be read in a ms.
+		// Until a pace has been observed, prefill is assumed to read 30 tokens per ms.
 		want := uint64((asked * 3000 * (time.Millisecond / 30)).Milliseconds())
 		for range asked {
-			group.Go(func(ctx context.Context) { g.Acquire(ctx, target, "c", time.Now().Add(500*time.Millisecond)) })
+			group.Go(func(ctx context.Context) { ac.Acquire(ctx, target, "c", time.Now().Add(500*time.Millisecond)) })
 		}
 		synctest.Wait()
-		if misses != asked || g.Waiting()["m"] == 0 {
-			t.Errorf("%d misses, waiting %v", misses, g.Waiting())
+		if misses != asked || ac.Waiting()["m"] == 0 {
+			t.Errorf("%d misses, waiting %v", misses, ac.Waiting())
 		}
-		if got := g.routes.PrefillWorkMs()["m"]; got != want {
-			t.Errorf("work of what waits: %d ms, want %d", got, want)
+		if got := ac.routes.PrefillWorkMs()["m"]; got != want {
+			t.Errorf("work of the waiters: %d ms, want %d", got, want)
 		}
 	})
 }
