--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -264,7 +264,7 @@
 					refuse(w, queue.Answer{Explanation: "it will be loaded too late", RetryS: retryAfterSeconds(ready.Sub(now))})
 				case loading:
 				case predicted && prediction.Refused:
-					refuse(w, queue.Answer{Explanation: prediction.Why, RetryS: max(1, prediction.RetryS)})
+					refuse(w, queue.Answer{Explanation: prediction.Reason, RetryS: max(1, prediction.RetryAfterS)})
 				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.noHolderTimeout:
 					refuse(w, queue.Answer{Explanation: "no replica holds it and no controller answers", RetryS: 2})
 				}
--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/passage_test.go
@@ -30,7 +30,7 @@
 		serial := uint64(0)
 		tell := func(id string, dark bool) {
 			serial++
-			n := order.Status{Listed: inventory.Listed{ID: id, Model: true, Slots: 12}, Slots: 12, Dark: dark, Items: map[string]string{"m": backend.Loaded}}
+			n := order.Status{Listed: inventory.Listed{ID: id, Model: true, Slots: 12}, Slots: 12, Stale: dark, Items: map[string]string{"m": backend.Loaded}}
 			table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: serial}, Value: wire.Pack(n)})
 			time.Sleep(time.Second)
 		}
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -48,11 +48,11 @@
 
 // candidates holds the replicas that can serve a request.
 type candidates struct {
-	responsive  []judge.Replica // those with a free slot that are responsive
-	silent      []judge.Replica // those with a free slot that were silent last, and the replica to avoid
-	held        int             // number of those that hold the item, with a free slot or not
-	slots       int             // total of the slots on those that steering allows
-	serviceTime time.Duration   // sum of the service times of those
+	responsive  []judge.Candidate // those with a free slot that are responsive
+	silent      []judge.Candidate // those with a free slot that were silent last, and the replica to avoid
+	held        int               // number of those that hold the item, with a free slot or not
+	slots       int               // total of the slots on those that steering allows
+	serviceTime time.Duration     // sum of the service times of those
 }
 
 // Choose returns the best replica for a request, or nil if none can take it now. held is the number of
@@ -78,7 +78,7 @@
 	if len(ranked) > 0 && t.Route.Kind == "model" {
 		ranked = rt.addPromptCosts(t, s, ranked, now)
 	}
-	i := judge.Best(s.Conf.Weights, ranked)
+	i := judge.BestForRequest(s.Conf.Weights, ranked)
 	if i < 0 {
 		return nil, c.held, serve
 	}
@@ -109,7 +109,7 @@
 		if steer.needsReservedSlot(r) {
 			continue
 		}
-		f := judge.Replica{Name: id, Inflight: r.othersInflight() + mine, Slots: r.Slots, ServeFor: r.ServiceTime, SameZone: r.Listed.Zone == zone, Share: steer.shareScore(id)}
+		f := judge.Candidate{Name: id, Inflight: r.othersInflight() + mine, Slots: r.Slots, ServeTime: r.ServiceTime, SameZone: r.Listed.Zone == zone, TenantShare: steer.shareScore(id)}
 		// Silence does not prove a failure. It only ranks a replica behind all responsive ones, until a report that
 		// was requested later arrives.
 		if !r.isResponsive(now) || id == t.Avoid {
@@ -123,7 +123,7 @@
 
 // addPromptCosts adds the warm fraction of the prompt and the predicted wait to each candidate,
 // and drops candidates whose prefill backlog is full.
-func (rt *Router) addPromptCosts(t Target, s *Snapshot, ranked []judge.Replica, now time.Duration) []judge.Replica {
+func (rt *Router) addPromptCosts(t Target, s *Snapshot, ranked []judge.Candidate, now time.Duration) []judge.Candidate {
 	viaController := s.Replicas[ranked[0].Name].Told
 	// Many requests have a single candidate; the prefix lookup is skipped for those.
 	if len(ranked) == 1 && !viaController {
@@ -132,13 +132,13 @@
 	warm, home := rt.prefixes.warmFractions(t.Prompt), binary.LittleEndian.AppendUint64(nil, t.Prompt.homeDigest())
 	out := ranked[:0]
 	for _, f := range ranked {
-		f.Warm, f.Home = warm[f.Name], float64(share.Draw(home, f.Name)>>11)/(1<<53)
+		f.WarmShare, f.Home = warm[f.Name], float64(share.Draw(home, f.Name)>>11)/(1<<53)
 		if r := s.Replicas[f.Name]; r.Told {
-			uncached := t.Prompt.uncachedTokens(f.Warm)
+			uncached := t.Prompt.uncachedTokens(f.WarmShare)
 			if rt.prefillBacklogged(r, uncached, t.Route.GapTarget, now) {
 				continue
 			}
-			f.Wait = rt.predictWait(r, uncached, now)
+			f.PredictedWait = rt.predictWait(r, uncached, now)
 		}
 		out = append(out, f)
 	}
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -28,7 +28,7 @@
 	now            time.Duration
 	replicas       copyOnWrite[*Replica]
 	acked          copyOnWrite[state.Stamp]
-	predictions    sharded.Draft[plan.Expect]
+	predictions    sharded.Draft[plan.Expectation]
 	index          indexDraft
 	confChanged    bool // a newer configuration has been applied
 	readyAtChanged bool // the ready times of loading items must be recomputed
@@ -177,7 +177,7 @@
 func (rt *Router) earliestReady(d *draft) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, e := range rt.loadingEntries {
-		if e.status.Dark || d.replicas.entries[e.status.Listed.ID].Listed.Leaving {
+		if e.status.Stale || d.replicas.entries[e.status.Listed.ID].Listed.Leaving {
 			continue
 		}
 		for _, c := range e.loading {
@@ -238,7 +238,7 @@
 // applyPrediction applies the prediction of a planner.
 func (rt *Router) applyPrediction(d *draft, e gossip.Entry) {
 	item := e.Key[len(predictionPrefix):]
-	var prediction plan.Expect
+	var prediction plan.Expectation
 	if e.Gone || wire.Unpack(e.Value, &prediction) != nil {
 		delete(rt.predictionExpiry.latest, item)
 		d.predictions.Drop(item)
--- a/internal/route/renew_fixture_test.go
+++ b/internal/route/renew_fixture_test.go
@@ -63,8 +63,8 @@
 	}
 	n := order.Status{Listed: inventory.Listed{ID: id, Zone: "z1", Model: id >= "r2", Slots: w.rng.IntN(4), Leaving: w.rng.IntN(8) == 0,
 		Labels: map[string]string{conf.ServiceLabel: []string{"s1", "s2"}[w.rng.IntN(2)]}},
-		Slots: w.rng.IntN(5), ServeMs: w.rng.IntN(50), Dark: w.rng.IntN(8) == 0, Items: map[string]string{}, ReadyMs: map[string]int{}}
-	states := []string{backend.Loaded, backend.Loaded, backend.Loading, order.Reserved, order.Leaving, backend.Unloading}
+		Slots: w.rng.IntN(5), ServeMs: w.rng.IntN(50), Stale: w.rng.IntN(8) == 0, Items: map[string]string{}, ReadyMs: map[string]int{}}
+	states := []string{backend.Loaded, backend.Loaded, backend.Loading, order.Reserved, order.Withdrawn, backend.Unloading}
 	for range w.rng.IntN(4) {
 		item := w.item()
 		n.Items[item], n.ReadyMs[item] = states[w.rng.IntN(len(states))], w.rng.IntN(3000)
@@ -90,7 +90,7 @@
 	case 4:
 		w.gossip.Put(gossip.Entry{Key: order.Key(w.id()), Stamp: w.stamp(), Gone: true})
 	case 5, 6:
-		w.gossip.Put(gossip.Entry{Key: plan.ExpectKey(w.item()), Stamp: w.stamp(), Value: wire.Pack(plan.Expect{ReadyMs: w.rng.IntN(9)}), Gone: w.rng.IntN(4) == 0})
+		w.gossip.Put(gossip.Entry{Key: plan.ExpectationKey(w.item()), Stamp: w.stamp(), Value: wire.Pack(plan.Expectation{ReadyMs: w.rng.IntN(9)}), Gone: w.rng.IntN(4) == 0})
 	case 7:
 		inventory.Mark(w.gossip, w.id())
 	case 8:
--- a/internal/route/renew_reference_test.go
+++ b/internal/route/renew_reference_test.go
@@ -43,14 +43,14 @@
 
 type expectedTable struct {
 	Rows        map[string]expectedRow
-	Predictions map[string]plan.Expect
+	Predictions map[string]plan.Expectation
 	ReadyAt     map[string]time.Duration
 	Acked       map[string]state.Stamp
 	Stamp       state.Stamp
 }
 
 func emptyTable() expectedTable {
-	return expectedTable{Rows: map[string]expectedRow{}, Predictions: map[string]plan.Expect{}, ReadyAt: map[string]time.Duration{}, Acked: map[string]state.Stamp{}}
+	return expectedTable{Rows: map[string]expectedRow{}, Predictions: map[string]plan.Expectation{}, ReadyAt: map[string]time.Duration{}, Acked: map[string]state.Stamp{}}
 }
 
 func joinReadyItems(ready map[string]bool) string {
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, e := range w.gossip.List(predictionPrefix) {
-		var x plan.Expect
+		var x plan.Expectation
 		if at := seen(e); now-at < predictionTTL && wire.Unpack(e.Value, &x) == nil {
 			out.Predictions[e.Key[len(predictionPrefix):]] = x
 		}
@@ -99,7 +99,7 @@
 }
 
 func addReadyAt(coming map[string]time.Duration, n order.Status, leaving bool, at time.Duration) {
-	if n.Dark || leaving {
+	if n.Stale || leaving {
 		return
 	}
 	for item, st := range n.Items {
@@ -125,14 +125,14 @@
 		}
 		r.Listed.Leaving = r.Listed.Leaving || h.status.Leaving
 		for item, l := range h.status.Items {
-			if st := n.Items[item.String()]; l.State == backend.Loaded && st != order.Leaving && st != backend.Unloading {
+			if st := n.Items[item.String()]; l.State == backend.Loaded && st != order.Withdrawn && st != backend.Unloading {
 				ready[item.String()] = true
 			}
 		}
 	}
 	if !router.deps.PollReplicas {
 		r.ViaController = true
-		if !n.Dark {
+		if !n.Stale {
 			r.ReportedAt, r.Slots = now, max(n.Slots, n.Listed.Slots)
 			if live := router.lives[n.Listed.ID]; live != nil {
 				r.OthersInflight = live.hintedOthers(now)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -64,8 +64,8 @@
 	Serial   uint64
 	Stamp    state.Stamp
 	Replicas map[string]*Replica
-	Expect   sharded.Map[plan.Expect] // predictions of the planners, for items that no replica holds
-	Coming   map[string]time.Duration // when each loading item should be ready, on this proxy's clock
+	Expect   sharded.Map[plan.Expectation] // predictions of the planners, for items that no replica holds
+	Coming   map[string]time.Duration      // when each loading item should be ready, on this proxy's clock
 	Acked    map[string]state.Stamp
 	Version  uint64 // rises when the configuration or the status of a replica changes
 	index    index
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -98,7 +98,7 @@
 	for item, line := range rep.status.Items {
 		// The replica is authoritative for what it holds, its controller for what is about to be unloaded.
 		controllerState := st.Items[item.String()]
-		if line.State == backend.Loaded && controllerState != order.Leaving && controllerState != backend.Unloading {
+		if line.State == backend.Loaded && controllerState != order.Withdrawn && controllerState != backend.Unloading {
 			r.Ready[item.String()] = true
 		}
 	}
@@ -108,7 +108,7 @@
 // hints of its answers and the time of the last renewal are read where they are used.
 func (r *Replica) fillFromController(e *entry) {
 	r.Told = true
-	if r.Unreachable = e.status.Dark; r.Unreachable {
+	if r.Unreachable = e.status.Stale; r.Unreachable {
 		return
 	}
 	r.Slots = max(e.status.Slots, e.status.Listed.Slots)
