--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission admits requests to replicas: by class, capacity and deadline. It
-// gives up at once on what cannot be served in time.
+// Package admission admits requests to replicas by class, capacity and deadline. It
+// rejects a request at once if it cannot be served in time.
 package admission
 
 import (
@@ -13,79 +13,79 @@
 )
 
 const (
-	interval = 20 * time.Millisecond
-	sweep    = 5 * interval // between two sweeps of waiters that no longer wait
-	depth    = 4096
-	// reserve is the share of attempts that only urgent classes may use.
-	reserve = 4
+	recheckInterval = 20 * time.Millisecond
+	sweepInterval   = 5 * recheckInterval // between two removals of waiters that no longer wait
+	mailboxDepth    = 4096
+	// urgentReserveDivisor: 1/urgentReserveDivisor of the attempts is reserved for urgent classes.
+	urgentReserveDivisor = 4
 )
 
-// Controller owns the queue of a proxy.
+// Controller owns the queue of a proxy and assigns replicas to its waiters.
 type Controller struct {
-	actor    *run.Actor
-	routes   *route.Keeper
-	queue    *queue.Queue
-	now      func() time.Time
-	attempts atomic.Int64
-	urgent   atomic.Int64
-	waiting  atomic.Pointer[map[string]int]
-	again    *run.Nudge // dispatches soon
-	next     *run.Alarm // the next look at those who wait
-	sweep    *run.Alarm
-	hold     time.Duration
-	closed   atomic.Bool
-	onMiss   func() // tells at once that a request waits for what nobody holds
+	actor           *run.Actor
+	routes          *route.Router
+	queue           *queue.Queue
+	now             func() time.Time
+	attempts        atomic.Int64
+	urgentAttempts  atomic.Int64
+	waiting         atomic.Pointer[map[string]int]
+	dispatchSoon    *run.Nudge // triggers dispatch
+	recheck         *run.Alarm // triggers the next check of the waiters
+	sweepAlarm      *run.Alarm
+	noHolderTimeout time.Duration
+	closed          atomic.Bool
+	onMiss          func() // called when a request waits for an item that no replica holds
 }
 
-// New opens admission.
-// hold is how long an item that nobody holds is waited for without any word.
-func New(g *run.Group, routes *route.Keeper, hold time.Duration, onMiss func()) *Controller {
-	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, hold: hold, onMiss: onMiss}
+// New starts admission. noHolderTimeout is how long requests wait for an item that no replica holds
+// while no prediction arrives for it; onMiss is called for each such request.
+func New(g *run.Group, routes *route.Router, noHolderTimeout time.Duration, onMiss func()) *Controller {
+	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, noHolderTimeout: noHolderTimeout, onMiss: onMiss}
 	ac.waiting.Store(&map[string]int{})
-	ac.actor = run.NewActor(g, depth, 0, nil)
-	ac.next, ac.sweep = run.NewAlarm(ac.actor, ac.onTick), run.NewAlarm(ac.actor, ac.onSweep)
-	ac.again = run.NewNudge(ac.actor, ac.dispatch)
-	routes.OnTable(ac.again.Now)
+	ac.actor = run.NewActor(g, mailboxDepth, 0, nil)
+	ac.recheck, ac.sweepAlarm = run.NewAlarm(ac.actor, ac.onRecheck), run.NewAlarm(ac.actor, ac.onSweep)
+	ac.dispatchSoon = run.NewNudge(ac.actor, ac.dispatch)
+	routes.OnTable(ac.dispatchSoon.Now)
 	return ac
 }
 
-// Waiting is how many requests wait for each item.
+// Waiting returns the number of requests that wait for each item.
 func (ac *Controller) Waiting() map[string]int { return *ac.waiting.Load() }
 
-// Shots is how many requests are out now.
+// Attempts returns the number of attempts in flight.
 func (ac *Controller) Attempts() int64 { return ac.attempts.Load() }
 
-// Enter waits until a replica can take the request, and says which, or why not.
-func (ac *Controller) Enter(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
+// Acquire waits until a replica can take the request and returns it, or an explanation why there is none.
+func (ac *Controller) Acquire(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
 	w := queue.NewWaiter(target, class, ac.now(), deadline)
-	if ac.actor.Tell(func() { ac.take(w) }) != nil {
-		return queue.Answer{Why: "the holding is full", RetryS: 1}
+	if ac.actor.Tell(func() { ac.enqueue(w) }) != nil {
+		return queue.Answer{Explanation: "the holding is full", RetryS: 1}
 	}
 	wait := time.NewTimer(time.Until(deadline))
 	defer wait.Stop()
-	late := queue.Answer{Why: "the deadline passed while it waited", Late: true, RetryS: 1}
+	late := queue.Answer{Explanation: "the deadline passed while it waited", Late: true, RetryS: 1}
 	select {
 	case a := <-w.Answer:
 		return a
 	case <-wait.C:
 	case <-ctx.Done():
-		late.Why = "the client left"
+		late.Explanation = "the client disconnected"
 	}
 	if w.Withdraw() {
 		return late
 	}
-	// Why: it was claimed in the same moment; the claim stands, and its replica must be let go if unused.
+	// The waiter was claimed concurrently. The claim stands, and the caller must release its replica if it is unused.
 	return <-w.Answer
 }
 
-// Close turns away whatever waits, and whatever comes from now on.
+// Close rejects all waiters and all later requests.
 func (ac *Controller) Close() {
 	ac.closed.Store(true)
 	_ = ac.actor.Tell(func() {
 		for _, c := range ac.queue.Order() {
-			c.Lanes(func(l *queue.Lane) (bool, bool) {
+			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				for i := range l.Waiters.Len() {
-					refuse(l.Waiters.At(i), stopped)
+					refuse(l.Waiters.At(i), stoppingResult)
 				}
 				return false, false
 			})
@@ -93,8 +93,8 @@
 	})
 }
 
-// stopped is the answer once admission has closed.
-var stopped = queue.Answer{Why: "this proxy is stopping", RetryS: 1}
+// stoppingResult is the answer to all requests once admission is closed.
+var stoppingResult = queue.Answer{Explanation: "this proxy is stopping", RetryS: 1}
 
 func refuse(w *queue.Waiter, a queue.Answer) {
 	if w.Withdraw() {
@@ -102,64 +102,64 @@
 	}
 }
 
-func (ac *Controller) take(w *queue.Waiter) {
+func (ac *Controller) enqueue(w *queue.Waiter) {
 	if ac.closed.Load() {
-		refuse(w, stopped)
+		refuse(w, stoppingResult)
 		return
 	}
-	cl, known := ac.routes.Now().Conf.Classes[w.Class]
+	classConf, known := ac.routes.Current().Conf.Classes[w.Class]
 	if !known {
-		refuse(w, queue.Answer{Why: "its class has gone", RetryS: 1})
+		refuse(w, queue.Answer{Explanation: "its class is no longer configured", RetryS: 1})
 		return
 	}
-	ac.queue.SetShares(ac.routes.Now().Conf.Shares())
-	c := ac.queue.Class(w.Class, cl)
-	ac.sweep.In(sweep)
-	if !ac.queue.Put(c, w) {
-		refuse(w, queue.Answer{Why: "the holding of class " + w.Class + " is full", RetryS: 1})
+	ac.queue.SetShares(ac.routes.Current().Conf.Shares())
+	c := ac.queue.Class(w.Class, classConf)
+	ac.sweepAlarm.In(sweepInterval)
+	if !ac.queue.Push(c, w) {
+		refuse(w, queue.Answer{Explanation: "the holding of class " + w.Class + " is full", RetryS: 1})
 		return
 	}
 	ac.dispatch()
-	if !w.Waits() {
+	if !w.IsWaiting() {
 		return
 	}
-	ac.next.In(interval)
-	// Why: if what is ahead already takes longer than the deadline, waiting would only delay the no.
+	ac.recheck.In(recheckInterval)
+	// If the waiters ahead already take longer than the deadline allows, waiting would only delay the rejection.
 	_, held, serve := ac.routes.Choose(w.Target)
 	if held == 0 {
-		ac.routes.CountWaiting(&w.Target)
-		ac.tellWaiting()
+		ac.routes.CountWaitingWork(&w.Target)
+		ac.publishWaiting()
 		ac.onMiss()
 	}
 	if held > 0 {
 		ahead := time.Duration(c.Size()) * serve
-		// Why: who waits longest for the same tells best how long it takes, other edges and other classes included.
-		ahead = max(ahead, ac.now().Sub(c.Oldest(w).Since))
-		if ahead > w.Deadline.Sub(w.Since) {
-			refuse(w, queue.Answer{Why: "too many wait ahead of it", RetryS: retry(ahead - w.Deadline.Sub(w.Since))})
+		// The age of the oldest waiter for the same item is the best estimate, as it includes other edges and other classes.
+		ahead = max(ahead, ac.now().Sub(c.Oldest(w).EnqueuedAt))
+		if ahead > w.Deadline.Sub(w.EnqueuedAt) {
+			refuse(w, queue.Answer{Explanation: "too many wait ahead of it", RetryS: retryAfterSeconds(ahead - w.Deadline.Sub(w.EnqueuedAt))})
 		}
 	}
 }
 
-func retry(d time.Duration) int { return max(1, min(60, int(d/time.Second)+1)) }
+func retryAfterSeconds(d time.Duration) int { return max(1, min(60, int(d/time.Second)+1)) }
 
-// dispatch gives replicas to waiters until none can be given more.
+// dispatch assigns replicas to waiters until no more can be assigned.
 func (ac *Controller) dispatch() {
-	limit := int64(ac.routes.Now().Conf.Limits.Attempts)
+	limit := int64(ac.routes.Current().Conf.Limits.Attempts)
 	for progress := true; progress; {
 		progress = false
 		for _, c := range ac.queue.Order() {
 			full := ac.attempts.Load() >= limit
-			// Why: urgent requests find places that others can never fill.
+			// Other requests can never use the attempts that are reserved for urgent ones.
 			if !c.Conf.Urgent {
-				full = ac.attempts.Load()-ac.urgent.Load() >= limit-limit/reserve || full
+				full = ac.attempts.Load()-ac.urgentAttempts.Load() >= limit-limit/urgentReserveDivisor || full
 			}
-			// Why: a tenant that calls all its requests urgent must leave the others' part of those places free.
-			kept := int64(float64(limit/reserve) * ac.queue.OthersPart(c.Of))
-			if full || kept > 0 && c.Of.Out.Load() >= limit-kept {
+			// A tenant whose requests are all urgent must leave the other tenants' part of the reserve free.
+			reserved := int64(float64(limit/urgentReserveDivisor) * ac.queue.OthersFraction(c.Of))
+			if full || reserved > 0 && c.Of.Inflight.Load() >= limit-reserved {
 				continue
 			}
-			c.Lanes(func(l *queue.Lane) (bool, bool) {
+			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				head := l.Waiters.Front()
 				r, held, _ := ac.routes.Choose(head.Target)
 				if held > 0 {
@@ -172,12 +172,12 @@
 				}
 				w := c.Pop(l)
 				progress = true
-				// Why: an attempt whose first piece comes after the deadline does the work, and tells its caller that nobody
-				// knows whether it did.
-				if w.Deadline.Sub(ac.now()) < r.Live.FirstFor() {
-					refuse(w, queue.Answer{Why: "its answer would begin after the deadline", Late: true, RetryS: 1})
+				// An attempt whose first chunk arrives after the deadline does the work, but its caller gets an unknown
+				// outcome.
+				if w.Deadline.Sub(ac.now()) < r.Live.ExpectedFirstChunk() {
+					refuse(w, queue.Answer{Explanation: "its answer would begin after the deadline", Late: true, RetryS: 1})
 				} else if w.Claim() {
-					ac.give(w, r, c)
+					ac.assign(w, r, c)
 				}
 				return true, false
 			})
@@ -188,59 +188,59 @@
 	}
 }
 
-func (ac *Controller) give(w *queue.Waiter, r *route.Replica, c *queue.Class) {
+func (ac *Controller) assign(w *queue.Waiter, r *route.Replica, c *queue.Class) {
 	urgent, tenant := c.Conf.Urgent, c.Of
 	ac.attempts.Add(1)
-	tenant.Out.Add(1)
+	tenant.Inflight.Add(1)
 	if urgent {
-		ac.urgent.Add(1)
+		ac.urgentAttempts.Add(1)
 	}
-	place := ac.routes.Took(w.Target, r)
+	attempt := ac.routes.StartAttempt(w.Target, r)
 	var once atomic.Bool
-	w.Answer <- queue.Answer{Replica: r, Begun: func() { place.Begun(); ac.again.Now() }, Done: func() {
+	w.Answer <- queue.Answer{Replica: r, Begun: func() { attempt.FirstChunk(); ac.dispatchSoon.Now() }, Done: func() {
 		if once.Swap(true) {
 			return
 		}
-		place.Done()
+		attempt.Done()
 		ac.attempts.Add(-1)
-		tenant.Out.Add(-1)
+		tenant.Inflight.Add(-1)
 		if urgent {
-			ac.urgent.Add(-1)
+			ac.urgentAttempts.Add(-1)
 		}
-		ac.again.Now()
+		ac.dispatchSoon.Now()
 	}}
 }
 
-// onTick looks at those who wait. Why: most of the time nobody does, and a proxy
-// that sleeps then costs nothing.
-func (ac *Controller) onTick() {
+// onRecheck dispatches, rejects hopeless waiters and sets the alarm again while there are waiters. Most of the
+// time there are none, and an idle proxy then uses no processor time.
+func (ac *Controller) onRecheck() {
 	ac.dispatch()
-	ac.hopeless()
-	if ac.queue.Holds() {
-		ac.next.In(interval)
+	ac.rejectHopeless()
+	if ac.queue.HasWaiters() {
+		ac.recheck.In(recheckInterval)
 	}
 }
 
-// onSweep lets go of waiters that no longer wait, and of classes without any.
+// onSweep removes waiters that no longer wait, and classes without any.
 func (ac *Controller) onSweep() {
 	ac.queue.Sweep()
-	ac.tellWaiting()
-	if ac.queue.Known() {
-		ac.sweep.In(sweep)
+	ac.publishWaiting()
+	if ac.queue.HasClasses() {
+		ac.sweepAlarm.In(sweepInterval)
 	}
 }
 
-func (ac *Controller) tellWaiting() {
+func (ac *Controller) publishWaiting() {
 	w := ac.queue.Waiting()
 	ac.waiting.Store(&w)
 }
 
-// hopeless turns away what no load and no freed place can serve in time.
-func (ac *Controller) hopeless() {
-	s := ac.routes.Now()
+// rejectHopeless rejects waiters that neither a load nor a freed slot can serve in time.
+func (ac *Controller) rejectHopeless() {
+	s := ac.routes.Current()
 	now := ac.now()
 	for _, c := range ac.queue.Order() {
-		c.Lanes(func(l *queue.Lane) (bool, bool) {
+		c.EachLane(func(l *queue.Lane) (bool, bool) {
 			if l.Empty.IsZero() {
 				return false, false
 			}
@@ -248,25 +248,25 @@
 				l.Empty = time.Time{}
 				return false, false
 			}
-			x, told := s.Expect.Get(l.Key)
-			at, coming := s.Coming[l.Key]
-			ready := now.Add(at - ac.routes.Since())
-			// Why: silence counts from the last word. A load that is just done is no longer on its way, and the
-			// replica has not told us yet; those that waited for it must not be dropped in between.
-			if coming || told && !x.Refused {
+			prediction, predicted := s.Expect.Get(l.Key)
+			at, loading := s.Coming[l.Key]
+			ready := now.Add(at - ac.routes.MonotonicNow())
+			// The timeout counts from the last sign of progress. A load that has just ended is no longer listed as loading
+			// while the replica is not known to hold the item yet; its waiters must not be rejected in between.
+			if loading || predicted && !prediction.Refused {
 				l.Empty = now
 			}
 			for i := range l.Waiters.Len() {
 				w := l.Waiters.At(i)
 				switch {
-				case !w.Waits():
-				case coming && ready.After(w.Deadline):
-					refuse(w, queue.Answer{Why: "it will be loaded too late", RetryS: retry(ready.Sub(now))})
-				case coming:
-				case told && x.Refused:
-					refuse(w, queue.Answer{Why: x.Reason, RetryS: max(1, x.RetryAfterS)})
-				case now.Sub(later(w.Since, l.Empty)) > ac.hold:
-					refuse(w, queue.Answer{Why: "nobody has it and no controller answers", RetryS: 2})
+				case !w.IsWaiting():
+				case loading && ready.After(w.Deadline):
+					refuse(w, queue.Answer{Explanation: "it will be loaded too late", RetryS: retryAfterSeconds(ready.Sub(now))})
+				case loading:
+				case predicted && prediction.Refused:
+					refuse(w, queue.Answer{Explanation: prediction.Reason, RetryS: max(1, prediction.RetryAfterS)})
+				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.noHolderTimeout:
+					refuse(w, queue.Answer{Explanation: "no replica holds it and no controller answers", RetryS: 2})
 				}
 			}
 			return false, false
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,6 @@
-// Package queue holds requests until a replica can take them: by class and
-// by what they need, bounded, each with a deadline.
+// Package queue holds the requests of a proxy that wait for a replica. Waiters are
+// queued by class and by what they need; each class is bounded and each waiter
+// has a deadline.
 package queue
 
 import (
@@ -14,100 +15,102 @@
 	"drumstall.example/internal/route"
 )
 
-// Waiter states. Claiming for an attempt and withdrawing are the same one step, so
-// a request told "not run" can never be sent afterwards.
+// Waiter states. Claiming for an attempt and withdrawing are transitions of one atomic state, so
+// a request that was answered "not run" can never be sent afterwards.
 const (
 	waiting int32 = iota
 	claimed
 	withdrawn
 )
 
-// Waiter is a request that waits.
+// Waiter is a request that waits for a replica.
 type Waiter struct {
-	Target   route.Target
-	Class    string
-	Deadline time.Time
-	Since    time.Time
-	state    atomic.Int32
-	Answer   chan Answer // one place
+	Target     route.Target
+	Class      string
+	Deadline   time.Time
+	EnqueuedAt time.Time
+	state      atomic.Int32
+	Answer     chan Answer // buffered, one element
 }
 
-// Answer ends the wait: a replica, or the reason why there will be none.
+// Answer ends a wait. It holds either a replica or an explanation why the request was rejected.
 type Answer struct {
-	Replica *route.Replica
-	Begun   func() // the first piece of the answer has come
-	Done    func()
-	Why     string
-	Late    bool
-	RetryS  int
+	Replica     *route.Replica
+	Begun       func() // called when the first chunk of the replica's answer arrives
+	Done        func()
+	Explanation string
+	Late        bool
+	RetryS      int
 }
 
-// NewWaiter is a request that waits until the deadline.
+// NewWaiter returns a waiter that was enqueued at now and waits until the deadline.
 func NewWaiter(target route.Target, class string, now, deadline time.Time) *Waiter {
-	return &Waiter{Target: target, Class: class, Since: now, Deadline: deadline, Answer: make(chan Answer, 1)}
+	return &Waiter{Target: target, Class: class, EnqueuedAt: now, Deadline: deadline, Answer: make(chan Answer, 1)}
 }
 
-// Claim takes the waiter for an attempt.
+// Claim reserves the waiter for an attempt. It reports false if the waiter was claimed or withdrawn before.
 func (w *Waiter) Claim() bool { return w.state.CompareAndSwap(waiting, claimed) }
 
-// Withdraw takes the waiter out; after that it can never be sent.
+// Withdraw cancels the waiter, which can never be sent afterwards. It reports false if the waiter was claimed or withdrawn
+// before.
 func (w *Waiter) Withdraw() bool { return w.state.CompareAndSwap(waiting, withdrawn) }
 
-// Waits says whether the waiter still waits.
-func (w *Waiter) Waits() bool { return w.state.Load() == waiting }
+// IsWaiting reports whether the waiter has been neither claimed nor withdrawn.
+func (w *Waiter) IsWaiting() bool { return w.state.Load() == waiting }
 
-// Lane is the waiters of one class that need the same.
+// Lane holds the waiters of one class that need the same item or service, in order of arrival.
 type Lane struct {
 	Key     string
 	Waiters deque.Deque[*Waiter]
-	Empty   time.Time // since when nobody has held what it needs; zero: somebody does
+	Empty   time.Time // since when no replica has held what it needs; zero if one does
 }
 
-// Class is the queue of one class of clients.
+// Class is the queue of one request class.
 type Class struct {
-	Name  string
-	Conf  conf.Class
-	Of    *Tenant
-	lanes map[string]*Lane
-	turn  []string
-	size  int
-	spent float64 // attempts so far over weight, for a fair share
+	Name           string
+	Conf           conf.Class
+	Of             *Tenant
+	lanes          map[string]*Lane
+	laneOrder      []string
+	size           int
+	weightedServed float64 // waiters served so far divided by the weight, for weighted fair queueing
 }
 
-// Queue is all requests that wait at a proxy, by class; one actor owns it.
+// Queue holds all requests that wait at a proxy, by class. It is owned by one actor and not safe for concurrent use.
 type Queue struct {
 	classes map[string]*Class
 	tenants map[string]*Tenant
 	shares  map[string]int
 }
 
-// New is an empty queue.
+// New returns an empty queue.
 func New() *Queue { return &Queue{classes: map[string]*Class{}, tenants: map[string]*Tenant{}} }
 
-// Class gives a class its queue, with the bounds now in force.
+// Class returns the queue of a class, created if needed, with the given configuration applied.
 func (q *Queue) Class(name string, c conf.Class) *Class {
 	cl := q.classes[name]
 	if cl == nil {
-		cl = &Class{Name: name, lanes: map[string]*Lane{}, spent: q.least()}
+		cl = &Class{Name: name, lanes: map[string]*Lane{}, weightedServed: q.minWeightedServed()}
 		q.classes[name] = cl
 	}
-	cl.Conf, cl.Of = c, q.tenant(c)
+	cl.Conf, cl.Of = c, q.tenantOf(c)
 	return cl
 }
 
-// least is where a class that was away starts, so that it cannot claim the past.
-func (q *Queue) least() float64 {
+// minWeightedServed returns the lowest weightedServed of the classes with waiters. A class that was idle
+// starts there, so that it gets no credit for the time it was idle.
+func (q *Queue) minWeightedServed() float64 {
 	low, any := 0.0, false
 	for _, c := range q.classes {
-		if c.size > 0 && (!any || c.spent < low) {
-			low, any = c.spent, true
+		if c.size > 0 && (!any || c.weightedServed < low) {
+			low, any = c.weightedServed, true
 		}
 	}
 	return low
 }
 
-// Put adds a waiter; false when the class has no place left.
-func (q *Queue) Put(c *Class, w *Waiter) bool {
+// Push adds a waiter. It reports false if the queue of the class is full.
+func (q *Queue) Push(c *Class, w *Waiter) bool {
 	if c.size >= c.Conf.Queue {
 		c.sweep()
 		if c.size >= c.Conf.Queue {
@@ -115,28 +118,28 @@
 		}
 	}
 	if c.size == 0 {
-		c.spent = max(c.spent, q.least())
+		c.weightedServed = max(c.weightedServed, q.minWeightedServed())
 	}
-	q.welcome(c.Of)
+	q.catchUp(c.Of)
 	key := w.Target.Lane()
 	l := c.lanes[key]
 	if l == nil {
 		l = &Lane{Key: key}
 		c.lanes[key] = l
-		c.turn = append(c.turn, key)
+		c.laneOrder = append(c.laneOrder, key)
 	}
 	l.Waiters.PushBack(w)
 	c.size++
 	return true
 }
 
-// sweep lets go of waiters that no longer wait.
+// sweep removes waiters that no longer wait, and empty lanes.
 func (c *Class) sweep() {
-	kept := c.turn[:0]
-	for _, key := range c.turn {
+	kept := c.laneOrder[:0]
+	for _, key := range c.laneOrder {
 		l := c.lanes[key]
 		for n := l.Waiters.Len(); n > 0; n-- {
-			if w := l.Waiters.PopFront(); w.Waits() {
+			if w := l.Waiters.PopFront(); w.IsWaiting() {
 				l.Waiters.PushBack(w)
 			} else {
 				c.size--
@@ -148,10 +151,10 @@
 		}
 		kept = append(kept, key)
 	}
-	c.turn = kept
+	c.laneOrder = kept
 }
 
-// Sweep lets go of all waiters that no longer wait, and of empty classes.
+// Sweep removes all waiters that no longer wait, then empty classes and idle tenants.
 func (q *Queue) Sweep() {
 	for name, c := range q.classes {
 		c.sweep()
@@ -162,11 +165,11 @@
 	q.sweepTenants()
 }
 
-// Known says whether there are classes that a sweep may let go of.
-func (q *Queue) Known() bool { return len(q.classes) > 0 }
+// HasClasses reports whether there are classes that a sweep may remove.
+func (q *Queue) HasClasses() bool { return len(q.classes) > 0 }
 
-// Holds says whether there are waiters, whether they still wait or not.
-func (q *Queue) Holds() bool {
+// HasWaiters reports whether the queue holds any waiters, including those that no longer wait.
+func (q *Queue) HasWaiters() bool {
 	for _, c := range q.classes {
 		if c.size > 0 {
 			return true
@@ -175,8 +178,9 @@
 	return false
 }
 
-// Order is the classes with waiters in the order in which they are served: of the
-// tenant first that has had the least for its share, and within a tenant urgent ones first, then by rank, then whoever has had the least for its weight.
+// Order returns the classes with waiters in the order in which they are served: first the classes of the
+// tenant that was served least for its share; within a tenant the urgent ones first, then by rank, then the
+// class that was served least for its weight.
 func (q *Queue) Order() []*Class {
 	var out []*Class
 	for _, c := range q.classes {
@@ -186,7 +190,7 @@
 	}
 	slices.SortFunc(out, func(a, b *Class) int {
 		if a.Of != b.Of {
-			return cmp.Or(cmp.Compare(a.Of.spent, b.Of.spent), cmp.Compare(a.Of.Name, b.Of.Name))
+			return cmp.Or(cmp.Compare(a.Of.weightedServed, b.Of.weightedServed), cmp.Compare(a.Of.Name, b.Of.Name))
 		}
 		if a.Conf.Urgent != b.Conf.Urgent {
 			if a.Conf.Urgent {
@@ -194,22 +198,22 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(a.Conf.Rank, b.Conf.Rank), cmp.Compare(a.spent, b.spent), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.Conf.Rank, b.Conf.Rank), cmp.Compare(a.weightedServed, b.weightedServed), cmp.Compare(a.Name, b.Name))
 	})
 	return out
 }
 
-// Lanes calls f with each lane in turn until it says stop; the turn goes on
-// behind the lane that was served.
-func (c *Class) Lanes(f func(l *Lane) (served, stop bool)) {
-	for i := 0; i < len(c.turn); i++ {
-		l := c.lanes[c.turn[i]]
+// EachLane calls f for each lane with a waiter, in round-robin order, until f reports that it served the lane or
+// wants to stop. The next round begins after the lane that was served.
+func (c *Class) EachLane(f func(l *Lane) (served, stop bool)) {
+	for i := 0; i < len(c.laneOrder); i++ {
+		l := c.lanes[c.laneOrder[i]]
 		if c.front(l) == nil {
 			continue
 		}
 		served, stop := f(l)
 		if served {
-			c.turn = append(c.turn[i+1:], c.turn[:i+1]...)
+			c.laneOrder = append(c.laneOrder[i+1:], c.laneOrder[:i+1]...)
 			return
 		}
 		if stop {
@@ -218,21 +222,21 @@
 	}
 }
 
-// Pop takes the front waiter of a lane and counts it as served.
+// Pop removes the front waiter of a lane and counts it as served.
 func (c *Class) Pop(l *Lane) *Waiter {
 	c.size--
-	c.spent += 1 / float64(max(c.Conf.Weight, 1))
-	c.Of.spent += 1 / float64(max(c.Of.share, 1))
+	c.weightedServed += 1 / float64(max(c.Conf.Weight, 1))
+	c.Of.weightedServed += 1 / float64(max(c.Of.share, 1))
 	return l.Waiters.PopFront()
 }
 
-// Waiting counts the waiters of model lanes, by item.
+// Waiting returns the number of waiters for models, by item.
 func (q *Queue) Waiting() map[string]int {
 	out := map[string]int{}
 	for _, c := range q.classes {
 		for key, l := range c.lanes {
 			for i := range l.Waiters.Len() {
-				if w := l.Waiters.At(i); w.Waits() && w.Target.Route.Kind == "model" {
+				if w := l.Waiters.At(i); w.IsWaiting() && w.Target.Route.Kind == "model" {
 					out[key]++
 				}
 			}
@@ -241,11 +245,11 @@
 	return out
 }
 
-// front lets go of waiters at a lane's front that no longer wait, and gives the
-// first that does; nil when there is none.
+// front removes waiters that no longer wait from the front of a lane and returns the
+// first one that does; nil if there is none.
 func (c *Class) front(l *Lane) *Waiter {
 	for l.Waiters.Len() > 0 {
-		if w := l.Waiters.Front(); w.Waits() {
+		if w := l.Waiters.Front(); w.IsWaiting() {
 			return w
 		}
 		l.Waiters.PopFront()
@@ -254,7 +258,7 @@
 	return nil
 }
 
-// Oldest is the waiter that has waited longest for what w needs.
+// Oldest returns the waiter of the class that has waited longest for what w needs.
 func (c *Class) Oldest(w *Waiter) *Waiter {
 	if l := c.lanes[w.Target.Lane()]; l != nil {
 		if first := c.front(l); first != nil {
@@ -264,5 +268,5 @@
 	return w
 }
 
-// Size is how many waiters a class holds.
+// Size returns the number of waiters in the class, including those that no longer wait and have not been removed yet.
 func (c *Class) Size() int { return c.size }
--- a/internal/route/steer_test.go
+++ b/internal/route/steer_test.go
@@ -16,10 +16,10 @@
 	"drumstall.example/internal/state"
 )
 
-// sharedWorld is a keeper with four replicas of one model, renewed by hand.
-type sharedWorld struct {
-	*Keeper
-	clock  *handClock
+// tenantFixture is a router with replicas of one model and a manual clock, renewed by hand.
+type tenantFixture struct {
+	*Router
+	clock  *manualClock
 	gossip *gossip.Table
 	serial uint64
 }
@@ -34,18 +34,18 @@
 		"models":{"m":{"sizeMib":1,"service":"gpu"}}}`
 )
 
-func newShared(t *testing.T, doc string) *sharedWorld {
+func newTenantFixture(t *testing.T, doc string) *tenantFixture {
 	t.Helper()
-	return newSharedOf(t, doc, 4)
+	return newTenantFixtureOf(t, doc, 4)
 }
 
-func newSharedOf(t *testing.T, doc string, replicas int) *sharedWorld {
+func newTenantFixtureOf(t *testing.T, doc string, replicas int) *tenantFixture {
 	t.Helper()
-	s := &sharedWorld{clock: &handClock{now: time.Hour}, gossip: gossip.NewTable()}
+	s := &tenantFixture{clock: &manualClock{now: time.Hour}, gossip: gossip.NewTable()}
 	stopped := run.NewGroup(context.Background())
 	stopped.Stop()
-	s.Keeper = NewKeeper(Deps{Group: stopped, Gossip: s.gossip, Clock: s.clock, Zone: func() string { return "z1" },
-		HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
+	s.Router = NewRouter(Deps{Group: stopped, Gossip: s.gossip, Clock: s.clock, Zone: func() string { return "z1" },
+		SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
 	for i := range replicas {
 		id := fmt.Sprint("r", i)
 		n := order.Status{Listed: inventory.Listed{ID: id, Zone: "z1", Model: true, Slots: 1000, Labels: map[string]string{"pool": "main"}}, Slots: 1000,
@@ -56,35 +56,35 @@
 	return s
 }
 
-func (s *sharedWorld) configure(t *testing.T, doc string) {
+func (s *tenantFixture) configure(t *testing.T, doc string) {
 	t.Helper()
-	k, err := conf.ReadWhole("application/json", []byte(doc))
+	kept, err := conf.ReadWhole("application/json", []byte(doc))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.serial++
-	k.Serial = s.serial
-	s.gossip.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: s.serial}, Value: k.Pack()})
+	kept.Serial = s.serial
+	s.gossip.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: s.serial}, Value: kept.Pack()})
 	s.renew()
 }
 
-func (s *sharedWorld) target(class string, prompt int) Target {
-	return Target{Route: conf.Route{Kind: "model", Class: class}, Item: conf.Item{Model: "m"}, Prompt: PromptOf("m", []Part{{fmt.Sprint(class, prompt), 1000}})}
+func (s *tenantFixture) target(class string, prompt int) Target {
+	return Target{Route: conf.Route{Kind: "model", Class: class}, Item: conf.Item{Model: "m"}, Prompt: PromptFromParts("m", []Part{{fmt.Sprint(class, prompt), 1000}})}
 }
 
-// send sends a prompt where it should go, and says where that was.
-func (s *sharedWorld) send(class string, prompt int) string {
+// send starts and ends an attempt at the chosen replica and returns its ID; empty if there is none.
+func (s *tenantFixture) send(class string, prompt int) string {
 	t := s.target(class, prompt)
 	r, _, _ := s.Choose(t)
 	if r == nil {
 		return ""
 	}
-	s.Took(t, r).Done()
+	s.StartAttempt(t, r).Done()
 	return r.Listed.ID
 }
 
-// spread is how many prompts of a class went to each replica.
-func (s *sharedWorld) spread(class string, from, n int) map[string]int {
+// spread sends n prompts of a class and returns how many went to each replica.
+func (s *tenantFixture) spread(class string, from, n int) map[string]int {
 	out := map[string]int{}
 	for i := range n {
 		out[s.send(class, from+i)]++
@@ -95,13 +95,13 @@
 func TestBulkOfAnotherTenantIsSteeredToItsShareOfReplicas(t *testing.T) {
 	for _, c := range []struct {
 		name, doc string
-		replicas  int // that the bulk goes to
+		replicas  int // number of replicas that take the bulk
 	}{
-		{"replicas that evict by last use", fmt.Sprintf(withTenants, ""), 2},
+		{"replicas that evict in LRU order", fmt.Sprintf(withTenants, ""), 2},
 		{"replicas that divide their cache", fmt.Sprintf(withTenants, `,"cacheByShare":true`), 4},
 		{"no tenants", withoutTenants, 4},
 	} {
-		s := newShared(t, c.doc)
+		s := newTenantFixture(t, c.doc)
 		s.spread("plates", 0, 8)
 		s.spread("bulk", 0, 200)
 		theirs := s.spread("bulk", 1000, 200)
@@ -119,52 +119,52 @@
 	}
 }
 
-func TestIdleCachesAreLent(t *testing.T) {
-	s := newShared(t, fmt.Sprintf(withTenants, ""))
+func TestTenantUsesIdleCachesOfOthers(t *testing.T) {
+	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	if got := s.spread("bulk", 0, 400); len(got) != 4 {
-		t.Errorf("a tenant alone uses %v", got)
+		t.Errorf("a tenant without others uses %v, want 4 replicas", got)
 	}
 	s.spread("plates", 0, 1)
 	if got := s.spread("bulk", 1000, 200); len(got) != 2 {
-		t.Errorf("beside another it uses %v", got)
+		t.Errorf("beside another tenant it uses %v, want 2 replicas", got)
 	}
-	// The other vanishes.
+	// The other tenant becomes absent.
 	s.renew()
-	s.clock.now += presentFor
+	s.clock.now += presenceTTL
 	s.renew()
 	if got := s.spread("bulk", 2000, 400); len(got) != 4 {
-		t.Errorf("alone again it uses %v", got)
+		t.Errorf("after the other became absent it uses %v, want 4 replicas", got)
 	}
 }
 
-func TestPresenceIsToldToOtherProxies(t *testing.T) {
-	a, b := newShared(t, fmt.Sprintf(withTenants, "")), newShared(t, fmt.Sprintf(withTenants, ""))
+func TestPresenceReachesOtherProxies(t *testing.T) {
+	a, b := newTenantFixture(t, fmt.Sprintf(withTenants, "")), newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	a.send("plates", 0)
 	fresh, _, _ := a.gossip.After(0)
-	told := 0
+	announced := 0
 	for _, e := range fresh {
 		if e.Key == presenceKey(party{Tenant: "ours"}) {
 			b.gossip.Put(e)
-			told++
+			announced++
 		}
 	}
 	b.renew()
 	b.spread("bulk", 0, 100)
-	if got := b.spread("bulk", 1000, 200); told != 1 || len(got) != 2 {
-		t.Errorf("told %d times; the bulk at the other proxy goes to %v", told, got)
+	if got := b.spread("bulk", 1000, 200); announced != 1 || len(got) != 2 {
+		t.Errorf("announced %d times, want 1; the bulk at the other proxy goes to %v, want 2 replicas", announced, got)
 	}
 }
 
-func TestSteeringLeavesWaysOpen(t *testing.T) {
-	s := newShared(t, fmt.Sprintf(withTenants, ""))
-	s.spread("bulk", 0, 8) // warm all over, before anybody else is there
+func TestSteeringAllowsWarmReplicasAndRetries(t *testing.T) {
+	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
+	s.spread("bulk", 0, 8) // warm on all replicas, before another tenant is present
 	s.spread("plates", 0, 4)
 	s.spread("bulk", 1000, 200)
 	now, able := s.clock.now, []string{"r0", "r1", "r2", "r3"}
 	warm := 0
 	for i := range 8 {
-		for id := range s.warmth.warm(s.target("bulk", i).Prompt) {
-			if !s.steer(s.target("bulk", i), s.Now(), able, now).allows(id) {
+		for id := range s.prefixes.warmFractions(s.target("bulk", i).Prompt) {
+			if !s.steer(s.target("bulk", i), s.Current(), able, now).allows(id) {
 				t.Errorf("a prompt may not go to %s, where it is warm", id)
 			}
 			warm++
@@ -176,36 +176,36 @@
 	again := s.target("bulk", 5000)
 	again.Avoid = "r0"
 	for _, id := range able {
-		if !s.steer(again, s.Now(), able, now).allows(id) {
-			t.Errorf("a request that has failed elsewhere may not go to %s", id)
+		if !s.steer(again, s.Current(), able, now).allows(id) {
+			t.Errorf("a request that failed on another replica may not go to %s", id)
 		}
 	}
-	if got := s.steer(s.target("bulk", 5000), s.Now(), able[:1], now); got.isOn {
-		t.Errorf("with one replica there is nothing to choose: %+v", got)
+	if got := s.steer(s.target("bulk", 5000), s.Current(), able[:1], now); got.enabled {
+		t.Errorf("steering is enabled with a single replica: %+v", got)
 	}
 }
 
-func TestOwnBulkKeepsAwayFromUrgentWork(t *testing.T) {
-	s := newShared(t, fmt.Sprintf(withTenants, ""))
+func TestOwnBulkAvoidsReplicasOfUrgentRequests(t *testing.T) {
+	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	s.spread("plates", 0, 4)
 	s.spread("night", 0, 100)
 	night, urgent := s.spread("night", 1000, 100), s.spread("plates", 100, 5)
 	if len(night) != 2 {
-		t.Errorf("the night's work goes to %v, want half of the replicas", night)
+		t.Errorf("the bulk of the least urgent rank goes to %v, want half of the replicas", night)
 	}
 	for id := range urgent {
 		if night[id] > 0 {
-			t.Errorf("urgent work goes to %s, where the night's goes", id)
+			t.Errorf("urgent requests go to %s, where the bulk goes", id)
 		}
 	}
-	f := s.Tenants()["ours"]
-	if f.Share != 1 || f.Tokens != 209_000 || f.Warm != 0 || f.Kept != 209 {
-		t.Errorf("figures %+v", f)
+	f := s.StatsByTenant()["ours"]
+	if f.Share != 1 || f.Tokens != 209_000 || f.Warm != 0 || f.Prefixes != 209 {
+		t.Errorf("statistics %+v", f)
 	}
 }
 
-func TestSharesMayChangeInARun(t *testing.T) {
-	s := newShared(t, fmt.Sprintf(withTenants, ""))
+func TestSharesMayChangeAtRuntime(t *testing.T) {
+	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	s.spread("plates", 0, 4)
 	s.spread("bulk", 0, 200)
 	for _, c := range []struct{ share, replicas int }{{1, 2}, {3, 3}, {1, 2}} {
@@ -217,7 +217,7 @@
 	}
 }
 
-// What the look at tenants adds to a choice while one of them sends bulk.
+// BenchmarkChooseAmongTenants measures what tenants add to a choice, also while one of them sends bulk.
 func BenchmarkChooseAmongTenants(b *testing.B) {
 	for _, replicas := range []int{4, 150} {
 		for _, c := range []struct {
@@ -225,7 +225,7 @@
 			bulk      int // prompts for each replica
 		}{{"no tenants", withoutTenants, 50}, {"tenants", fmt.Sprintf(withTenants, ""), 0}, {"a bulk run", fmt.Sprintf(withTenants, ""), 50}} {
 			b.Run(fmt.Sprintf("%s, %d replicas", c.name, replicas), func(b *testing.B) {
-				s := newSharedOf(&testing.T{}, c.doc, replicas)
+				s := newTenantFixtureOf(&testing.T{}, c.doc, replicas)
 				s.spread("plates", 0, 8)
 				s.spread("bulk", 0, c.bulk*replicas)
 				target := s.target("bulk", 1_000_000)
