--- a/internal/proxy/passage_test.go
+++ b/internal/proxy/dispatch_test.go
@@ -20,7 +20,7 @@
 
 // A silent replica is the only one that could answer until another that holds
 // the model becomes known, or until its controller says that it is dark.
-func TestWhichReplicaIsTheOnlyOne(t *testing.T) {
+func TestOnlyReplicaCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		defer g.Stop()
@@ -38,8 +38,8 @@
 		target := route.Target{Route: conf.Route{Kind: "model", Repeatable: true, Attempts: 2}, Item: conf.Item{Model: "m"}}
 		tell("r1", false)
 		now := time.Now()
-		w := &passage{p: p, number: 1, call: Call{Target: target, FirstBy: now.Add(2 * time.Second)}}
-		q := w.request(routes.Now().Replicas["r1"], now.Add(time.Second))
+		w := &dispatch{proxy: p, attempts: 1, call: Call{Target: target, FirstByteDeadline: now.Add(2 * time.Second)}}
+		q := w.attemptRequest(routes.Now().Replicas["r1"], now.Add(time.Second))
 		only := func(when string, want bool) {
 			if q.Only() != want {
 				t.Errorf("%s: the only one: %v", when, !want)
@@ -51,11 +51,11 @@
 		p.budget.First("models", 5)
 		only("two hold it", false)
 		tell("r2", true)
-		w.giveBack()
+		w.releaseReservedRetry()
 		only("the other is dark", true)
 		tell("r1", true)
 		only("it is dark itself", false)
-		if q := w.request(routes.Now().Replicas["r1"], w.call.FirstBy); q.Only != nil {
+		if q := w.attemptRequest(routes.Now().Replicas["r1"], w.call.FirstByteDeadline); q.Only != nil {
 			t.Error("asked for although it has all the time there is")
 		}
 	})
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -10,33 +10,33 @@
 )
 
 // maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+const maxEventSize = 1 << 20
 
 // maxChunk is how much of a stream is read at once.
-const maxChunk = 4 << 10
+const readChunkSize = 4 << 10
 
 var errEventTooLong = errors.New("proxy: an event of a stream is too long")
 
 // eventStream passes whole events on. When the replica breaks off, another goes
 // on after the last event that was passed on, within the same answer.
 type eventStream struct {
-	ctx     context.Context
-	passage *passage
-	from    *begun
-	chunk   []byte // room to read into
-	partial []byte // read, and not yet a whole event
-	ready   []byte // whole events that are to be passed on
-	out     []byte // the buffer that ready is a part of
-	last    uint64 // number of the last event passed on
-	known   bool   // last has a value
-	ended   bool
-	handover
+	ctx       context.Context
+	dispatch  *dispatch
+	source    *activeReply
+	readBuf   []byte // room to read into
+	partial   []byte // read, and not yet a whole event
+	ready     []byte // whole events that are to be passed on
+	readyBuf  []byte // the buffer that ready is a part of
+	lastID    uint64 // number of the last event passed on
+	hasLastID bool   // last has a value
+	ended     bool
+	failoverState
 }
 
-func newEventStream(ctx context.Context, w *passage, from *begun) *eventStream {
-	s := &eventStream{ctx: ctx, passage: w, from: from}
-	if n, err := strconv.ParseUint(w.call.LastEvent, 10, 64); err == nil {
-		s.last, s.known = n, true
+func newEventStream(ctx context.Context, w *dispatch, from *activeReply) *eventStream {
+	s := &eventStream{ctx: ctx, dispatch: w, source: from}
+	if n, err := strconv.ParseUint(w.call.LastEventID, 10, 64); err == nil {
+		s.lastID, s.hasLastID = n, true
 	}
 	w.stream.Store(s)
 	return s
@@ -48,7 +48,7 @@
 		if s.ended {
 			return 0, io.EOF
 		}
-		if err := s.more(); err != nil {
+		if err := s.fill(); err != nil {
 			return 0, err
 		}
 	}
@@ -58,21 +58,21 @@
 }
 
 // more reads until there is a whole event, or the stream has ended.
-func (s *eventStream) more() error {
-	if s.chunk == nil {
-		s.chunk = make([]byte, maxChunk)
+func (s *eventStream) fill() error {
+	if s.readBuf == nil {
+		s.readBuf = make([]byte, readChunkSize)
 	}
-	n, err := s.from.Read(s.chunk)
-	if s.isTakenOver() {
-		return s.resume(errTakenOver)
+	n, err := s.source.Read(s.readBuf)
+	if s.hasFailedOver() {
+		return s.resume(errFailedOver)
 	}
-	s.partial = append(s.partial, s.chunk[:n]...)
-	if len(s.partial) > maxEvent {
+	s.partial = append(s.partial, s.readBuf[:n]...)
+	if len(s.partial) > maxEventSize {
 		return errEventTooLong
 	}
-	s.take(err == io.EOF)
+	s.extract(err == io.EOF)
 	if n > 0 {
-		s.progress()
+		s.recordProgress()
 	}
 	switch {
 	case err == io.EOF:
@@ -86,9 +86,9 @@
 
 // take moves whole events to where they are passed on from, but for those that
 // were passed on before.
-func (s *eventStream) take(all bool) {
+func (s *eventStream) extract(all bool) {
 	rest := s.partial
-	s.ready = s.out[:0]
+	s.ready = s.readyBuf[:0]
 	for {
 		end := eventEnd(rest)
 		if end < 0 {
@@ -96,17 +96,17 @@
 		}
 		event := rest[:end]
 		rest = rest[end:]
-		number, numbered := eventNumber(event)
+		number, numbered := eventID(event)
 		// Why: a replica that goes on with a stream may begin a little early; no event may come twice.
-		if numbered && s.known && number <= s.last {
+		if numbered && s.hasLastID && number <= s.lastID {
 			continue
 		}
 		if numbered {
-			s.last, s.known = number, true
+			s.lastID, s.hasLastID = number, true
 		}
 		s.ready = append(s.ready, event...)
 	}
-	if number, numbered := eventNumber(rest); all && !(numbered && s.known && number <= s.last) {
+	if number, numbered := eventID(rest); all && !(numbered && s.hasLastID && number <= s.lastID) {
 		s.ready = append(s.ready, rest...)
 	}
 	if all {
@@ -114,7 +114,7 @@
 	}
 	// Why: the rest moves to the front of the same buffer, so that none is made for each event and it does not grow for ever.
 	s.partial = append(s.partial[:0], rest...)
-	s.out = s.ready
+	s.readyBuf = s.ready
 }
 
 // eventEnd is where the first event ends, with the blank line behind it; -1 is not yet.
@@ -131,7 +131,7 @@
 }
 
 // eventNumber is the id of an event, if it is a number.
-func eventNumber(event []byte) (uint64, bool) {
+func eventID(event []byte) (uint64, bool) {
 	for line := range bytes.Lines(event) {
 		rest, found := bytes.CutPrefix(line, []byte("id:"))
 		if !found {
@@ -145,20 +145,20 @@
 
 // resume has another replica go on after the last event passed on.
 func (s *eventStream) resume(broke error) error {
-	_ = s.from.Close()
+	_ = s.source.Close()
 	s.partial = nil
-	next, err := s.successor(broke)
+	next, err := s.nextReply(broke)
 	if err != nil {
 		return err
 	}
-	s.from = next
+	s.source = next
 	return nil
 }
 
 // Close ends the attempts that are under way.
 func (s *eventStream) Close() error {
-	err := s.from.Close()
-	s.abandon()
-	s.passage.giveBack()
+	err := s.source.Close()
+	s.cancelFailover()
+	s.dispatch.releaseReservedRetry()
 	return err
 }
--- a/internal/proxy/events_bench_test.go
+++ b/internal/proxy/events_bench_test.go
@@ -16,9 +16,9 @@
 			}
 			s := &eventStream{}
 			for b.Loop() {
-				s.known = false
+				s.hasLastID = false
 				s.partial = append(s.partial, chunk.Bytes()...)
-				s.take(false)
+				s.extract(false)
 			}
 		})
 	}
--- a/internal/proxy/events_test.go
+++ b/internal/proxy/events_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestWhereAnEventEnds(t *testing.T) {
+func TestEventEnd(t *testing.T) {
 	for text, want := range map[string]int{
 		"": -1, "\n": -1, "data: x\n": -1, "data: x\r\n\r": -1, "data: x\n\n": 9, "data: x\n\nmore\n\n": 9,
 		"data: x\r\n\r\n": 11, "a\r\n\r\nb\n\n": 5, "a\n\nb\r\n\r\n": 3, "\n\n": 2, "\r\n\r\n": 4, "a\n\r\nb": -1,
@@ -20,13 +20,13 @@
 	}
 }
 
-func TestNumbersOfEvents(t *testing.T) {
+func TestEventID(t *testing.T) {
 	for text, want := range map[string]string{
 		"id: 7\ndata: x\n\n": "7 true", "id:7\n\n": "7 true", "data: x\r\nid: 12\r\n\r\n": "12 true", "event: e\nid: 0\n\n": "0 true",
 		"data: x\n\n": "0 false", "id: seven\n\n": "0 false", "id:\n\n": "0 false", "id: -1\n\n": "0 false", "data: id: 4\n\n": "0 false",
 		"ident: 4\n\n": "0 false", " id: 4\n\n": "0 false", "id: 18446744073709551615\n\n": "18446744073709551615 true",
 	} {
-		n, numbered := eventNumber([]byte(text))
+		n, numbered := eventID([]byte(text))
 		if !numbered {
 			n = 0
 		}
@@ -37,36 +37,36 @@
 }
 
 // taken feeds pieces to a stream and gives what is passed on after each.
-func taken(s *eventStream, pieces ...string) []string {
+func extractPieces(s *eventStream, pieces ...string) []string {
 	var out []string
 	for _, piece := range pieces {
 		s.partial = append(s.partial, piece...)
-		s.take(false)
+		s.extract(false)
 		out = append(out, string(s.ready))
 	}
 	return out
 }
 
-func TestOnlyWholeEventsArePassedOn(t *testing.T) {
+func TestOnlyCompleteEventsAreForwarded(t *testing.T) {
 	s := &eventStream{}
-	got := taken(s, "id: 1\nda", "ta: x\n", "\nid: 2\ndata: y\n\nid: 3", "\n")
+	got := extractPieces(s, "id: 1\nda", "ta: x\n", "\nid: 2\ndata: y\n\nid: 3", "\n")
 	want := []string{"", "", "id: 1\ndata: x\n\nid: 2\ndata: y\n\n", ""}
-	if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || string(s.partial) != "id: 3\n" || s.last != 2 || !s.known {
-		t.Errorf("got %q, left %q, last %d", got, s.partial, s.last)
+	if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || string(s.partial) != "id: 3\n" || s.lastID != 2 || !s.hasLastID {
+		t.Errorf("got %q, left %q, last %d", got, s.partial, s.lastID)
 	}
-	if s.take(true); string(s.ready) != "id: 3\n" || len(s.partial) != 0 {
+	if s.extract(true); string(s.ready) != "id: 3\n" || len(s.partial) != 0 {
 		t.Errorf("at the end: %q, left %q", s.ready, s.partial)
 	}
 }
 
-func TestEventsPassedOnBeforeAreLeftOut(t *testing.T) {
-	s := &eventStream{last: 4, known: true}
-	got := strings.Join(taken(s, "id: 3\ndata: c\n\nid: 4\ndata: d\n\n: still here\n\nid: 5\ndata: e\n\nid: 5\ndata: e\n\nid: 2\n\ndata: bare\n\nid: 9\n\n"), "")
-	if want := ": still here\n\nid: 5\ndata: e\n\ndata: bare\n\nid: 9\n\n"; got != want || s.last != 9 {
-		t.Errorf("got %q, last %d", got, s.last)
+func TestDuplicateEventsAreDropped(t *testing.T) {
+	s := &eventStream{lastID: 4, hasLastID: true}
+	got := strings.Join(extractPieces(s, "id: 3\ndata: c\n\nid: 4\ndata: d\n\n: still here\n\nid: 5\ndata: e\n\nid: 5\ndata: e\n\nid: 2\n\ndata: bare\n\nid: 9\n\n"), "")
+	if want := ": still here\n\nid: 5\ndata: e\n\ndata: bare\n\nid: 9\n\n"; got != want || s.lastID != 9 {
+		t.Errorf("got %q, last %d", got, s.lastID)
 	}
 	first := &eventStream{}
-	if got := strings.Join(taken(first, "id: 0\ndata: a\n\nid: 0\ndata: a\n\n"), ""); got != "id: 0\ndata: a\n\n" {
+	if got := strings.Join(extractPieces(first, "id: 0\ndata: a\n\nid: 0\ndata: a\n\n"), ""); got != "id: 0\ndata: a\n\n" {
 		t.Errorf("a stream that begins with 0: got %q", got)
 	}
 }
@@ -102,40 +102,40 @@
 	return out
 }
 
-func drained(s *eventStream, pieces ...string) string {
-	out := strings.Join(taken(s, pieces...), "")
-	s.take(true)
+func extractAll(s *eventStream, pieces ...string) string {
+	out := strings.Join(extractPieces(s, pieces...), "")
+	s.extract(true)
 	return out + string(s.ready)
 }
 
-func TestSplitsMakeNoDifference(t *testing.T) {
+func TestExtractIsIndependentOfChunking(t *testing.T) {
 	for seed := range uint64(500) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		text, last, known := randomStream(rnd), uint64(rnd.IntN(6)), rnd.IntN(2) == 0
-		want := drained(&eventStream{last: last, known: known}, text)
-		s := &eventStream{last: last, known: known}
-		if got := drained(s, split(rnd, text)...); got != want {
+		want := extractAll(&eventStream{lastID: last, hasLastID: known}, text)
+		s := &eventStream{lastID: last, hasLastID: known}
+		if got := extractAll(s, split(rnd, text)...); got != want {
 			t.Fatalf("seed %d: got %q, want %q", seed, got, want)
 		}
 	}
 }
 
-func FuzzTakeAtAnySplit(f *testing.F) {
+func FuzzExtractAtAnySplit(f *testing.F) {
 	f.Add("id: 1\ndata: x\n\nid: 2\r\n\r\nid: 1\n\n", 5, 12)
 	f.Add("a\r\n\r\n\n\nb", 3, 4)
 	f.Fuzz(func(t *testing.T, text string, one, two int) {
 		one = min(max(one, 0), len(text))
 		two = min(max(two, one), len(text))
-		want := drained(&eventStream{}, text)
-		if got := drained(&eventStream{}, text[:one], text[one:two], text[two:]); got != want {
+		want := extractAll(&eventStream{}, text)
+		if got := extractAll(&eventStream{}, text[:one], text[one:two], text[two:]); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	})
 }
 
-func TestReadGivesPiecesOfAnyLength(t *testing.T) {
+func TestReadWithSmallBuffer(t *testing.T) {
 	s := &eventStream{ended: true}
-	taken(s, "id: 1\ndata: x\n\n")
+	extractPieces(s, "id: 1\ndata: x\n\n")
 	var got strings.Builder
 	buf := make([]byte, 4)
 	for {
@@ -154,7 +154,7 @@
 }
 
 // What is made for each event is work for the collector, some hundred times a second.
-func TestAnEventIsPassedOnWithoutNewMemory(t *testing.T) {
+func TestForwardingAnEventDoesNotAllocate(t *testing.T) {
 	s := &eventStream{}
 	number := uint64(0)
 	event := make([]byte, 0, 100)
@@ -163,7 +163,7 @@
 		event = append(strconv.AppendUint(append(event[:0], "id: "...), number, 10), "\ndata: lorem ipsum\n\n"...)
 		for _, piece := range [][]byte{event[:5], event[5:]} {
 			s.partial = append(s.partial, piece...)
-			s.take(false)
+			s.extract(false)
 		}
 		if len(s.ready) != len(event) {
 			t.Fatalf("event %d: %q was passed on", number, s.ready)
--- a/internal/proxy/handover.go
+++ b/internal/proxy/failover.go
@@ -12,105 +12,105 @@
 	"drumstall.example/internal/attempt"
 )
 
-var errTakenOver = errors.New("proxy: another replica goes on with the stream")
+var errFailedOver = errors.New("proxy: another replica goes on with the stream")
 
 // handover is how a stream changes from a replica that has fallen silent to one that
 // goes on with it. Why: silence is no proof. The silent replica is let go of only when the other one has
 // begun to answer; a refusal there would end an answer that might have come.
-type handover struct {
-	mu     sync.Mutex
-	reads  uint64 // pieces that have come
-	after  uint64 // number of the last event passed on, as of the last of them
-	some   bool   // after has a value
-	trial  *trial // the attempt at another replica, while it is under way
-	next   *begun // has begun to go on
-	closed bool
+type failoverState struct {
+	mu             sync.Mutex
+	dataReads      uint64           // pieces that have come
+	resumeAfter    uint64           // number of the last event passed on, as of the last of them
+	hasResumeAfter bool             // after has a value
+	pending        *failoverAttempt // the attempt at another replica, while it is under way
+	successor      *activeReply     // has begun to go on
+	closed         bool
 }
 
 // trial is an attempt to have another replica go on.
-type trial struct {
+type failoverAttempt struct {
 	cancel context.CancelFunc
-	over   chan struct{}
+	done   chan struct{}
 }
 
 // isTakingOver says that another replica is being tried because this one is silent.
-func (s *eventStream) isTakingOver(replica string) bool {
+func (s *eventStream) isFailingOver(replica string) bool {
 	if s == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.trial != nil && s.from.replica == replica
+	return s.pending != nil && s.source.replica == replica
 }
 
 // isTakenOver says that another replica goes on, and that what comes from this one
 // is to be left out.
-func (s *eventStream) isTakenOver() bool {
+func (s *eventStream) hasFailedOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.next != nil
+	return s.successor != nil
 }
 
 // progress notes that a piece has come.
-func (s *eventStream) progress() {
+func (s *eventStream) recordProgress() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reads++
-	s.handover.after, s.some = s.last, s.known
+	s.dataReads++
+	s.failoverState.resumeAfter, s.hasResumeAfter = s.lastID, s.hasLastID
 }
 
 // takeOver tries to have another replica go on, and says whether one does. The stream's
 // reader waits for the silent replica meanwhile, and a piece that comes from that ends the trial.
-func (s *eventStream) takeOver() bool {
+func (s *eventStream) failOver() bool {
 	if s == nil {
 		return true
 	}
 	s.mu.Lock()
-	if s.trial != nil || s.next != nil || s.closed {
+	if s.pending != nil || s.successor != nil || s.closed {
 		defer s.mu.Unlock()
-		return s.next != nil
+		return s.successor != nil
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	t := &trial{cancel: cancel, over: make(chan struct{})}
-	reads, last, known := s.reads, s.handover.after, s.some
-	s.trial = t
+	t := &failoverAttempt{cancel: cancel, done: make(chan struct{})}
+	reads, last, known := s.dataReads, s.failoverState.resumeAfter, s.hasResumeAfter
+	s.pending = t
 	s.mu.Unlock()
-	next, err := s.goOn(ctx, last, known, errTakenOver)
+	next, err := s.requestResume(ctx, last, known, errFailedOver)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer close(t.over)
-	s.trial = nil
+	defer close(t.done)
+	s.pending = nil
 	switch {
 	case err != nil:
 		cancel()
 		return false
-	case s.closed || s.reads != reads:
+	case s.closed || s.dataReads != reads:
 		_ = next.Close()
 		cancel()
 		return false
 	}
-	s.next = next
+	s.successor = next
 	return true
 }
 
 // successor is the replica that goes on with a stream that broke off: the one that has
 // begun to, or else one that is asked now.
-func (s *eventStream) successor(broke error) (*begun, error) {
-	s.awaitTrial(false)
+func (s *eventStream) nextReply(broke error) (*activeReply, error) {
+	s.awaitFailover(false)
 	s.mu.Lock()
-	next := s.next
-	s.next = nil
+	next := s.successor
+	s.successor = nil
 	s.mu.Unlock()
 	if next != nil {
 		return next, nil
 	}
-	return s.goOn(s.ctx, s.last, s.known, broke)
+	return s.requestResume(s.ctx, s.lastID, s.hasLastID, broke)
 }
 
 // awaitTrial waits until a trial that is under way is over, and may cut it short.
-func (s *eventStream) awaitTrial(cutShort bool) {
+func (s *eventStream) awaitFailover(cutShort bool) {
 	s.mu.Lock()
-	t := s.trial
+	t := s.pending
 	s.mu.Unlock()
 	if t == nil {
 		return
@@ -118,23 +118,23 @@
 	if cutShort {
 		t.cancel()
 	}
-	<-t.over
+	<-t.done
 }
 
 // goOn asks another replica to go on after an event.
-func (s *eventStream) goOn(ctx context.Context, last uint64, known bool, broke error) (*begun, error) {
-	w := s.passage
-	if ctx.Err() != nil || w.number >= w.call.Target.Route.Attempts || !time.Now().Before(w.call.Deadline) {
+func (s *eventStream) requestResume(ctx context.Context, last uint64, known bool, broke error) (*activeReply, error) {
+	w := s.dispatch
+	if ctx.Err() != nil || w.attempts >= w.call.Target.Route.Attempts || !time.Now().Before(w.call.Deadline) {
 		return nil, broke
 	}
-	w.call.Target.Avoid = s.from.replica
-	w.call.FirstBy = w.call.Deadline
+	w.call.Target.Avoid = s.source.replica
+	w.call.FirstByteDeadline = w.call.Deadline
 	w.outcome = attempt.Unknown
 	if known {
-		w.call.LastEvent = strconv.FormatUint(last, 10)
+		w.call.LastEventID = strconv.FormatUint(last, 10)
 	}
-	next, refusal := w.begin(ctx)
-	w.giveBack()
+	next, refusal := w.awaitReply(ctx)
+	w.releaseReservedRetry()
 	if refusal != nil {
 		return nil, errors.Wrap(broke, refusal.Detail)
 	}
@@ -146,15 +146,15 @@
 }
 
 // abandon lets go of a trial that nobody waits for any more.
-func (s *eventStream) abandon() {
+func (s *eventStream) cancelFailover() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.awaitTrial(true)
+	s.awaitFailover(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next != nil {
-		_ = s.next.Close()
-		s.next = nil
+	if s.successor != nil {
+		_ = s.successor.Close()
+		s.successor = nil
 	}
 }
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/failover_test.go
@@ -29,55 +29,55 @@
 )
 
 // script is what a replica does with a request: it writes to the connection, which ends when it returns.
-type script func(out *replicaOut)
+type script func(out *replicaConn)
 
 // replicaOut writes an answer as a replica does.
-type replicaOut struct{ conn net.Conn }
+type replicaConn struct{ conn net.Conn }
 
-func (o *replicaOut) head() {
+func (o *replicaConn) writeHead() {
 	_, _ = io.WriteString(o.conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-func (o *replicaOut) events(numbers ...int) {
+func (o *replicaConn) writeEvents(numbers ...int) {
 	for _, n := range numbers {
 		event := fmt.Sprintf("id: %d\ndata: x\n\n", n)
 		_, _ = fmt.Fprintf(o.conn, "%x\r\n%s\r\n", len(event), event)
 	}
 }
 
-func (o *replicaOut) end() { _, _ = io.WriteString(o.conn, "0\r\n\r\n") }
+func (o *replicaConn) end() { _, _ = io.WriteString(o.conn, "0\r\n\r\n") }
 
-func (o *replicaOut) refuse() {
+func (o *replicaConn) refuse() {
 	_, _ = fmt.Fprintf(o.conn, "HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", backend.HeaderOutcome, backend.NotRun)
 }
 
 // twoReplicas is a proxy before two replicas that hold a model.
-type twoReplicas struct {
-	t      *testing.T
-	group  *run.Group
-	fabric *simnet.Fabric
-	proxy  *Proxy
-	table  *gossip.Table
-	asked  [2]int
+type replicaPair struct {
+	t        *testing.T
+	group    *run.Group
+	fabric   *simnet.Fabric
+	proxy    *Proxy
+	table    *gossip.Table
+	requests [2]int
 }
 
 // stallAfter is the pause that should not occur; twice that makes a replica doubted.
-const stallAfter = 300 * time.Millisecond
+const gapTarget = 300 * time.Millisecond
 
-func between(t *testing.T, first, second script, f func(w *twoReplicas)) {
+func runWithReplicas(t *testing.T, first, second script, f func(w *replicaPair)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &twoReplicas{t: t, group: run.NewGroup(t.Context()), table: gossip.NewTable(),
+		w := &replicaPair{t: t, group: run.NewGroup(t.Context()), table: gossip.NewTable(),
 			fabric: simnet.New(1, func(string, string) time.Duration { return time.Millisecond })}
 		routes := route.NewKeeper(route.Deps{Group: w.group, Gossip: w.table, Clock: simhost.NewClock(), Zone: func() string { return "a" },
 			HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
 		w.proxy = &Proxy{routes: routes, budget: attempt.NewBudget(1), log: ring.New(io.Discard, 10).Logger(), demand: map[string]uint64{},
 			sender: attempt.NewSender(w.fabric.Host("10.0.0.9"), attempt.Native{}, time.Minute)}
-		w.proxy.edges.Store(1)
+		w.proxy.edgeCount.Store(1)
 		w.proxy.admission = admission.New(w.group, routes, time.Second, func() {})
 		kept := conf.Kept{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}
 		w.table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: kept.Pack()})
-		listeners := []net.Listener{w.replica(0, first), w.replica(1, second)}
-		w.tell(0)
+		listeners := []net.Listener{w.serve(0, first), w.serve(1, second)}
+		w.announce(0)
 		time.Sleep(time.Second)
 		f(w)
 		w.proxy.sender.Close()
@@ -92,7 +92,7 @@
 func addrOf(i int) string { return fmt.Sprintf("10.0.0.%d:90", i+1) }
 
 // replica serves one request a connection as a script says.
-func (w *twoReplicas) replica(i int, s script) net.Listener {
+func (w *replicaPair) serve(i int, s script) net.Listener {
 	ln, err := w.fabric.Host(fmt.Sprintf("10.0.0.%d", i+1)).Listen(addrOf(i))
 	if err != nil {
 		w.t.Fatal(err)
@@ -110,8 +110,8 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, req.Body)
-				w.asked[i]++
-				s(&replicaOut{conn})
+				w.requests[i]++
+				s(&replicaConn{conn})
 			})
 		}
 	})
@@ -119,15 +119,15 @@
 }
 
 // tell makes a replica known as one that holds the model.
-func (w *twoReplicas) tell(i int) {
+func (w *replicaPair) announce(i int) {
 	id := fmt.Sprintf("r%d", i+1)
 	n := order.Status{Listed: inventory.Listed{ID: id, Addr: addrOf(i), Model: true, Slots: 12}, Slots: 12, Items: map[string]string{"m": backend.Loaded}}
 	w.table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: wire.Pack(n)})
 }
 
 // ask asks for a stream, and gives it with how it ended.
-func (w *twoReplicas) ask() (got string, err error) {
-	r := conf.Route{Kind: "model", Class: "c", Repeatable: true, Streaming: true, Resumable: true, Attempts: 2, GapTarget: stallAfter, Target: time.Second}
+func (w *replicaPair) requestStream() (got string, err error) {
+	r := conf.Route{Kind: "model", Class: "c", Repeatable: true, Streaming: true, Resumable: true, Attempts: 2, GapTarget: gapTarget, Target: time.Second}
 	ctx, cancel := context.WithTimeout(w.t.Context(), 8*time.Second)
 	defer cancel()
 	call := Call{Target: route.Target{Route: r, Item: conf.Item{Model: "m"}}, Deadline: time.Now().Add(8 * time.Second), Body: []byte("{}")}
@@ -135,7 +135,7 @@
 	if refusal != nil {
 		return "", fmt.Errorf("refused: %+v", refusal)
 	}
-	w.tell(1)
+	w.announce(1)
 	// Why: what the budget allows is counted over the requests so far.
 	w.proxy.budget.First("models", 10)
 	body, err := io.ReadAll(a.Body)
@@ -143,7 +143,7 @@
 	return string(body), err
 }
 
-func events(numbers ...int) string {
+func eventText(numbers ...int) string {
 	var b strings.Builder
 	for _, n := range numbers {
 		fmt.Fprintf(&b, "id: %d\ndata: x\n\n", n)
@@ -153,56 +153,56 @@
 
 // silentFor answers one event, is silent for a while, and goes on to the end.
 func silentFor(d time.Duration) script {
-	return func(out *replicaOut) {
-		out.head()
-		out.events(1)
+	return func(out *replicaConn) {
+		out.writeHead()
+		out.writeEvents(1)
 		time.Sleep(d)
-		out.events(2, 3)
+		out.writeEvents(2, 3)
 		out.end()
 	}
 }
 
-func TestASilentReplicaIsNotLetGoForOneThatRefuses(t *testing.T) {
-	between(t, silentFor(3*time.Second), func(out *replicaOut) { out.refuse() }, func(w *twoReplicas) {
-		got, err := w.ask()
-		if err != nil || got != events(1, 2, 3) {
+func TestSilentReplicaIsKeptWhenFailoverIsRefused(t *testing.T) {
+	runWithReplicas(t, silentFor(3*time.Second), func(out *replicaConn) { out.refuse() }, func(w *replicaPair) {
+		got, err := w.requestStream()
+		if err != nil || got != eventText(1, 2, 3) {
 			t.Errorf("got %q, %v", got, err)
 		}
-		if w.asked != [2]int{1, 1} {
-			t.Errorf("asked %v times", w.asked)
+		if w.requests != [2]int{1, 1} {
+			t.Errorf("asked %v times", w.requests)
 		}
 	})
 }
 
-func TestAnotherReplicaGoesOnForASilentOne(t *testing.T) {
-	second := func(out *replicaOut) {
-		out.head()
-		out.events(1, 2, 3)
+func TestStreamFailsOverFromASilentReplica(t *testing.T) {
+	second := func(out *replicaConn) {
+		out.writeHead()
+		out.writeEvents(1, 2, 3)
 		out.end()
 	}
-	between(t, silentFor(time.Hour), second, func(w *twoReplicas) {
+	runWithReplicas(t, silentFor(time.Hour), second, func(w *replicaPair) {
 		began := time.Now()
-		got, err := w.ask()
-		if err != nil || got != events(1, 2, 3) {
+		got, err := w.requestStream()
+		if err != nil || got != eventText(1, 2, 3) {
 			t.Errorf("got %q, %v", got, err)
 		}
-		if took := time.Since(began); took > 2*stallAfter+200*time.Millisecond {
+		if took := time.Since(began); took > 2*gapTarget+200*time.Millisecond {
 			t.Errorf("took %v", took)
 		}
 	})
 }
 
-func TestWhatComesFirstCountsDuringATrial(t *testing.T) {
-	second := func(out *replicaOut) {
+func TestFirstDataWinsDuringFailover(t *testing.T) {
+	second := func(out *replicaConn) {
 		time.Sleep(2 * time.Second)
-		out.head()
-		out.events(2, 3)
+		out.writeHead()
+		out.writeEvents(2, 3)
 		out.end()
 	}
-	between(t, silentFor(time.Second), second, func(w *twoReplicas) {
+	runWithReplicas(t, silentFor(time.Second), second, func(w *replicaPair) {
 		began := time.Now()
-		got, err := w.ask()
-		if err != nil || got != events(1, 2, 3) {
+		got, err := w.requestStream()
+		if err != nil || got != eventText(1, 2, 3) {
 			t.Errorf("got %q, %v", got, err)
 		}
 		if took := time.Since(began); took > 1200*time.Millisecond {
@@ -211,32 +211,32 @@
 	})
 }
 
-func TestAReplicaThatEndsDuringATrialIsFollowed(t *testing.T) {
-	first := func(out *replicaOut) {
-		out.head()
-		out.events(1)
+func TestStreamBreakDuringFailoverUsesPendingReplica(t *testing.T) {
+	first := func(out *replicaConn) {
+		out.writeHead()
+		out.writeEvents(1)
 		time.Sleep(time.Second)
 	}
-	second := func(out *replicaOut) {
+	second := func(out *replicaConn) {
 		time.Sleep(time.Second)
-		out.head()
-		out.events(2, 3)
+		out.writeHead()
+		out.writeEvents(2, 3)
 		out.end()
 	}
-	between(t, first, second, func(w *twoReplicas) {
-		got, err := w.ask()
-		if err != nil || got != events(1, 2, 3) {
+	runWithReplicas(t, first, second, func(w *replicaPair) {
+		got, err := w.requestStream()
+		if err != nil || got != eventText(1, 2, 3) {
 			t.Errorf("got %q, %v", got, err)
 		}
-		if w.asked != [2]int{1, 1} {
-			t.Errorf("asked %v times", w.asked)
+		if w.requests != [2]int{1, 1} {
+			t.Errorf("asked %v times", w.requests)
 		}
 	})
 }
 
-func TestAClientThatLeavesEndsATrial(t *testing.T) {
-	between(t, silentFor(time.Hour), func(*replicaOut) { time.Sleep(time.Hour) }, func(w *twoReplicas) {
-		if got, err := w.ask(); err == nil || got != events(1) {
+func TestClientDisconnectCancelsFailover(t *testing.T) {
+	runWithReplicas(t, silentFor(time.Hour), func(*replicaConn) { time.Sleep(time.Hour) }, func(w *replicaPair) {
+		if got, err := w.requestStream(); err == nil || got != eventText(1) {
 			t.Errorf("got %q, %v", got, err)
 		}
 		synctest.Wait()
--- a/internal/proxy/identity.go
+++ b/internal/proxy/identity.go
@@ -8,7 +8,7 @@
 )
 
 // bearer is the scheme under which callers bear their keys.
-const bearer = "Bearer"
+const bearerScheme = "Bearer"
 
 // Identify finds whose key a request bears, by what its Authorization header says, and
 // gives the route as it holds for that tenant. Where keys are required a request is refused without one.
@@ -17,7 +17,7 @@
 	if !cfg.Limits.RequireKeys {
 		return r, attempt.Identity{}, nil
 	}
-	tenant, known := cfg.TenantOfKey(keyIn(authorization))
+	tenant, known := cfg.TenantOfKey(bearerKey(authorization))
 	if !known && !r.Public {
 		return r, attempt.Identity{}, &Refusal{Reason: Unauthorized, Detail: "the request bears no key of a tenant", Outcome: attempt.NotRun}
 	}
@@ -28,9 +28,9 @@
 }
 
 // keyIn is the key that an Authorization header holds; "" is none.
-func keyIn(authorization string) string {
+func bearerKey(authorization string) string {
 	scheme, key, _ := strings.Cut(strings.TrimSpace(authorization), " ")
-	if !strings.EqualFold(scheme, bearer) {
+	if !strings.EqualFold(scheme, bearerScheme) {
 		return ""
 	}
 	return strings.TrimSpace(key)
--- a/internal/proxy/identity_test.go
+++ b/internal/proxy/identity_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-func TestTheKeyInAnAuthorizationHeader(t *testing.T) {
+func TestBearerKey(t *testing.T) {
 	for text, want := range map[string]string{"Bearer abc": "abc", "bearer  abc ": "abc", " BEARER abc": "abc", "Basic abc": "", "Bearer": "", "abc": "", "": "", "Bearerabc": ""} {
-		if got := keyIn(text); got != want {
+		if got := bearerKey(text); got != want {
 			t.Errorf("%q: %q, want %q", text, got, want)
 		}
 	}
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -27,12 +27,12 @@
 
 // Vitals tells whether this proxy serves.
 func (p *Proxy) Vitals(context.Context) (map[string]string, error) {
-	serial, serving := p.InForce()
-	if !serving || p.leaving.Load() {
-		return nil, (&Refusal{Reason: Full, Detail: "not serving yet, or no more", Outcome: attempt.NotRun, RetryAfter: time.Second}).goaError()
+	serial, serving := p.ActiveConfig()
+	if !serving || p.draining.Load() {
+		return nil, (&Refusal{Reason: Unavailable, Detail: "not serving yet, or no more", Outcome: attempt.NotRun, RetryAfter: time.Second}).goaError()
 	}
-	return map[string]string{"node": p.s.Name, "conf": strconv.FormatUint(serial, 10), "shots": strconv.FormatInt(p.admission.Attempts(), 10),
-		"cut": strconv.FormatInt(p.cut.Load(), 10)}, nil
+	return map[string]string{"node": p.settings.Name, "conf": strconv.FormatUint(serial, 10), "shots": strconv.FormatInt(p.admission.Attempts(), 10),
+		"cut": strconv.FormatInt(p.truncated.Load(), 10)}, nil
 }
 
 // Shoot takes a caller's request through all stages.
@@ -48,7 +48,7 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(body, target.Route.MaxBody+1))
 	if err != nil {
-		return nil, nil, (&Refusal{Reason: Bad, Detail: "the body broke off or stalled", Outcome: attempt.NotRun}).goaError()
+		return nil, nil, (&Refusal{Reason: BadRequest, Detail: "the body broke off or stalled", Outcome: attempt.NotRun}).goaError()
 	}
 	relay.BodyRead(ctx)
 	if int64(len(raw)) > target.Route.MaxBody {
@@ -63,7 +63,7 @@
 		call.Deadline = began.Add(target.Route.Within(time.Duration(*q.DeadlineMs) * time.Millisecond))
 	}
 	if q.Ticket != nil {
-		call.Ticket = *q.Ticket
+		call.RequestID = *q.Ticket
 	}
 	a, refusal := p.Serve(ctx, call)
 	if refusal != nil {
@@ -76,7 +76,7 @@
 func (p *Proxy) target(q *gen.ShootPayload) (route.Target, attempt.Identity, *Refusal) {
 	r, found := p.Conf().Routes[q.Route]
 	if !found {
-		return route.Target{}, attempt.Identity{}, &Refusal{Reason: NoRoute, Detail: "no route " + q.Route, Outcome: attempt.NotRun}
+		return route.Target{}, attempt.Identity{}, &Refusal{Reason: UnknownTarget, Detail: "no route " + q.Route, Outcome: attempt.NotRun}
 	}
 	authorization := ""
 	if q.Authorization != nil {
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -9,25 +9,25 @@
 
 // tenantsEvery is how often the figures of tenants in reports are made anew. Why:
 // they are for people, and a node's word to the cores is to stay small.
-const tenantsEvery = 5 * time.Second
+const tenantStatsInterval = 5 * time.Second
 
 // tenantFigures are the figures of tenants as last reported.
-type tenantFigures struct {
-	mu      sync.Mutex
-	at      time.Duration
-	version uint64
-	latest  map[string]report.Tenant
+type tenantStats struct {
+	mu        sync.Mutex
+	updatedAt time.Duration
+	version   uint64
+	latest    map[string]report.Tenant
 }
 
 // tenants are the figures for a report, and their number; none without tenants.
-func (p *Proxy) tenants() (map[string]report.Tenant, uint64) {
-	f, now := &p.figures, p.env.Clock.Since()
+func (p *Proxy) tenantReport() (map[string]report.Tenant, uint64) {
+	f, now := &p.tenantStats, p.env.Clock.Since()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.at != 0 && now-f.at < tenantsEvery {
+	if f.updatedAt != 0 && now-f.updatedAt < tenantStatsInterval {
 		return f.latest, f.version
 	}
-	f.at = now
+	f.updatedAt = now
 	figures := p.routes.Tenants()
 	if len(figures) == 0 && len(f.latest) == 0 {
 		return nil, f.version
--- a/internal/sim/fleet/crowd_test.go
+++ b/internal/sim/fleet/crowd_test.go
@@ -137,7 +137,7 @@
 		}
 		f.Until(3*time.Second, "limits in force", func() bool {
 			for _, n := range f.Edges {
-				if s, _ := n.Proxy.InForce(); s < serial {
+				if s, _ := n.Proxy.ActiveConfig(); s < serial {
 					return false
 				}
 			}
--- a/internal/sim/fleet/cutoff_test.go
+++ b/internal/sim/fleet/cutoff_test.go
@@ -83,7 +83,7 @@
 		time.Sleep(10 * time.Second)
 		f.Until(3*time.Second, "the change made meanwhile is in force", func() bool {
 			for _, n := range f.Edges {
-				if s, _ := n.Proxy.InForce(); s < 2 {
+				if s, _ := n.Proxy.ActiveConfig(); s < 2 {
 					return false
 				}
 			}
--- a/internal/sim/fleet/fleet.go
+++ b/internal/sim/fleet/fleet.go
@@ -154,7 +154,7 @@
 	}
 	f.Until(10*time.Second, "all edges serve", func() bool {
 		for _, n := range f.Edges {
-			if serial, ok := n.Proxy.InForce(); !ok || serial == 0 {
+			if serial, ok := n.Proxy.ActiveConfig(); !ok || serial == 0 {
 				return false
 			}
 		}
--- a/internal/sim/fleet/push_test.go
+++ b/internal/sim/fleet/push_test.go
@@ -32,7 +32,7 @@
 func (f *Fleet) inForce(serial uint64) int {
 	count := 0
 	for _, n := range f.Edges {
-		if s, _ := n.Proxy.InForce(); s >= serial {
+		if s, _ := n.Proxy.ActiveConfig(); s >= serial {
 			count++
 		}
 	}
@@ -49,7 +49,7 @@
 		for _, n := range f.Edges {
 			f.Net.Rate(n.IP, edgeLink)
 		}
-		before, _ := f.Edges[0].Proxy.InForce()
+		before, _ := f.Edges[0].Proxy.ActiveConfig()
 		leaves, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		change := operator.Submission{Manner: conf.Partial, ContentType: "application/json", Body: manyNames(f.D, 800_000)}
--- a/internal/sim/fleet/return_test.go
+++ b/internal/sim/fleet/return_test.go
@@ -64,7 +64,7 @@
 		f.back()
 		took = f.Until(12*time.Second, "all edges serve", func() bool {
 			for _, n := range f.Edges {
-				if _, ok := n.Proxy.InForce(); !ok {
+				if _, ok := n.Proxy.ActiveConfig(); !ok {
 					return false
 				}
 			}
@@ -161,7 +161,7 @@
 	}{
 		{"all edges serve", func() bool {
 			for _, n := range f.Edges {
-				if _, ok := n.Proxy.InForce(); !ok {
+				if _, ok := n.Proxy.ActiveConfig(); !ok {
 					return false
 				}
 			}
--- a/internal/sim/fleet/scale_test.go
+++ b/internal/sim/fleet/scale_test.go
@@ -69,7 +69,7 @@
 				acked := time.Since(began)
 				took := f.Until(2*time.Second, "many routes in force", func() bool {
 					for _, n := range f.Edges {
-						if s, _ := n.Proxy.InForce(); s < serial {
+						if s, _ := n.Proxy.ActiveConfig(); s < serial {
 							return false
 						}
 					}
--- a/internal/sim/fleet/tenants_test.go
+++ b/internal/sim/fleet/tenants_test.go
@@ -275,7 +275,7 @@
 			{"a proxy killed and back", func() {
 				f.KillProxy(f.Edges[0])
 				f.StartProxy(f.Edges[0])
-				f.Until(10*time.Second, "the proxy", func() bool { _, ok := f.Edges[0].Proxy.InForce(); return ok })
+				f.Until(10*time.Second, "the proxy", func() bool { _, ok := f.Edges[0].Proxy.ActiveConfig(); return ok })
 			}, run},
 			{"the other tenant stops", func() {}, officeDay},
 			{"and is taken out", func() {
--- a/internal/sim/fleet/zone_test.go
+++ b/internal/sim/fleet/zone_test.go
@@ -122,7 +122,7 @@
 		}
 		f.Until(2*time.Second, "the change is in force everywhere", func() bool {
 			for _, n := range f.Edges {
-				if s, _ := n.Proxy.InForce(); s < serial {
+				if s, _ := n.Proxy.ActiveConfig(); s < serial {
 					return false
 				}
 			}
