--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -31,7 +31,7 @@
 )
 
 // maxWhole bounds an answer that is read whole before it is passed on.
-const maxWhole = 4 << 20
+const maxBufferedResponse = 4 << 20
 
 // Failure is an attempt that brought no answer to pass on.
 type Failure struct {
@@ -39,11 +39,11 @@
 	Refused bool // no connection was to be had
 	Said    bool // the replica itself said that it would not run it
 	Missing bool // and that was because it does not hold what was asked for
-	Why     string
+	Reason  string
 	Load    Load
 }
 
-func (f *Failure) Error() string { return "attempt: " + string(f.Outcome) + ": " + f.Why }
+func (f *Failure) Error() string { return "attempt: " + string(f.Outcome) + ": " + f.Reason }
 
 // Load is what a replica says of itself with an answer.
 type Load struct {
@@ -68,16 +68,16 @@
 	Said    bool // the replica itself said that it would not run the request
 	Missing bool // and that was because it does not hold what was asked for
 	Failed  bool // the answer is a failure of the replica's own
-	Why     string
+	Reason  string
 	Load    Load
 	Header  http.Header // to be passed on
 }
 
 // Sender sends requests to replicas.
 type Sender struct {
-	http     *http.Client
-	protocol Protocol
-	stall    time.Duration
+	http         *http.Client
+	protocol     Protocol
+	stallTimeout time.Duration
 }
 
 // NewSender dials through n. A stream that brings nothing for stall is given up.
@@ -87,9 +87,9 @@
 		if err != nil {
 			return nil, err
 		}
-		return &connection{Conn: c}, nil
+		return &gatedConn{Conn: c}, nil
 	}
-	return &Sender{stall: stall, protocol: protocol, http: &http.Client{
+	return &Sender{stallTimeout: stall, protocol: protocol, http: &http.Client{
 		Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second,
 			DisableCompression: true, MaxResponseHeaderBytes: 64 << 10, ReadBufferSize: 4 << 10, WriteBufferSize: 4 << 10},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -107,7 +107,7 @@
 
 // Request is what a replica is sent.
 type Request struct {
-	ID          string // of the replica
+	ReplicaID   string // of the replica
 	Addr        string
 	Item        conf.Item
 	Ticket      string // the caller's own number for the request
@@ -123,7 +123,7 @@
 	Share       int    // weight of the tenant
 	Identity    Identity
 	Urgency     int           // step of urgency within the tenant; 0 is the first
-	Left        time.Duration // that the caller will wait
+	TimeLeft    time.Duration // that the caller will wait
 	LastEvent   string        // the event after which a stream goes on
 	Whole       bool          // the answer is read to its end before it is passed on
 	Stall       time.Duration // longest silence within the answer; 0 is the sender's own
@@ -140,89 +140,89 @@
 	// GoneOn is asked when an answer that has begun is silent for too long: has another
 	// replica begun to go on with it? Until it has, the silence is borne; nil ends the answer at once.
 	GoneOn   func() bool
-	Heard    func()      // called whenever a piece comes
-	Again    bool        // another attempt may be made after a failure
+	OnData   func()      // called whenever a piece comes
+	CanRetry bool        // another attempt may be made after a failure
 	Sendable func() bool // asked right before the first byte leaves
 }
 
 // Reply is an answer that has begun.
 type Reply struct {
-	Status      int
-	Header      http.Header
-	ContentType string
-	Length      int64 // of the body; -1 is not known
-	Load        Load
-	body        io.Reader
-	raw         io.ReadCloser
-	cancel      context.CancelFunc
-	until       time.Time // it is broken off then; zero is never
-	stall       time.Duration
-	alive       func() bool
-	goneOn      func() bool
-	heard       func()
-	begunAt     time.Time
-	reading     atomic.Bool
-	readAt      atomic.Int64 // when the last read began, since begunAt
-	silence     *time.Timer  // runs on from piece to piece, and looks how long a read has lasted
-	closed      atomic.Bool
-	once        sync.Once
+	Status        int
+	Header        http.Header
+	ContentType   string
+	Length        int64 // of the body; -1 is not known
+	Load          Load
+	body          io.Reader
+	raw           io.ReadCloser
+	cancel        context.CancelFunc
+	cutoff        time.Time // it is broken off then; zero is never
+	stallTimeout  time.Duration
+	alive         func() bool
+	failOver      func() bool
+	onData        func()
+	startedAt     time.Time
+	reading       atomic.Bool
+	readStartedAt atomic.Int64 // when the last read began, since begunAt
+	stallTimer    *time.Timer  // runs on from piece to piece, and looks how long a read has lasted
+	closed        atomic.Bool
+	closeOnce     sync.Once
 }
 
 // patienceStep is how often a silence that is borne is looked at again.
-const patienceStep = 50 * time.Millisecond
+const silenceCheckInterval = 50 * time.Millisecond
 
 // Read reads pieces as they come; a stream that stalls or breaks off is an error.
 func (r *Reply) Read(p []byte) (int, error) {
-	r.readAt.Store(int64(time.Since(r.begunAt)))
+	r.readStartedAt.Store(int64(time.Since(r.startedAt)))
 	r.reading.Store(true)
 	n, err := r.body.Read(p)
 	r.reading.Store(false)
-	if n > 0 && r.heard != nil {
-		r.heard()
+	if n > 0 && r.onData != nil {
+		r.onData()
 	}
 	return n, err
 }
 
 // watch has silences, and the end of the answer's time, looked for from now on.
 func (r *Reply) watch() {
-	r.begunAt = time.Now()
+	r.startedAt = time.Now()
 	// Why: the timer is in its place before it can go off.
-	r.silence = time.AfterFunc(time.Hour, r.look)
-	r.lookIn(r.stall)
+	r.stallTimer = time.AfterFunc(time.Hour, r.check)
+	r.checkAfter(r.stallTimeout)
 }
 
 // lookIn has the answer looked at after a while, or when its time is over.
-func (r *Reply) lookIn(while time.Duration) {
-	if !r.until.IsZero() {
-		while = min(while, time.Until(r.until))
+func (r *Reply) checkAfter(while time.Duration) {
+	if !r.cutoff.IsZero() {
+		while = min(while, time.Until(r.cutoff))
 	}
-	r.silence.Reset(while)
+	r.stallTimer.Reset(while)
 }
 
 // look ends an answer whose time is over, and one that brings nothing.
-func (r *Reply) look() {
+func (r *Reply) check() {
 	switch {
 	case r.closed.Load():
-	case !r.until.IsZero() && !time.Now().Before(r.until):
+	case !r.cutoff.IsZero() && !time.Now().Before(r.cutoff):
 		r.cancel()
 	default:
-		r.stalled()
+		r.checkStall()
 	}
 }
 
 // stalled ends an answer that brings nothing, unless its replica is heard on others, or
 // nobody has gone on with it.
-func (r *Reply) stalled() {
+func (r *Reply) checkStall() {
 	if !r.reading.Load() {
-		r.lookIn(r.stall)
+		r.checkAfter(r.stallTimeout)
 		return
 	}
-	if left := r.stall - time.Since(r.begunAt) + time.Duration(r.readAt.Load()); left > 0 {
-		r.lookIn(left)
+	if left := r.stallTimeout - time.Since(r.startedAt) + time.Duration(r.readStartedAt.Load()); left > 0 {
+		r.checkAfter(left)
 		return
 	}
-	if r.alive != nil && r.alive() || r.goneOn != nil && !r.goneOn() {
-		r.lookIn(patienceStep)
+	if r.alive != nil && r.alive() || r.failOver != nil && !r.failOver() {
+		r.checkAfter(silenceCheckInterval)
 		return
 	}
 	r.cancel()
@@ -230,9 +230,9 @@
 
 // Close ends the attempt.
 func (r *Reply) Close() error {
-	r.once.Do(func() {
+	r.closeOnce.Do(func() {
 		r.closed.Store(true)
-		r.silence.Stop()
+		r.stallTimer.Stop()
 		r.cancel()
 		_ = r.raw.Close()
 	})
@@ -242,71 +242,71 @@
 // Send sends the request once and waits for the first piece of the answer.
 func (s *Sender) Send(ctx context.Context, q Request) (*Reply, *Failure) {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &pass{check: q.Sendable}
+	p := &sendGate{sendable: q.Sendable}
 	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
-		if c, ok := i.Conn.(*connection); ok {
-			c.pass.Store(p)
+		if c, ok := i.Conn.(*gatedConn); ok {
+			c.gate.Store(p)
 		}
 	}}
 	req, err := s.protocol.Encode(httptrace.WithClientTrace(ctx, trace), q)
 	if err != nil {
 		cancel()
-		return nil, &Failure{Outcome: NotRun, Why: err.Error()}
+		return nil, &Failure{Outcome: NotRun, Reason: err.Error()}
 	}
-	late := newLateness(q, cancel)
+	late := newFirstByteTimer(q, cancel)
 	res, err := s.http.Do(req)
 	if err != nil {
-		late.end()
+		late.stop()
 		cancel()
 		if p.withdraw() {
-			return nil, &Failure{Outcome: NotRun, Refused: !errors.Is(err, errWithdrawn) && !errors.Is(err, context.Canceled), Why: err.Error()}
+			return nil, &Failure{Outcome: NotRun, Refused: !errors.Is(err, errWithdrawn) && !errors.Is(err, context.Canceled), Reason: err.Error()}
 		}
-		return nil, &Failure{Outcome: Unknown, Why: err.Error()}
+		return nil, &Failure{Outcome: Unknown, Reason: err.Error()}
 	}
 	d := s.protocol.Decode(q, res)
 	fail := func(f Failure) (*Reply, *Failure) {
-		late.end()
+		late.stop()
 		cancel()
 		_ = res.Body.Close()
 		f.Load = d.Load
 		return nil, &f
 	}
 	if !d.Relay {
-		return fail(Failure{Outcome: d.Outcome, Said: d.Said, Missing: d.Missing, Why: d.Why})
+		return fail(Failure{Outcome: d.Outcome, Said: d.Said, Missing: d.Missing, Reason: d.Reason})
 	}
-	if d.Failed && q.Again {
-		return fail(Failure{Outcome: Unknown, Why: d.Why})
+	if d.Failed && q.CanRetry {
+		return fail(Failure{Outcome: Unknown, Reason: d.Reason})
 	}
 	// Why: an answer that ends with its connection looks the same whether whole or cut.
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-		return fail(Failure{Outcome: Ran, Why: "replica's answer has no end that can be told"})
+		return fail(Failure{Outcome: Ran, Reason: "replica's answer has no end that can be told"})
 	}
 	r := &Reply{Status: res.StatusCode, Header: d.Header, ContentType: res.Header.Get("Content-Type"), Length: res.ContentLength, Load: d.Load,
-		raw: res.Body, cancel: cancel, until: q.Until, stall: s.stall, alive: q.Alive, goneOn: q.GoneOn, heard: q.Heard}
+		raw: res.Body, cancel: cancel, cutoff: q.Until, stallTimeout: s.stallTimeout, alive: q.Alive, failOver: q.GoneOn, onData: q.OnData}
 	if q.Stall > 0 {
-		r.stall = q.Stall
+		r.stallTimeout = q.Stall
 	}
-	if err := r.begin(res.Body, q.Whole); err != nil {
-		return fail(Failure{Outcome: Unknown, Why: "broke off before the first piece: " + err.Error()})
+	if err := r.awaitFirstByte(res.Body, q.Whole); err != nil {
+		return fail(Failure{Outcome: Unknown, Reason: "broke off before the first piece: " + err.Error()})
 	}
-	if !late.end() {
-		return fail(Failure{Outcome: Unknown, Why: "the first piece came too late"})
+	if !late.stop() {
+		return fail(Failure{Outcome: Unknown, Reason: "the first piece came too late"})
 	}
-	if q.Heard != nil {
-		q.Heard()
+	if q.OnData != nil {
+		q.OnData()
 	}
 	r.watch()
 	return r, nil
 }
 
 // begin waits for the first piece, or for the whole answer.
-func (r *Reply) begin(body io.Reader, whole bool) error {
+func (r *Reply) awaitFirstByte(body io.Reader, whole bool) error {
 	if whole {
-		b, err := io.ReadAll(io.LimitReader(body, maxWhole+1))
+		b, err := io.ReadAll(io.LimitReader(body, maxBufferedResponse+1))
 		if err != nil {
 			return err
 		}
-		if len(b) > maxWhole {
+		if len(b) > maxBufferedResponse {
 			return errors.New("it is too large to be read whole")
 		}
 		r.body, r.Length = bytes.NewReader(b), int64(len(b))
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -18,17 +18,17 @@
 )
 
 // backEnd answers each connection as it is told, and counts the requests it read.
-type backEnd struct {
-	runs atomic.Int64
-	ln   net.Listener
+type testReplica struct {
+	requests atomic.Int64
+	ln       net.Listener
 }
 
-func newBackEnd(t *testing.T, g *run.Group, f *simnet.Fabric, answer func(c net.Conn, n int64)) *backEnd {
+func newTestReplica(t *testing.T, g *run.Group, f *simnet.Fabric, answer func(c net.Conn, n int64)) *testReplica {
 	ln, err := f.Host("10.0.0.1").Listen("10.0.0.1:90")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &backEnd{ln: ln}
+	b := &testReplica{ln: ln}
 	g.Go(func(context.Context) {
 		for {
 			c, err := ln.Accept()
@@ -44,7 +44,7 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, req.Body)
-					before := b.runs.Add(1)
+					before := b.requests.Add(1)
 					answer(c, before)
 					if before < 0 {
 						return
@@ -56,13 +56,13 @@
 	return b
 }
 
-const good = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
-func bench(t *testing.T, answer func(c net.Conn, n int64), f func(b *backEnd, shoot func(sendable bool, within time.Duration) (*Reply, *Failure))) {
+func runWithSender(t *testing.T, answer func(c net.Conn, n int64), f func(b *testReplica, shoot func(sendable bool, within time.Duration) (*Reply, *Failure))) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		fab := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
-		b := newBackEnd(t, g, fab, answer)
+		b := newTestReplica(t, g, fab, answer)
 		s := NewSender(fab.Host("10.0.0.2"), Native{}, time.Second)
 		f(b, func(sendable bool, within time.Duration) (*Reply, *Failure) {
 			return s.Send(t.Context(), Request{Addr: "10.0.0.1:90", Body: []byte("{}"), Number: 1, FirstBy: time.Now().Add(within), Sendable: func() bool { return sendable }})
@@ -73,7 +73,7 @@
 	})
 }
 
-func want(t *testing.T, p *Failure, o Outcome) {
+func expectOutcome(t *testing.T, p *Failure, o Outcome) {
 	t.Helper()
 	if p == nil || p.Outcome != o {
 		t.Errorf("got %v, want outcome %s", p, o)
@@ -81,14 +81,14 @@
 }
 
 // net/http replays some requests by itself when a kept connection dies under them.
-func TestTheTransportNeverReplays(t *testing.T) {
-	bench(t, func(c net.Conn, n int64) {
+func TestTransportNeverReplays(t *testing.T) {
+	runWithSender(t, func(c net.Conn, n int64) {
 		if n == 1 {
-			_, _ = io.WriteString(c, good)
+			_, _ = io.WriteString(c, okResponse)
 			return
 		}
 		_ = c.Close() // read, and perhaps run, but not answered
-	}, func(b *backEnd, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+	}, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
 		r, p := shoot(true, time.Second)
 		if p != nil {
 			t.Fatal(p)
@@ -96,40 +96,40 @@
 		_, _ = io.ReadAll(r)
 		_ = r.Close()
 		_, p = shoot(true, time.Second)
-		want(t, p, Unknown)
-		if n := b.runs.Load(); n != 2 {
+		expectOutcome(t, p, Unknown)
+		if n := b.requests.Load(); n != 2 {
 			t.Errorf("two requests were read %d times", n)
 		}
 	})
 }
 
-func TestNoByteLeavesForALeavingReplica(t *testing.T) {
-	bench(t, func(c net.Conn, n int64) { _, _ = io.WriteString(c, good) }, func(b *backEnd, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+func TestNothingIsSentToADrainingReplica(t *testing.T) {
+	runWithSender(t, func(c net.Conn, n int64) { _, _ = io.WriteString(c, okResponse) }, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
 		_, p := shoot(false, time.Second)
-		want(t, p, NotRun)
+		expectOutcome(t, p, NotRun)
 		time.Sleep(time.Second)
-		if n := b.runs.Load(); n != 0 {
+		if n := b.requests.Load(); n != 0 {
 			t.Errorf("it was read %d times", n)
 		}
 	})
 }
 
-func TestNobodyThere(t *testing.T) {
-	bench(t, nil, func(b *backEnd, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+func TestConnectionRefusedIsNotRun(t *testing.T) {
+	runWithSender(t, nil, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
 		_ = b.ln.Close()
 		_, p := shoot(true, time.Second)
-		want(t, p, NotRun)
+		expectOutcome(t, p, NotRun)
 		if !p.Refused {
 			t.Error("not told that the connection was refused")
 		}
 	})
 }
 
-func TestTooLateIsUnknownAtOnce(t *testing.T) {
-	bench(t, func(c net.Conn, n int64) { time.Sleep(5 * time.Second) }, func(b *backEnd, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+func TestMissedFirstByteDeadlineIsUnknown(t *testing.T) {
+	runWithSender(t, func(c net.Conn, n int64) { time.Sleep(5 * time.Second) }, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
 		began := time.Now()
 		_, p := shoot(true, 300*time.Millisecond)
-		want(t, p, Unknown)
+		expectOutcome(t, p, Unknown)
 		if d := time.Since(began); d > 310*time.Millisecond {
 			t.Errorf("the final answer came after %v", d)
 		}
@@ -137,7 +137,7 @@
 }
 
 // The only replica that could answer is waited for; once another could, it is given up.
-func TestTheOnlyReplicaIsWaitedFor(t *testing.T) {
+func TestOnlyReplicaIsAwaited(t *testing.T) {
 	for name, c := range map[string]struct {
 		onlyFor time.Duration
 		ended   time.Duration
@@ -150,9 +150,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := run.NewGroup(t.Context())
 			fab := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
-			b := newBackEnd(t, g, fab, func(conn net.Conn, _ int64) {
+			b := newTestReplica(t, g, fab, func(conn net.Conn, _ int64) {
 				time.Sleep(500 * time.Millisecond)
-				_, _ = io.WriteString(conn, good)
+				_, _ = io.WriteString(conn, okResponse)
 			})
 			s := NewSender(fab.Host("10.0.0.2"), Native{}, time.Second)
 			began := time.Now()
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestAnswersThatMustNotPassForWhole(t *testing.T) {
+func TestIncompleteResponsesFail(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw     string
 		outcome Outcome
@@ -189,24 +189,24 @@
 		"says not-run but answers": {"HTTP/1.1 200 OK\r\nDrumstall-Outcome: not-run\r\n\r\nhalf", Ran},
 		"is no HTTP":               {"nonsense\r\n\r\n", Unknown},
 	} {
-		bench(t, func(conn net.Conn, n int64) { _, _ = io.WriteString(conn, c.raw); _ = conn.Close() }, func(b *backEnd, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+		runWithSender(t, func(conn net.Conn, n int64) { _, _ = io.WriteString(conn, c.raw); _ = conn.Close() }, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
 			_, p := shoot(true, time.Second)
 			if p == nil || p.Outcome != c.outcome {
 				t.Errorf("an answer that %s: got %v, want %s", name, p, c.outcome)
 			}
-			if n := b.runs.Load(); n != 1 {
+			if n := b.requests.Load(); n != 1 {
 				t.Errorf("an answer that %s: asked %d times", name, n)
 			}
 		})
 	}
 }
 
-func TestACutStreamIsAnError(t *testing.T) {
-	bench(t, func(c net.Conn, n int64) {
+func TestInterruptedStreamIsAnError(t *testing.T) {
+	runWithSender(t, func(c net.Conn, n int64) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\npiece\r\n")
 		time.Sleep(time.Duration(n-1) * 10 * time.Second) // the second one stalls
 		_ = c.Close()
-	}, func(b *backEnd, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+	}, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
 		for _, what := range []string{"cut", "stalled"} {
 			r, p := shoot(true, time.Second)
 			if p != nil {
@@ -230,22 +230,22 @@
 	kept, spent := 0, 0
 	for i := range 5000 {
 		if i%7 != 0 && i%1000 < 700 {
-			b.First("s", share)
+			b.RecordFirst("s", share)
 			log.WriteByte('f')
 			// Some set one aside, and spend it or give it back much later.
-			if i%5 == 0 && b.Keep("s") {
+			if i%5 == 0 && b.Reserve("s") {
 				kept++
 			}
 		} else if kept > 0 && i%3 == 0 {
 			kept--
 			if i%2 == 0 {
-				b.Return("s")
+				b.ReleaseReserved("s")
 				continue
 			}
-			b.Spend("s")
+			b.SpendReserved("s")
 			spent++
 			log.WriteByte('r')
-		} else if b.Retry("s") {
+		} else if b.TakeRetry("s") {
 			log.WriteByte('r')
 		}
 	}
--- a/internal/attempt/lateness_test.go
+++ b/internal/attempt/firstbytetimer_test.go
@@ -14,12 +14,12 @@
 
 // The first piece comes while it is just being looked at whether a late one is still
 // waited for: the answer has begun, and nothing that was decided before may end it.
-func TestAnAnswerThatBeginsAsItIsDoubtedIsNotGivenUp(t *testing.T) {
+func TestResponseStartingDuringDeadlineCheckIsKept(t *testing.T) {
 	const chunk = "5\r\npiece\r\n"
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		fabric := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
-		b := newBackEnd(t, g, fabric, func(c net.Conn, _ int64) {
+		b := newTestReplica(t, g, fabric, func(c net.Conn, _ int64) {
 			time.Sleep(105 * time.Millisecond)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk)
 			time.Sleep(time.Second)
--- a/internal/attempt/native.go
+++ b/internal/attempt/native.go
@@ -25,7 +25,7 @@
 		v.Set("adapter", q.Item.Adapter)
 	}
 	u.RawQuery = v.Encode()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), Body(q.Body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), OneShotBody(q.Body))
 	if err != nil {
 		return nil, err
 	}
@@ -51,16 +51,16 @@
 	why := "replica answered status " + strconv.Itoa(res.StatusCode)
 	switch {
 	case res.Header.Get(backend.HeaderOutcome) == backend.NotRun && res.StatusCode >= http.StatusBadRequest:
-		return Decision{Outcome: NotRun, Said: true, Why: why + ", not run"}
+		return Decision{Outcome: NotRun, Said: true, Reason: why + ", not run"}
 	case res.StatusCode != http.StatusOK:
-		return Decision{Outcome: Ran, Why: why}
+		return Decision{Outcome: Ran, Reason: why}
 	}
 	return Decision{Outcome: Ran, Relay: true}
 }
 
 // Body gives a request body that net/http cannot rewind. Why: a body without
 // GetBody, a POST and no idempotency header keep net/http from replaying by itself.
-func Body(b []byte) io.Reader {
+func OneShotBody(b []byte) io.Reader {
 	if len(b) == 0 {
 		return nil
 	}
--- a/internal/attempt/native_test.go
+++ b/internal/attempt/native_test.go
@@ -9,7 +9,7 @@
 
 // A replica is told whose a request is where there are tenants, and nothing more
 // than before where there are none.
-func TestNativeTellsTheTenant(t *testing.T) {
+func TestNativeSendsTenantHeaders(t *testing.T) {
 	for _, c := range []struct {
 		q                      Request
 		tenant, share, urgency string
--- a/internal/attempt/firstbyte.go
+++ b/internal/attempt/sendgate.go
@@ -11,47 +11,47 @@
 
 // States of a pass.
 const (
-	armed int32 = iota
+	undecided int32 = iota
 	sent
 	withdrawn
 )
 
 // pass lets a request's first byte leave, or not; it is decided once.
-type pass struct {
-	state atomic.Int32
-	by    atomic.Pointer[connection] // the one that the first byte left on
-	check func() bool
+type sendGate struct {
+	state    atomic.Int32
+	conn     atomic.Pointer[gatedConn] // the one that the first byte left on
+	sendable func() bool
 }
 
-func (p *pass) send(c *connection) bool {
+func (p *sendGate) allowWrite(c *gatedConn) bool {
 	if p.state.Load() == sent {
 		// Why: net/http begins some requests anew on another connection by itself; that would be a second attempt.
-		return p.by.Load() == c
+		return p.conn.Load() == c
 	}
 	// Why: the last look at a leaving mark is right before the first byte.
-	if !p.check() {
-		p.state.CompareAndSwap(armed, withdrawn)
+	if !p.sendable() {
+		p.state.CompareAndSwap(undecided, withdrawn)
 	}
-	if !p.state.CompareAndSwap(armed, sent) {
+	if !p.state.CompareAndSwap(undecided, sent) {
 		return false
 	}
-	p.by.Store(c)
+	p.conn.Store(c)
 	return true
 }
 
 // withdraw says whether no byte has left, and makes sure that none will.
-func (p *pass) withdraw() bool {
-	return p.state.CompareAndSwap(armed, withdrawn) || p.state.Load() == withdrawn
+func (p *sendGate) withdraw() bool {
+	return p.state.CompareAndSwap(undecided, withdrawn) || p.state.Load() == withdrawn
 }
 
 // connection asks its pass before it writes.
-type connection struct {
+type gatedConn struct {
 	net.Conn
-	pass atomic.Pointer[pass]
+	gate atomic.Pointer[sendGate]
 }
 
-func (c *connection) Write(b []byte) (int, error) {
-	if p := c.pass.Load(); p == nil || !p.send(c) {
+func (c *gatedConn) Write(b []byte) (int, error) {
+	if p := c.gate.Load(); p == nil || !p.allowWrite(c) {
 		return 0, errWithdrawn
 	}
 	return c.Conn.Write(b)
--- a/internal/attempt/silence_test.go
+++ b/internal/attempt/stall_test.go
@@ -11,13 +11,13 @@
 // pipedReply is an answer whose pieces are written to the other end; it breaks off when it is cancelled.
 func pipedReply(stall time.Duration) (*Reply, *io.PipeWriter) {
 	from, to := io.Pipe()
-	r := &Reply{body: from, raw: from, stall: stall, cancel: func() { _ = to.CloseWithError(io.ErrUnexpectedEOF) }}
+	r := &Reply{body: from, raw: from, stallTimeout: stall, cancel: func() { _ = to.CloseWithError(io.ErrUnexpectedEOF) }}
 	r.watch()
 	return r, to
 }
 
 // Whatever came before, and however long the client took over it, a silence is borne for as long as it may last and no longer.
-func TestASilenceWithinAnAnswerEndsItInTime(t *testing.T) {
+func TestStalledResponseEndsAfterTimeout(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	for name, c := range map[string]struct {
 		pieces, pause time.Duration // between pieces; that the client takes over each
@@ -59,7 +59,7 @@
 }
 
 // An answer that was let go of is not looked at any more.
-func TestAnAnswerThatIsClosedIsNotWatched(t *testing.T) {
+func TestClosedResponseIsNotChecked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stall = 100 * time.Millisecond
 		r, _ := pipedReply(stall)
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -69,7 +69,7 @@
 
 func (w *dispatch) releaseReservedRetry() {
 	if w.retryReserved.Swap(false) {
-		w.proxy.budget.Return(retryBudgetKey(w.call.Target))
+		w.proxy.budget.ReleaseReserved(retryBudgetKey(w.call.Target))
 	}
 }
 
@@ -86,8 +86,8 @@
 		switch {
 		case w.delivered == 0:
 		case w.retryReserved.Swap(false):
-			p.budget.Spend(svc)
-		case !p.budget.Retry(svc):
+			p.budget.SpendReserved(svc)
+		case !p.budget.TakeRetry(svc):
 			a.Done()
 			return nil, noRetryRefusal("the budget for retries is used up", w.outcome)
 		}
@@ -96,7 +96,7 @@
 		w.retryReserved.Store(early)
 		reply, failure := p.sender.Send(ctx, w.attemptRequest(a.Replica, firstBy))
 		if w.attempts == 1 {
-			p.budget.First(svc, p.retryShare())
+			p.budget.RecordFirst(svc, p.retryShare())
 		}
 		if failure == nil || !failure.Refused {
 			w.delivered++
@@ -153,11 +153,11 @@
 	late := !time.Now().Before(w.call.FirstByteDeadline) || ctx.Err() != nil
 	switch {
 	case f.Outcome == attempt.Ran:
-		return &Refusal{Reason: ResponseLost, Detail: f.Why, Outcome: attempt.Ran}
+		return &Refusal{Reason: ResponseLost, Detail: f.Reason, Outcome: attempt.Ran}
 	case late:
-		return &Refusal{Reason: DeadlineExceeded, Detail: f.Why, Outcome: w.outcome, RetryAfter: time.Second}
+		return &Refusal{Reason: DeadlineExceeded, Detail: f.Reason, Outcome: w.outcome, RetryAfter: time.Second}
 	case !again || w.attempts >= t.Route.Attempts:
-		return noRetryRefusal(f.Why, w.outcome)
+		return noRetryRefusal(f.Reason, w.outcome)
 	}
 	return nil
 }
@@ -166,8 +166,8 @@
 	c, id := w.call, r.Listed.ID
 	cfg := w.proxy.Conf()
 	class := cfg.Classes[c.Target.Route.Class]
-	q := attempt.Request{ID: id, Addr: r.Listed.Addr, Identity: c.Identity, Item: c.Target.Item, Ticket: c.RequestID, ContentType: c.ContentType, Method: c.Method, Path: c.Path,
-		Host: c.Host, Header: c.Header, Body: c.Body, Number: w.delivered + 1, Rank: class.Rank, Left: time.Until(c.Deadline), Until: c.cutoff(),
+	q := attempt.Request{ReplicaID: id, Addr: r.Listed.Addr, Identity: c.Identity, Item: c.Target.Item, Ticket: c.RequestID, ContentType: c.ContentType, Method: c.Method, Path: c.Path,
+		Host: c.Host, Header: c.Header, Body: c.Body, Number: w.delivered + 1, Rank: class.Rank, TimeLeft: time.Until(c.Deadline), Until: c.cutoff(),
 		LastEvent: c.LastEventID, FirstBy: firstBy, Sendable: func() bool { return w.proxy.routes.Sendable(id) }}
 	if cfg.HasTenants() {
 		q.Tenant, q.Urgency = cfg.TenantOf(c.Target.Route.Class), class.Urgency()
@@ -175,8 +175,8 @@
 	}
 	// Why: what may run again is only worth passing on whole; a part of it would have to be broken off.
 	q.Whole = c.Target.Route.Service != "" && c.Target.Route.Repeatable && !c.Target.Route.Streaming
-	q.Again = c.Target.Route.Repeatable && w.attempts < c.Target.Route.Attempts
-	q.Heard = func() { w.proxy.routes.HeardFrom(r) }
+	q.CanRetry = c.Target.Route.Repeatable && w.attempts < c.Target.Route.Attempts
+	q.OnData = func() { w.proxy.routes.HeardFrom(r) }
 	if firstBy.Before(c.FirstByteDeadline) {
 		// Why: given up where nobody else could answer, a request only loses its place in the replica's queue.
 		q.Only = func() bool { return w.proxy.routes.Serves(c.Target, id) && !w.canFailOver(r) }
@@ -203,7 +203,7 @@
 	if w.retryReserved.Load() {
 		return true
 	}
-	if !w.proxy.budget.Keep(retryBudgetKey(t)) {
+	if !w.proxy.budget.Reserve(retryBudgetKey(t)) {
 		return false
 	}
 	w.retryReserved.Store(true)
@@ -233,7 +233,7 @@
 	} else if half := t.Route.Target / 2; own > 0 && half > own {
 		own = half
 	}
-	if own > 0 && now.Add(own).Before(by) && p.routes.Others(t, r.Listed.ID) && p.budget.Keep(retryBudgetKey(t)) {
+	if own > 0 && now.Add(own).Before(by) && p.routes.Others(t, r.Listed.ID) && p.budget.Reserve(retryBudgetKey(t)) {
 		return now.Add(own), true
 	}
 	return by, false
--- a/internal/proxy/dispatch_test.go
+++ b/internal/proxy/dispatch_test.go
@@ -48,7 +48,7 @@
 		only("alone", true)
 		tell("r2", false)
 		only("no retry left", true)
-		p.budget.First("models", 5)
+		p.budget.RecordFirst("models", 5)
 		only("two hold it", false)
 		tell("r2", true)
 		w.releaseReservedRetry()
--- a/internal/proxy/failover_test.go
+++ b/internal/proxy/failover_test.go
@@ -137,7 +137,7 @@
 	}
 	w.announce(1)
 	// Why: what the budget allows is counted over the requests so far.
-	w.proxy.budget.First("models", 10)
+	w.proxy.budget.RecordFirst("models", 10)
 	body, err := io.ReadAll(a.Body)
 	_ = a.Body.Close()
 	return string(body), err
