--- a/internal/attempt/native.go
+++ b/internal/attempt/native.go
@@ -33,7 +33,7 @@
 	req.Header.Set("Content-Type", q.ContentType)
 	req.Header.Set(backend.HeaderAttempt, strconv.Itoa(q.Number))
 	if q.Ticket != "" {
-		req.Header.Set(backend.HeaderTicket, q.Ticket)
+		req.Header.Set(backend.HeaderRequestID, q.Ticket)
 	}
 	if q.Identity.Tenant != "" {
 		req.Header.Set(backend.HeaderTenant, q.Identity.Tenant)
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -19,11 +19,11 @@
 
 // Errors of this package.
 var (
-	ErrDark    = errors.New("backend: replica not reached")
-	ErrWrong   = errors.New("backend: replica's report makes no sense")
-	ErrRefused = errors.New("backend: replica refused the order")
-	ErrUnsure  = errors.New("backend: order may or may not have arrived")
-	ErrBusy    = errors.New("backend: replica carries out another order")
+	ErrUnreachable    = errors.New("backend: replica not reached")
+	ErrInvalidReport  = errors.New("backend: replica's report makes no sense")
+	ErrRefused        = errors.New("backend: replica refused the order")
+	ErrOutcomeUnknown = errors.New("backend: order may or may not have arrived")
+	ErrBusy           = errors.New("backend: replica carries out another order")
 )
 
 // States of an item on a replica.
@@ -43,10 +43,10 @@
 
 // What a request to a replica looks like.
 const (
-	RunPath       = "/run"
-	HeaderOutcome = "Drumstall-Outcome" // a replica answers not-run when it has not begun
-	HeaderTicket  = "Drumstall-Ticket"
-	HeaderAttempt = "Drumstall-Shot" // 1 for the first, more for each retry
+	RunPath         = "/run"
+	HeaderOutcome   = "Drumstall-Outcome" // a replica answers not-run when it has not begun
+	HeaderRequestID = "Drumstall-Ticket"
+	HeaderAttempt   = "Drumstall-Shot" // 1 for the first, more for each retry
 	// Where there are tenants: whose a request is, the tenant's weight, and its step of urgency there, 0 first. A replica
 	// that divides its prefix cache goes by them.
 	HeaderTenant      = "Drumstall-Tenant"
@@ -56,7 +56,7 @@
 )
 
 // Line is one item a replica reports.
-type Line struct {
+type ItemStatus struct {
 	State    string
 	SizeMib  int
 	Inflight int
@@ -74,7 +74,7 @@
 	Leaving       bool
 	Busy          bool // an order is being carried out
 	ServeFor      time.Duration
-	Items         map[conf.Item]Line
+	Items         map[conf.Item]ItemStatus
 }
 
 // Order is one order to a replica.
@@ -152,20 +152,20 @@
 // Close lets go of idle connections.
 func (c *Native) Close() { c.http.CloseIdleConnections() }
 
-func (c *Native) at(addr string) *client.Client {
+func (c *Native) clientFor(addr string) *client.Client {
 	return client.NewClient("http", addr, httpapi.Bounded{HTTP: c.http, Max: 4 << 20}, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 }
 
 // Report asks a replica how it is; the target's id is whom we expect to answer.
 func (c *Native) Report(ctx context.Context, r Target) (Report, error) {
-	res, err := c.at(r.Addr).Vitals()(ctx, nil)
+	res, err := c.clientFor(r.Addr).Vitals()(ctx, nil)
 	if err != nil {
-		return Report{}, errors.Wrap(ErrDark, err.Error())
+		return Report{}, errors.Wrap(ErrUnreachable, err.Error())
 	}
-	return check(res.(*replica.ReplicaReport), r.ID)
+	return parseReport(res.(*replica.ReplicaReport), r.ID)
 }
 
-func num(p *int) int {
+func intOrZero(p *int) int {
 	if p == nil {
 		return 0
 	}
@@ -173,11 +173,11 @@
 }
 
 // check turns a report into ours; one that makes no sense is not acted on.
-func check(r *replica.ReplicaReport, id string) (Report, error) {
-	v := Report{ID: r.ID, Incarnation: r.Incarnation, Model: r.Kind == "model", CapacityMib: num(r.CapacityMib),
-		AdapterPlaces: num(r.AdapterPlaces), Slots: r.Slots, Inflight: r.Inflight, Leaving: r.Leaving,
-		ServeFor: time.Duration(num(r.ServeMs)) * time.Millisecond, Items: map[conf.Item]Line{}}
-	bad := func(what string) (Report, error) { return Report{}, errors.Wrapf(ErrWrong, "%s: %s", id, what) }
+func parseReport(r *replica.ReplicaReport, id string) (Report, error) {
+	v := Report{ID: r.ID, Incarnation: r.Incarnation, Model: r.Kind == "model", CapacityMib: intOrZero(r.CapacityMib),
+		AdapterPlaces: intOrZero(r.AdapterPlaces), Slots: r.Slots, Inflight: r.Inflight, Leaving: r.Leaving,
+		ServeFor: time.Duration(intOrZero(r.ServeMs)) * time.Millisecond, Items: map[conf.Item]ItemStatus{}}
+	bad := func(what string) (Report, error) { return Report{}, errors.Wrapf(ErrInvalidReport, "%s: %s", id, what) }
 	switch {
 	case r.ID != id:
 		return bad("it goes by the name " + r.ID)
@@ -197,12 +197,12 @@
 		if _, twice := v.Items[item]; twice {
 			return bad("model " + m.Name + " stands twice")
 		}
-		v.Items[item] = Line{State: m.State, SizeMib: m.SizeMib, Inflight: m.Inflight}
+		v.Items[item] = ItemStatus{State: m.State, SizeMib: m.SizeMib, Inflight: m.Inflight}
 		for _, a := range m.Adapters {
 			if a == nil || !conf.Plain(a.Name) || !ok(a.State) || a.Inflight < 0 {
 				return bad("an adapter's line is wrong")
 			}
-			v.Items[conf.Item{Model: m.Name, Adapter: a.Name}] = Line{State: a.State, Inflight: a.Inflight}
+			v.Items[conf.Item{Model: m.Name, Adapter: a.Name}] = ItemStatus{State: a.State, Inflight: a.Inflight}
 		}
 	}
 	return v, nil
@@ -215,7 +215,7 @@
 	if o.Item.Adapter != "" {
 		p.Adapter = &o.Item.Adapter
 	}
-	_, err := c.at(r.Addr).Order()(ctx, p)
+	_, err := c.clientFor(r.Addr).Order()(ctx, p)
 	if err == nil {
 		return nil
 	}
@@ -223,11 +223,11 @@
 	if errors.As(err, &refused) {
 		return errors.Wrapf(ErrRefused, "%s: %s", refused.Name, refused.Detail)
 	}
-	return errors.Wrap(ErrUnsure, err.Error())
+	return errors.Wrap(ErrOutcomeUnknown, err.Error())
 }
 
 // IsUnsure says whether an order may or may not have arrived.
-func IsUnsure(err error) bool { return errors.Is(err, ErrUnsure) }
+func IsOutcomeUnknown(err error) bool { return errors.Is(err, ErrOutcomeUnknown) }
 
 // IsBusy says whether an order was refused because another is being carried out.
 func IsBusy(err error) bool { return errors.Is(err, ErrBusy) }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -15,7 +15,7 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-func ask(t *testing.T, status int, body string) (Report, error) {
+func fetchReport(t *testing.T, status int, body string) (Report, error) {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -30,42 +30,42 @@
 	return c.Report(ctx, Target{Addr: strings.TrimPrefix(srv.URL, "http://"), ID: "r1"})
 }
 
-const head = `"id":"r1","incarnation":"i","kind":"model","slots":2,"inflight":0,"leaving":false`
+const validHead = `"id":"r1","incarnation":"i","kind":"model","slots":2,"inflight":0,"leaving":false`
 
 // A replica's report that makes no sense is an error, never a report.
-func TestWrongReportsAreNotActedOn(t *testing.T) {
-	v, err := ask(t, 200, `{`+head+`,"capacityMib":10,"models":[{"name":"m","state":"loaded","sizeMib":4,"inflight":1,"adapters":[{"name":"a","state":"loading","inflight":0}]}]}`)
+func TestInvalidReportsAreRejected(t *testing.T) {
+	v, err := fetchReport(t, 200, `{`+validHead+`,"capacityMib":10,"models":[{"name":"m","state":"loaded","sizeMib":4,"inflight":1,"adapters":[{"name":"a","state":"loading","inflight":0}]}]}`)
 	if err != nil || v.Items[conf.Item{Model: "m"}].SizeMib != 4 || v.Items[conf.Item{Model: "m", Adapter: "a"}].State != Loading {
 		t.Fatalf("a good report: %+v %v", v, err)
 	}
 	for name, body := range map[string]string{
-		"another's name":   strings.Replace(`{`+head+`}`, "r1", "r2", 1),
-		"no incarnation":   strings.Replace(`{`+head+`}`, `"i"`, `""`, 1),
-		"no places":        strings.Replace(`{`+head+`}`, `"slots":2`, `"slots":0`, 1),
-		"negative":         strings.Replace(`{`+head+`}`, `"inflight":0`, `"inflight":-3`, 1),
-		"negative memory":  `{` + head + `,"capacityMib":-1}`,
-		"unknown state":    `{` + head + `,"models":[{"name":"m","state":"asleep","sizeMib":1,"inflight":0}]}`,
-		"a model twice":    `{` + head + `,"models":[{"name":"m","state":"loaded","sizeMib":1,"inflight":0},{"name":"m","state":"loaded","sizeMib":1,"inflight":0}]}`,
-		"a null model":     `{` + head + `,"models":[null]}`,
-		"an odd name":      `{` + head + `,"models":[{"name":"m/x","state":"loaded","sizeMib":1,"inflight":0}]}`,
+		"another's name":   strings.Replace(`{`+validHead+`}`, "r1", "r2", 1),
+		"no incarnation":   strings.Replace(`{`+validHead+`}`, `"i"`, `""`, 1),
+		"no places":        strings.Replace(`{`+validHead+`}`, `"slots":2`, `"slots":0`, 1),
+		"negative":         strings.Replace(`{`+validHead+`}`, `"inflight":0`, `"inflight":-3`, 1),
+		"negative memory":  `{` + validHead + `,"capacityMib":-1}`,
+		"unknown state":    `{` + validHead + `,"models":[{"name":"m","state":"asleep","sizeMib":1,"inflight":0}]}`,
+		"a model twice":    `{` + validHead + `,"models":[{"name":"m","state":"loaded","sizeMib":1,"inflight":0},{"name":"m","state":"loaded","sizeMib":1,"inflight":0}]}`,
+		"a null model":     `{` + validHead + `,"models":[null]}`,
+		"an odd name":      `{` + validHead + `,"models":[{"name":"m/x","state":"loaded","sizeMib":1,"inflight":0}]}`,
 		"missing fields":   `{"id":"r1"}`,
 		"no JSON":          `<html>`,
 		"nothing":          ``,
-		"far too long":     `{` + head + `,"models":[` + strings.Repeat(" ", 5<<20) + `]}`,
+		"far too long":     `{` + validHead + `,"models":[` + strings.Repeat(" ", 5<<20) + `]}`,
 		"a null":           `null`,
 		"another type":     `[1,2]`,
-		"a list of places": strings.Replace(`{`+head+`}`, `"slots":2`, `"slots":[2]`, 1),
+		"a list of places": strings.Replace(`{`+validHead+`}`, `"slots":2`, `"slots":[2]`, 1),
 	} {
-		if v, err := ask(t, 200, body); !errors.Is(err, ErrWrong) && !errors.Is(err, ErrDark) {
+		if v, err := fetchReport(t, 200, body); !errors.Is(err, ErrInvalidReport) && !errors.Is(err, ErrUnreachable) {
 			t.Errorf("%s: taken as %+v, %v", name, v, err)
 		}
 	}
-	if _, err := ask(t, 500, `{`+head+`}`); err == nil {
+	if _, err := fetchReport(t, 500, `{`+validHead+`}`); err == nil {
 		t.Error("a report with status 500 was taken")
 	}
 }
 
-func TestWhatBecameOfAnOrder(t *testing.T) {
+func TestOrderErrors(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		body   string
@@ -74,7 +74,7 @@
 		{202, "", nil},
 		{409, `{"name":"busy","detail":"in use","outcome":"not-run"}`, ErrRefused},
 		{412, `{"name":"stale","detail":"a higher epoch","outcome":"not-run"}`, ErrRefused},
-		{500, `oops`, ErrUnsure}, {200, ``, ErrUnsure}, {307, ``, ErrUnsure},
+		{500, `oops`, ErrOutcomeUnknown}, {200, ``, ErrOutcomeUnknown}, {307, ``, ErrOutcomeUnknown},
 	} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
@@ -93,7 +93,7 @@
 	}
 	conn := NewNative(wire.Host())
 	defer conn.Close()
-	if err := conn.Order(t.Context(), Target{Addr: "127.0.0.1:1"}, Order{ID: "1", Verb: Load, Item: conf.Item{Model: "m"}}); !errors.Is(err, ErrUnsure) {
+	if err := conn.Order(t.Context(), Target{Addr: "127.0.0.1:1"}, Order{ID: "1", Verb: Load, Item: conf.Item{Model: "m"}}); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("nobody there: %v", err)
 	}
 }
--- a/internal/place/order/carry.go
+++ b/internal/place/order/carry.go
@@ -232,7 +232,7 @@
 	}
 	l.ordered = c.d.Clock.Since()
 	switch err := c.order(verb, what, l.SizeMib, by); {
-	case err == nil, backend.IsUnsure(err):
+	case err == nil, backend.IsOutcomeUnknown(err):
 		l.State, l.unsure, t.start = backend.Loading, err != nil, ""
 		t.next(loaded, now)
 	case backend.IsBusy(err):
--- a/internal/place/order/looks_test.go
+++ b/internal/place/order/looks_test.go
@@ -32,9 +32,9 @@
 
 func (r *countedReplica) Report(_ context.Context, target backend.Target) (backend.Report, error) {
 	r.looks.Add(1)
-	items := map[conf.Item]backend.Line{}
+	items := map[conf.Item]backend.ItemStatus{}
 	if r.loaded.Load() {
-		items[conf.Item{Model: "m"}] = backend.Line{State: backend.Loaded, SizeMib: 10}
+		items[conf.Item{Model: "m"}] = backend.ItemStatus{State: backend.Loaded, SizeMib: 10}
 	}
 	return backend.Report{ID: target.ID, Incarnation: target.ID, Model: true, Slots: 4, CapacityMib: 100, Items: items}, nil
 }
--- a/internal/place/order/room_test.go
+++ b/internal/place/order/room_test.go
@@ -36,7 +36,7 @@
 func TestWhatIsHeldTakesRoomThoughTheConfigurationNoLongerNamesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		both, one, smaller := configured(map[string]int{"a": 40, "b": 30}), configured(map[string]int{"b": 30}), configured(map[string]int{"a": 10, "b": 30})
-		held := map[conf.Item]backend.Line{model("a"): {State: backend.Loaded}, {Model: "a", Adapter: "x"}: {State: backend.Loaded}}
+		held := map[conf.Item]backend.ItemStatus{model("a"): {State: backend.Loaded}, {Model: "a", Adapter: "x"}: {State: backend.Loaded}}
 		replica, cfg := &reporting{items: held}, both
 		ctl := looking(t, replica, &cfg)
 		expect := func(when string, wantMib, wantPlaces int) {
@@ -67,7 +67,7 @@
 		for _, inherited := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
 				cfg := configured(map[string]int{"a": 40})
-				replica := &reporting{items: map[conf.Item]backend.Line{}}
+				replica := &reporting{items: map[conf.Item]backend.ItemStatus{}}
 				ctl := looking(t, replica, &cfg)
 				if !inherited {
 					ctl.look()
--- a/internal/place/order/takeover_test.go
+++ b/internal/place/order/takeover_test.go
@@ -15,7 +15,7 @@
 type reporting struct {
 	backend.Client
 	busy  bool
-	items map[conf.Item]backend.Line
+	items map[conf.Item]backend.ItemStatus
 }
 
 func (r *reporting) Report(_ context.Context, t backend.Target) (backend.Report, error) {
@@ -30,7 +30,7 @@
 // the room for it is not free until a report says that nothing is being carried out.
 func TestRoomForALoadOfTheOwnerBeforeIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		replica := &reporting{busy: true, items: map[conf.Item]backend.Line{}}
+		replica := &reporting{busy: true, items: map[conf.Item]backend.ItemStatus{}}
 		cfg := conf.Empty()
 		ctl := looking(t, replica, &cfg)
 		coming := conf.Item{Model: "m"}
--- a/internal/route/renew_world_test.go
+++ b/internal/route/renew_world_test.go
@@ -132,9 +132,9 @@
 
 // report is what a replica that is asked says of itself.
 func (w *world) report(r *Replica) {
-	v := backend.Report{ID: r.Listed.ID, Model: r.Listed.Model, Slots: 4, Inflight: w.rnd.IntN(5), Leaving: w.rnd.IntN(6) == 0, Items: map[conf.Item]backend.Line{}}
+	v := backend.Report{ID: r.Listed.ID, Model: r.Listed.Model, Slots: 4, Inflight: w.rnd.IntN(5), Leaving: w.rnd.IntN(6) == 0, Items: map[conf.Item]backend.ItemStatus{}}
 	for range w.rnd.IntN(3) {
-		v.Items[conf.ParseItem(w.item())] = backend.Line{State: []string{backend.Loaded, backend.Loading}[w.rnd.IntN(2)]}
+		v.Items[conf.ParseItem(w.item())] = backend.ItemStatus{State: []string{backend.Loaded, backend.Loading}[w.rnd.IntN(2)]}
 	}
 	w.k.heard[r.Listed.ID] = report{v: v, at: w.clock.now, other: w.rnd.IntN(3), was: w.rnd.IntN(3), mine: r.Live.Inflight.Load(), known: true, luck: w.rnd.Float64()}
 }
--- a/internal/sim/capacity/fakes_test.go
+++ b/internal/sim/capacity/fakes_test.go
@@ -17,7 +17,7 @@
 type fake struct{}
 
 func (fake) Report(_ context.Context, r backend.Target) (backend.Report, error) {
-	return backend.Report{ID: r.ID, Incarnation: r.ID, Model: true, Slots: 32, CapacityMib: 600000, AdapterPlaces: 32, Items: map[conf.Item]backend.Line{}}, nil
+	return backend.Report{ID: r.ID, Incarnation: r.ID, Model: true, Slots: 32, CapacityMib: 600000, AdapterPlaces: 32, Items: map[conf.Item]backend.ItemStatus{}}, nil
 }
 func (fake) Order(context.Context, backend.Target, backend.Order) error { return nil }
 func (fake) Close()                                                     {}
--- a/internal/stand/answer.go
+++ b/internal/stand/answer.go
@@ -50,7 +50,7 @@
 	it := conf.Item{Model: q.URL.Query().Get("model"), Adapter: q.URL.Query().Get("adapter")}
 	base := conf.Item{Model: it.Model}
 	number, _ := strconv.Atoi(q.Header.Get(backend.HeaderAttempt))
-	ticket := q.Header.Get(backend.HeaderTicket)
+	ticket := q.Header.Get(backend.HeaderRequestID)
 	r.rec.Put(check.Event{Kind: check.Arrived, Replica: r.s.ID, Ticket: ticket, Service: r.s.Service, Attempt: number, Repeatable: a.Repeatable, Item: it.String()})
 	if pct := int(r.refuse.Load()); pct > 0 && mrand.IntN(100) < pct {
 		refuse(w, http.StatusServiceUnavailable)
--- a/internal/stand/client.go
+++ b/internal/stand/client.go
@@ -92,7 +92,7 @@
 	}
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(backend.HeaderTicket, ticket)
+	req.Header.Set(backend.HeaderRequestID, ticket)
 	res, err := v.http.Do(req)
 	if err != nil {
 		if connRefused(err) {
