--- a/internal/proxy/dispatch_test.go
+++ b/internal/proxy/dispatch_test.go
@@ -18,8 +18,8 @@
 	"drumstall.example/internal/state"
 )
 
-// A silent replica is the only one that could answer until another that holds
-// the model becomes known, or until its controller says that it is dark.
+// A silent replica is the only one that could respond until another that holds
+// the model becomes known, or until its controller reports it as unreachable.
 func TestOnlyReplicaCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
@@ -28,7 +28,7 @@
 		routes := route.NewKeeper(route.Deps{Group: g, Gossip: table, Clock: tick.Machine(), Zone: func() string { return "a" },
 			HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 64 }})
 		serial := uint64(0)
-		tell := func(id string, dark bool) {
+		announce := func(id string, dark bool) {
 			serial++
 			n := order.Status{Listed: inventory.Listed{ID: id, Model: true, Slots: 12}, Slots: 12, Dark: dark, Items: map[string]string{"m": backend.Loaded}}
 			table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: serial}, Value: wire.Pack(n)})
@@ -36,27 +36,27 @@
 		}
 		p := &Proxy{routes: routes, budget: attempt.NewBudget(1)}
 		target := route.Target{Route: conf.Route{Kind: "model", Repeatable: true, Attempts: 2}, Item: conf.Item{Model: "m"}}
-		tell("r1", false)
+		announce("r1", false)
 		now := time.Now()
-		w := &dispatch{proxy: p, attempts: 1, call: Call{Target: target, FirstByteDeadline: now.Add(2 * time.Second)}}
-		q := w.attemptRequest(routes.Now().Replicas["r1"], now.Add(time.Second))
-		only := func(when string, want bool) {
+		d := &dispatch{proxy: p, attempts: 1, call: Call{Target: target, FirstByteDeadline: now.Add(2 * time.Second)}}
+		q := d.attemptRequest(routes.Now().Replicas["r1"], now.Add(time.Second))
+		expectOnly := func(when string, want bool) {
 			if q.Only() != want {
-				t.Errorf("%s: the only one: %v", when, !want)
+				t.Errorf("%s: only replica: %v", when, !want)
 			}
 		}
-		only("alone", true)
-		tell("r2", false)
-		only("no retry left", true)
+		expectOnly("alone", true)
+		announce("r2", false)
+		expectOnly("no retry in the budget", true)
 		p.budget.RecordFirst("models", 5)
-		only("two hold it", false)
-		tell("r2", true)
-		w.releaseReservedRetry()
-		only("the other is dark", true)
-		tell("r1", true)
-		only("it is dark itself", false)
-		if q := w.attemptRequest(routes.Now().Replicas["r1"], w.call.FirstByteDeadline); q.Only != nil {
-			t.Error("asked for although it has all the time there is")
+		expectOnly("two hold it", false)
+		announce("r2", true)
+		d.releaseReservedRetry()
+		expectOnly("the other is unreachable", true)
+		announce("r1", true)
+		expectOnly("it is unreachable itself", false)
+		if q := d.attemptRequest(routes.Now().Replicas["r1"], d.call.FirstByteDeadline); q.Only != nil {
+			t.Error("Only is set although the attempt has the whole time until the deadline")
 		}
 	})
 }
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -9,41 +9,41 @@
 	"github.com/pkg/errors"
 )
 
-// maxEvent bounds one event of a stream.
+// maxEventSize bounds the size of one event of a stream.
 const maxEventSize = 1 << 20
 
-// maxChunk is how much of a stream is read at once.
+// readChunkSize is the size of the buffer that a stream is read into.
 const readChunkSize = 4 << 10
 
-var errEventTooLong = errors.New("proxy: an event of a stream is too long")
+var errEventTooLong = errors.New("proxy: an event of the stream exceeds the size limit")
 
-// eventStream passes whole events on. When the replica breaks off, another goes
-// on after the last event that was passed on, within the same answer.
+// eventStream forwards complete events only. When the connection to the replica breaks, another replica resumes
+// after the last forwarded event within the same response.
 type eventStream struct {
 	ctx       context.Context
 	dispatch  *dispatch
 	source    *activeReply
-	readBuf   []byte // room to read into
-	partial   []byte // read, and not yet a whole event
-	ready     []byte // whole events that are to be passed on
-	readyBuf  []byte // the buffer that ready is a part of
-	lastID    uint64 // number of the last event passed on
-	hasLastID bool   // last has a value
+	readBuf   []byte // buffer for reads from source
+	partial   []byte // data read that is not yet a complete event
+	ready     []byte // complete events to be forwarded
+	readyBuf  []byte // buffer that ready is a slice of
+	lastID    uint64 // ID of the last event forwarded
+	hasLastID bool   // lastID is set
 	ended     bool
 	failoverState
 }
 
-func newEventStream(ctx context.Context, w *dispatch, from *activeReply) *eventStream {
-	s := &eventStream{ctx: ctx, dispatch: w, source: from}
-	if n, err := strconv.ParseUint(w.call.LastEventID, 10, 64); err == nil {
+func newEventStream(ctx context.Context, d *dispatch, source *activeReply) *eventStream {
+	s := &eventStream{ctx: ctx, dispatch: d, source: source}
+	if n, err := strconv.ParseUint(d.call.LastEventID, 10, 64); err == nil {
 		s.lastID, s.hasLastID = n, true
 	}
-	w.stream.Store(s)
+	d.stream.Store(s)
 	return s
 }
 
-// Read gives whole events only.
-func (s *eventStream) Read(to []byte) (int, error) {
+// Read returns data of complete events only.
+func (s *eventStream) Read(p []byte) (int, error) {
 	for len(s.ready) == 0 {
 		if s.ended {
 			return 0, io.EOF
@@ -52,12 +52,13 @@
 			return 0, err
 		}
 	}
-	n := copy(to, s.ready)
+	n := copy(p, s.ready)
 	s.ready = s.ready[n:]
 	return n, nil
 }
 
-// more reads until there is a whole event, or the stream has ended.
+// fill reads once from the source and extracts complete events. It resumes on another replica after a failover or a
+// broken connection.
 func (s *eventStream) fill() error {
 	if s.readBuf == nil {
 		s.readBuf = make([]byte, readChunkSize)
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// take moves whole events to where they are passed on from, but for those that
-// were passed on before.
+// extract moves complete events from partial to ready, dropping those already forwarded. At the end of the stream,
+// with all, it also moves an incomplete rest.
 func (s *eventStream) extract(all bool) {
 	rest := s.partial
 	s.ready = s.readyBuf[:0]
@@ -96,28 +97,28 @@
 		}
 		event := rest[:end]
 		rest = rest[end:]
-		number, numbered := eventID(event)
-		// Why: a replica that goes on with a stream may begin a little early; no event may come twice.
-		if numbered && s.hasLastID && number <= s.lastID {
+		id, hasID := eventID(event)
+		// A replica that resumes a stream may start a little early; no event may be delivered twice.
+		if hasID && s.hasLastID && id <= s.lastID {
 			continue
 		}
-		if numbered {
-			s.lastID, s.hasLastID = number, true
+		if hasID {
+			s.lastID, s.hasLastID = id, true
 		}
 		s.ready = append(s.ready, event...)
 	}
-	if number, numbered := eventID(rest); all && !(numbered && s.hasLastID && number <= s.lastID) {
+	if id, hasID := eventID(rest); all && !(hasID && s.hasLastID && id <= s.lastID) {
 		s.ready = append(s.ready, rest...)
 	}
 	if all {
 		rest = nil
 	}
-	// Why: the rest moves to the front of the same buffer, so that none is made for each event and it does not grow for ever.
+	// The rest moves to the front of the same buffer, which avoids an allocation per event and unbounded growth.
 	s.partial = append(s.partial[:0], rest...)
 	s.readyBuf = s.ready
 }
 
-// eventEnd is where the first event ends, with the blank line behind it; -1 is not yet.
+// eventEnd returns the offset just after the first event and the blank line that ends it, or -1 if the event is incomplete.
 func eventEnd(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
@@ -130,7 +131,7 @@
 	return -1
 }
 
-// eventNumber is the id of an event, if it is a number.
+// eventID returns the ID of an event, if it is a id.
 func eventID(event []byte) (uint64, bool) {
 	for line := range bytes.Lines(event) {
 		rest, found := bytes.CutPrefix(line, []byte("id:"))
@@ -143,11 +144,11 @@
 	return 0, false
 }
 
-// resume has another replica go on after the last event passed on.
-func (s *eventStream) resume(broke error) error {
+// resume continues the stream on another replica after the last forwarded event.
+func (s *eventStream) resume(cause error) error {
 	_ = s.source.Close()
 	s.partial = nil
-	next, err := s.nextReply(broke)
+	next, err := s.nextReply(cause)
 	if err != nil {
 		return err
 	}
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// Close ends the attempts that are under way.
+// Close ends the attempts in progress.
 func (s *eventStream) Close() error {
 	err := s.source.Close()
 	s.cancelFailover()
--- a/internal/proxy/events_bench_test.go
+++ b/internal/proxy/events_bench_test.go
@@ -7,11 +7,11 @@
 )
 
 func BenchmarkEvents(b *testing.B) {
-	for _, per := range []int{1, 4, 16, 64} {
-		b.Run(fmt.Sprintf("events=%d", per), func(b *testing.B) {
+	for _, events := range []int{1, 4, 16, 64} {
+		b.Run(fmt.Sprintf("events=%d", events), func(b *testing.B) {
 			b.ReportAllocs()
 			var chunk bytes.Buffer
-			for i := range per {
+			for i := range events {
 				fmt.Fprintf(&chunk, "id: %d\ndata: {\"token\":\"lorem\",\"index\":%d,\"model\":\"model-0001\"}\n\n", i+1, i)
 			}
 			s := &eventStream{}
--- a/internal/proxy/events_test.go
+++ b/internal/proxy/events_test.go
@@ -26,17 +26,17 @@
 		"data: x\n\n": "0 false", "id: seven\n\n": "0 false", "id:\n\n": "0 false", "id: -1\n\n": "0 false", "data: id: 4\n\n": "0 false",
 		"ident: 4\n\n": "0 false", " id: 4\n\n": "0 false", "id: 18446744073709551615\n\n": "18446744073709551615 true",
 	} {
-		n, numbered := eventID([]byte(text))
-		if !numbered {
+		n, hasID := eventID([]byte(text))
+		if !hasID {
 			n = 0
 		}
-		if got := fmt.Sprint(n, numbered); got != want {
+		if got := fmt.Sprint(n, hasID); got != want {
 			t.Errorf("%q: got %s, want %s", text, got, want)
 		}
 	}
 }
 
-// taken feeds pieces to a stream and gives what is passed on after each.
+// extractPieces feeds pieces to a stream and returns what is forwarded after each.
 func extractPieces(s *eventStream, pieces ...string) []string {
 	var out []string
 	for _, piece := range pieces {
@@ -52,10 +52,10 @@
 	got := extractPieces(s, "id: 1\nda", "ta: x\n", "\nid: 2\ndata: y\n\nid: 3", "\n")
 	want := []string{"", "", "id: 1\ndata: x\n\nid: 2\ndata: y\n\n", ""}
 	if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || string(s.partial) != "id: 3\n" || s.lastID != 2 || !s.hasLastID {
-		t.Errorf("got %q, left %q, last %d", got, s.partial, s.lastID)
+		t.Errorf("got %q, left %q, last ID %d", got, s.partial, s.lastID)
 	}
 	if s.extract(true); string(s.ready) != "id: 3\n" || len(s.partial) != 0 {
-		t.Errorf("at the end: %q, left %q", s.ready, s.partial)
+		t.Errorf("at the end: got %q, left %q", s.ready, s.partial)
 	}
 }
 
@@ -63,15 +63,15 @@
 	s := &eventStream{lastID: 4, hasLastID: true}
 	got := strings.Join(extractPieces(s, "id: 3\ndata: c\n\nid: 4\ndata: d\n\n: still here\n\nid: 5\ndata: e\n\nid: 5\ndata: e\n\nid: 2\n\ndata: bare\n\nid: 9\n\n"), "")
 	if want := ": still here\n\nid: 5\ndata: e\n\ndata: bare\n\nid: 9\n\n"; got != want || s.lastID != 9 {
-		t.Errorf("got %q, last %d", got, s.lastID)
+		t.Errorf("got %q, last ID %d", got, s.lastID)
 	}
 	first := &eventStream{}
 	if got := strings.Join(extractPieces(first, "id: 0\ndata: a\n\nid: 0\ndata: a\n\n"), ""); got != "id: 0\ndata: a\n\n" {
-		t.Errorf("a stream that begins with 0: got %q", got)
+		t.Errorf("a stream that starts with ID 0: got %q", got)
 	}
 }
 
-// randomStream is a series of events in both line ends, some of them repeated or without a number.
+// randomStream returns events with both kinds of line ending, some of them repeated or without an ID.
 func randomStream(rnd *rand.Rand) string {
 	var b strings.Builder
 	for i := range 1 + rnd.IntN(20) {
@@ -91,7 +91,7 @@
 	return b.String()
 }
 
-// split cuts a text at random places.
+// split cuts a text at random offsets.
 func split(rnd *rand.Rand, text string) []string {
 	var out []string
 	for len(text) > 0 {
@@ -102,6 +102,7 @@
 	return out
 }
 
+// extractAll feeds pieces and the end of the stream, and returns everything that is forwarded.
 func extractAll(s *eventStream, pieces ...string) string {
 	out := strings.Join(extractPieces(s, pieces...), "")
 	s.extract(true)
@@ -153,7 +154,7 @@
 	}
 }
 
-// What is made for each event is work for the collector, some hundred times a second.
+// Events arrive some hundred times a second; an allocation for each would load the garbage collector.
 func TestForwardingAnEventDoesNotAllocate(t *testing.T) {
 	s := &eventStream{}
 	number := uint64(0)
@@ -166,10 +167,10 @@
 			s.extract(false)
 		}
 		if len(s.ready) != len(event) {
-			t.Fatalf("event %d: %q was passed on", number, s.ready)
+			t.Fatalf("event %d: %q was forwarded", number, s.ready)
 		}
 	})
 	if perEvent > 0 {
-		t.Errorf("%v allocations for each event", perEvent)
+		t.Errorf("%v allocations per event", perEvent)
 	}
 }
--- a/internal/proxy/failover.go
+++ b/internal/proxy/failover.go
@@ -12,28 +12,28 @@
 	"drumstall.example/internal/attempt"
 )
 
-var errFailedOver = errors.New("proxy: another replica goes on with the stream")
+var errFailedOver = errors.New("proxy: another replica has taken over the stream")
 
-// handover is how a stream changes from a replica that has fallen silent to one that
-// goes on with it. Why: silence is no proof. The silent replica is let go of only when the other one has
-// begun to answer; a refusal there would end an answer that might have come.
+// failoverState is the state of moving a stream from a silent replica to one that resumes it.
+// Silence does not prove a failure, so the silent replica is dropped only once the other one has started to
+// respond: if that one refused, a response that might still have arrived would be lost.
 type failoverState struct {
 	mu             sync.Mutex
-	dataReads      uint64           // pieces that have come
-	resumeAfter    uint64           // number of the last event passed on, as of the last of them
-	hasResumeAfter bool             // after has a value
-	pending        *failoverAttempt // the attempt at another replica, while it is under way
-	successor      *activeReply     // has begun to go on
+	dataReads      uint64           // reads that returned data
+	resumeAfter    uint64           // ID of the last event forwarded, as of the last such read
+	hasResumeAfter bool             // resumeAfter is set
+	pending        *failoverAttempt // the attempt in progress at another replica, if any
+	successor      *activeReply     // reply of the replica that resumes the stream
 	closed         bool
 }
 
-// trial is an attempt to have another replica go on.
+// failoverAttempt is an attempt to have another replica resume the stream.
 type failoverAttempt struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// isTakingOver says that another replica is being tried because this one is silent.
+// isFailingOver reports whether another replica is being tried because the given one is silent.
 func (s *eventStream) isFailingOver(replica string) bool {
 	if s == nil {
 		return false
@@ -43,15 +43,15 @@
 	return s.pending != nil && s.source.replica == replica
 }
 
-// isTakenOver says that another replica goes on, and that what comes from this one
-// is to be left out.
+// hasFailedOver reports whether another replica has taken over, in which case data from the
+// current one is discarded.
 func (s *eventStream) hasFailedOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.successor != nil
 }
 
-// progress notes that a piece has come.
+// recordProgress records that data has arrived.
 func (s *eventStream) recordProgress() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +59,8 @@
 	s.failoverState.resumeAfter, s.hasResumeAfter = s.lastID, s.hasLastID
 }
 
-// takeOver tries to have another replica go on, and says whether one does. The stream's
-// reader waits for the silent replica meanwhile, and a piece that comes from that ends the trial.
+// failOver tries to have another replica resume the stream and reports whether one does. The stream's reader
+// keeps waiting for the silent replica meanwhile; data from that one makes the attempt void.
 func (s *eventStream) failOver() bool {
 	if s == nil {
 		return true
@@ -71,14 +71,14 @@
 		return s.successor != nil
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	t := &failoverAttempt{cancel: cancel, done: make(chan struct{})}
+	a := &failoverAttempt{cancel: cancel, done: make(chan struct{})}
 	reads, last, known := s.dataReads, s.failoverState.resumeAfter, s.hasResumeAfter
-	s.pending = t
+	s.pending = a
 	s.mu.Unlock()
 	next, err := s.requestResume(ctx, last, known, errFailedOver)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer close(t.done)
+	defer close(a.done)
 	s.pending = nil
 	switch {
 	case err != nil:
@@ -93,9 +93,9 @@
 	return true
 }
 
-// successor is the replica that goes on with a stream that broke off: the one that has
-// begun to, or else one that is asked now.
-func (s *eventStream) nextReply(broke error) (*activeReply, error) {
+// nextReply returns the reply that resumes a broken stream: that of a completed failover, or
+// else that of a new attempt.
+func (s *eventStream) nextReply(cause error) (*activeReply, error) {
 	s.awaitFailover(false)
 	s.mu.Lock()
 	next := s.successor
@@ -104,48 +104,48 @@
 	if next != nil {
 		return next, nil
 	}
-	return s.requestResume(s.ctx, s.lastID, s.hasLastID, broke)
+	return s.requestResume(s.ctx, s.lastID, s.hasLastID, cause)
 }
 
-// awaitTrial waits until a trial that is under way is over, and may cut it short.
-func (s *eventStream) awaitFailover(cutShort bool) {
+// awaitFailover waits for a failover attempt in progress to end; with abort it cancels the attempt first.
+func (s *eventStream) awaitFailover(abort bool) {
 	s.mu.Lock()
-	t := s.pending
+	a := s.pending
 	s.mu.Unlock()
-	if t == nil {
+	if a == nil {
 		return
 	}
-	if cutShort {
-		t.cancel()
+	if abort {
+		a.cancel()
 	}
-	<-t.done
+	<-a.done
 }
 
-// goOn asks another replica to go on after an event.
-func (s *eventStream) requestResume(ctx context.Context, last uint64, known bool, broke error) (*activeReply, error) {
-	w := s.dispatch
-	if ctx.Err() != nil || w.attempts >= w.call.Target.Route.Attempts || !time.Now().Before(w.call.Deadline) {
-		return nil, broke
+// requestResume asks another replica to resume the stream after an event; cause is the error that made this necessary.
+func (s *eventStream) requestResume(ctx context.Context, last uint64, known bool, cause error) (*activeReply, error) {
+	d := s.dispatch
+	if ctx.Err() != nil || d.attempts >= d.call.Target.Route.Attempts || !time.Now().Before(d.call.Deadline) {
+		return nil, cause
 	}
-	w.call.Target.Avoid = s.source.replica
-	w.call.FirstByteDeadline = w.call.Deadline
-	w.outcome = attempt.Unknown
+	d.call.Target.Avoid = s.source.replica
+	d.call.FirstByteDeadline = d.call.Deadline
+	d.outcome = attempt.Unknown
 	if known {
-		w.call.LastEventID = strconv.FormatUint(last, 10)
+		d.call.LastEventID = strconv.FormatUint(last, 10)
 	}
-	next, refusal := w.awaitReply(ctx)
-	w.releaseReservedRetry()
+	next, refusal := d.awaitReply(ctx)
+	d.releaseReservedRetry()
 	if refusal != nil {
-		return nil, errors.Wrap(broke, refusal.Detail)
+		return nil, errors.Wrap(cause, refusal.Detail)
 	}
 	if next.reply.Status != http.StatusOK {
 		_ = next.Close()
-		return nil, errors.Wrapf(broke, "the replica that was to go on answered %d", next.reply.Status)
+		return nil, errors.Wrapf(cause, "the replica that was to resume the stream returned status %d", next.reply.Status)
 	}
 	return next, nil
 }
 
-// abandon lets go of a trial that nobody waits for any more.
+// cancelFailover ends a failover attempt, and its reply, after the stream is closed.
 func (s *eventStream) cancelFailover() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/proxy/failover_test.go
+++ b/internal/proxy/failover_test.go
@@ -28,10 +28,10 @@
 	"drumstall.example/internal/state"
 )
 
-// script is what a replica does with a request: it writes to the connection, which ends when it returns.
+// script is how a replica handles a request: it writes to the connection, which is closed when it returns.
 type script func(out *replicaConn)
 
-// replicaOut writes an answer as a replica does.
+// replicaConn writes a response in the way of a replica.
 type replicaConn struct{ conn net.Conn }
 
 func (o *replicaConn) writeHead() {
@@ -51,7 +51,7 @@
 	_, _ = fmt.Fprintf(o.conn, "HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", backend.HeaderOutcome, backend.NotRun)
 }
 
-// twoReplicas is a proxy before two replicas that hold a model.
+// replicaPair is a proxy in front of two replicas that hold a model.
 type replicaPair struct {
 	t        *testing.T
 	group    *run.Group
@@ -61,56 +61,57 @@
 	requests [2]int
 }
 
-// stallAfter is the pause that should not occur; twice that makes a replica doubted.
+// gapTarget is the route's gap target; a silence of twice this makes a replica suspect.
 const gapTarget = 300 * time.Millisecond
 
-func runWithReplicas(t *testing.T, first, second script, f func(w *replicaPair)) {
+// runWithReplicas runs f against a proxy and two replicas that follow the scripts; only the first is announced at the start.
+func runWithReplicas(t *testing.T, first, second script, f func(p *replicaPair)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &replicaPair{t: t, group: run.NewGroup(t.Context()), table: gossip.NewTable(),
+		p := &replicaPair{t: t, group: run.NewGroup(t.Context()), table: gossip.NewTable(),
 			fabric: simnet.New(1, func(string, string) time.Duration { return time.Millisecond })}
-		routes := route.NewKeeper(route.Deps{Group: w.group, Gossip: w.table, Clock: simhost.NewClock(), Zone: func() string { return "a" },
+		routes := route.NewKeeper(route.Deps{Group: p.group, Gossip: p.table, Clock: simhost.NewClock(), Zone: func() string { return "a" },
 			HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
-		w.proxy = &Proxy{routes: routes, budget: attempt.NewBudget(1), log: ring.New(io.Discard, 10).Logger(), demand: map[string]uint64{},
-			sender: attempt.NewSender(w.fabric.Host("10.0.0.9"), attempt.Native{}, time.Minute)}
-		w.proxy.edgeCount.Store(1)
-		w.proxy.admission = admission.New(w.group, routes, time.Second, func() {})
+		p.proxy = &Proxy{routes: routes, budget: attempt.NewBudget(1), log: ring.New(io.Discard, 10).Logger(), demand: map[string]uint64{},
+			sender: attempt.NewSender(p.fabric.Host("10.0.0.9"), attempt.Native{}, time.Minute)}
+		p.proxy.edgeCount.Store(1)
+		p.proxy.admission = admission.New(p.group, routes, time.Second, func() {})
 		kept := conf.Kept{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}
-		w.table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: kept.Pack()})
-		listeners := []net.Listener{w.serve(0, first), w.serve(1, second)}
-		w.announce(0)
+		p.table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: kept.Pack()})
+		listeners := []net.Listener{p.serve(0, first), p.serve(1, second)}
+		p.announce(0)
 		time.Sleep(time.Second)
-		f(w)
-		w.proxy.sender.Close()
+		f(p)
+		p.proxy.sender.Close()
 		for _, l := range listeners {
 			_ = l.Close()
 		}
 		time.Sleep(10 * time.Second)
-		w.group.Stop()
+		p.group.Stop()
 	})
 }
 
 func addrOf(i int) string { return fmt.Sprintf("10.0.0.%d:90", i+1) }
 
-// replica serves one request a connection as a script says.
-func (w *replicaPair) serve(i int, s script) net.Listener {
-	ln, err := w.fabric.Host(fmt.Sprintf("10.0.0.%d", i+1)).Listen(addrOf(i))
+// serve runs a replica that handles one request per connection according to a script.
+func (p *replicaPair) serve(i int, s script) net.Listener {
+	ln, err := p.fabric.Host(fmt.Sprintf("10.0.0.%d", i+1)).Listen(addrOf(i))
 	if err != nil {
-		w.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	w.group.Go(func(context.Context) {
+	p.group.Go(func(context.Context) {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			w.group.Go(func(context.Context) {
+			p.group.Go(func(context.Context) {
 				defer conn.Close()
 				req, err := http.ReadRequest(bufio.NewReader(conn))
 				if err != nil {
 					return
 				}
 				_, _ = io.Copy(io.Discard, req.Body)
-				w.requests[i]++
+				p.requests[i]++
 				s(&replicaConn{conn})
 			})
 		}
@@ -118,26 +119,26 @@
 	return ln
 }
 
-// tell makes a replica known as one that holds the model.
-func (w *replicaPair) announce(i int) {
+// announce publishes a replica as one that holds the model.
+func (p *replicaPair) announce(i int) {
 	id := fmt.Sprintf("r%d", i+1)
 	n := order.Status{Listed: inventory.Listed{ID: id, Addr: addrOf(i), Model: true, Slots: 12}, Slots: 12, Items: map[string]string{"m": backend.Loaded}}
-	w.table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: wire.Pack(n)})
+	p.table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: wire.Pack(n)})
 }
 
-// ask asks for a stream, and gives it with how it ended.
-func (w *replicaPair) requestStream() (got string, err error) {
+// requestStream requests a stream and returns its body and the error that it ended with.
+func (p *replicaPair) requestStream() (got string, err error) {
 	r := conf.Route{Kind: "model", Class: "c", Repeatable: true, Streaming: true, Resumable: true, Attempts: 2, GapTarget: gapTarget, Target: time.Second}
-	ctx, cancel := context.WithTimeout(w.t.Context(), 8*time.Second)
+	ctx, cancel := context.WithTimeout(p.t.Context(), 8*time.Second)
 	defer cancel()
 	call := Call{Target: route.Target{Route: r, Item: conf.Item{Model: "m"}}, Deadline: time.Now().Add(8 * time.Second), Body: []byte("{}")}
-	a, refusal := w.proxy.Serve(ctx, call)
+	a, refusal := p.proxy.Serve(ctx, call)
 	if refusal != nil {
 		return "", fmt.Errorf("refused: %+v", refusal)
 	}
-	w.announce(1)
-	// Why: what the budget allows is counted over the requests so far.
-	w.proxy.budget.RecordFirst("models", 10)
+	p.announce(1)
+	// The retry budget is a fraction of the requests so far.
+	p.proxy.budget.RecordFirst("models", 10)
 	body, err := io.ReadAll(a.Body)
 	_ = a.Body.Close()
 	return string(body), err
@@ -151,7 +152,7 @@
 	return b.String()
 }
 
-// silentFor answers one event, is silent for a while, and goes on to the end.
+// silentFor sends one event, is silent for a while, and then sends the rest.
 func silentFor(d time.Duration) script {
 	return func(out *replicaConn) {
 		out.writeHead()
@@ -163,13 +164,13 @@
 }
 
 func TestSilentReplicaIsKeptWhenFailoverIsRefused(t *testing.T) {
-	runWithReplicas(t, silentFor(3*time.Second), func(out *replicaConn) { out.refuse() }, func(w *replicaPair) {
-		got, err := w.requestStream()
+	runWithReplicas(t, silentFor(3*time.Second), func(out *replicaConn) { out.refuse() }, func(p *replicaPair) {
+		got, err := p.requestStream()
 		if err != nil || got != eventText(1, 2, 3) {
 			t.Errorf("got %q, %v", got, err)
 		}
-		if w.requests != [2]int{1, 1} {
-			t.Errorf("asked %v times", w.requests)
+		if p.requests != [2]int{1, 1} {
+			t.Errorf("requests per replica: %v", p.requests)
 		}
 	})
 }
@@ -180,9 +181,9 @@
 		out.writeEvents(1, 2, 3)
 		out.end()
 	}
-	runWithReplicas(t, silentFor(time.Hour), second, func(w *replicaPair) {
+	runWithReplicas(t, silentFor(time.Hour), second, func(p *replicaPair) {
 		began := time.Now()
-		got, err := w.requestStream()
+		got, err := p.requestStream()
 		if err != nil || got != eventText(1, 2, 3) {
 			t.Errorf("got %q, %v", got, err)
 		}
@@ -199,9 +200,9 @@
 		out.writeEvents(2, 3)
 		out.end()
 	}
-	runWithReplicas(t, silentFor(time.Second), second, func(w *replicaPair) {
+	runWithReplicas(t, silentFor(time.Second), second, func(p *replicaPair) {
 		began := time.Now()
-		got, err := w.requestStream()
+		got, err := p.requestStream()
 		if err != nil || got != eventText(1, 2, 3) {
 			t.Errorf("got %q, %v", got, err)
 		}
@@ -223,25 +224,25 @@
 		out.writeEvents(2, 3)
 		out.end()
 	}
-	runWithReplicas(t, first, second, func(w *replicaPair) {
-		got, err := w.requestStream()
+	runWithReplicas(t, first, second, func(p *replicaPair) {
+		got, err := p.requestStream()
 		if err != nil || got != eventText(1, 2, 3) {
 			t.Errorf("got %q, %v", got, err)
 		}
-		if w.requests != [2]int{1, 1} {
-			t.Errorf("asked %v times", w.requests)
+		if p.requests != [2]int{1, 1} {
+			t.Errorf("requests per replica: %v", p.requests)
 		}
 	})
 }
 
 func TestClientDisconnectCancelsFailover(t *testing.T) {
-	runWithReplicas(t, silentFor(time.Hour), func(*replicaConn) { time.Sleep(time.Hour) }, func(w *replicaPair) {
-		if got, err := w.requestStream(); err == nil || got != eventText(1) {
+	runWithReplicas(t, silentFor(time.Hour), func(*replicaConn) { time.Sleep(time.Hour) }, func(p *replicaPair) {
+		if got, err := p.requestStream(); err == nil || got != eventText(1) {
 			t.Errorf("got %q, %v", got, err)
 		}
 		synctest.Wait()
-		if n := w.proxy.admission.Attempts(); n != 0 {
-			t.Errorf("%d attempts are under way", n)
+		if n := p.proxy.admission.Attempts(); n != 0 {
+			t.Errorf("%d attempts are still in progress", n)
 		}
 	})
 }
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -20,62 +20,62 @@
 	"drumstall.example/internal/state"
 )
 
-// feedState is owned by the feed's loop.
+// feedState is the state of the exchanges with the agent. Only the feed loop uses it.
 type feedState struct {
 	agentBoot       string
 	cursor          uint64
 	gossipCursor    uint64
 	sendAll         bool
-	firstContactAt  time.Duration // when an agent was first heard
-	edgesUpdatedAt  time.Duration // when the count of edges was last settled
-	maxEdges        int           // the largest count since then
-	exchangedAt     time.Duration // when the last exchange ended
-	reportedAt      time.Duration // when the last report was sent; 0 when the agent may not have it
-	reportedVersion uint64        // version of the table that it told of
-	base            report.Report // the last report that the agent holds, from which the next is the difference; without a serial there is none
+	firstContactAt  time.Duration // when an agent was first reached
+	edgesUpdatedAt  time.Duration // when the count of edges was last updated
+	maxEdges        int           // the largest count reported since then
+	exchangedAt     time.Duration // when the last exchange was complete
+	reportedAt      time.Duration // when the last report was sent; 0 if the agent may not have it
+	reportedVersion uint64        // version of the routing table described by that report
+	base            report.Report // the last report the agent holds, the base of the next delta; version 0 means none
 }
 
-// mend gets news from the agent's peers while the agent is away, or so new
-// that it may know nobody yet: a configuration must come into force here all the same.
+// pullFromPeers pulls updates from the agent's peers while the agent is unreachable, or so new that it may not know
+// any peer yet, so that a new configuration is applied here all the same.
 func (p *Proxy) pullFromPeers(ctx context.Context) {
 	known := *p.peers.Load()
 	if p.sinceAgentSeen() <= agentTimeout && p.env.Clock.Since()-time.Duration(p.agentFirstSeenAt.Load()) > agentWarmup || len(known) == 0 {
 		return
 	}
-	// Why: some of them may be down as well; one that answers is enough.
-	to := sample.Of(known, peerPullCount)
-	asked := p.env.Clock.Since()
-	ch := run.Fan(p.group, len(to), func(ctx context.Context, i int) touch.Word {
+	// Some peers may be down as well; one response is enough.
+	peers := sample.Of(known, peerPullCount)
+	askedAt := p.env.Clock.Since()
+	results := run.Fan(p.group, len(peers), func(ctx context.Context, i int) touch.Word {
 		ctx, cancel := context.WithTimeout(ctx, peerPullInterval)
 		defer cancel()
-		return gossip.Mend(ctx, p.caller, p.gossip, to[i], "")
+		return gossip.Mend(ctx, p.caller, p.gossip, peers[i], "")
 	})
-	for range to {
-		p.contact.Told(asked, <-ch)
+	for range peers {
+		p.contact.Told(askedAt, <-results)
 	}
 }
 
-// exchange trades news and reports with the agent.
+// exchangeFeed exchanges updates and reports with the agent.
 func (p *Proxy) exchangeFeed(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, feedTimeout)
 	defer cancel()
 	f := &p.feed
 	snap := p.routes.Now()
 	up := feed.Up{Boot: p.boot, AgentBoot: f.agentBoot, Cursor: f.cursor, Confirmed: p.confirmed.Load(), Conf: snap.Stamp}
-	fresh, mine, _ := p.gossip.After(f.gossipCursor)
+	fresh, cursor, _ := p.gossip.After(f.gossipCursor)
 	for _, e := range fresh {
 		if f.sendAll || strings.HasPrefix(e.Key, inventory.MarkKey("")) || strings.HasPrefix(e.Key, route.TenantPrefix) {
 			up.Entries = append(up.Entries, e)
 		}
 	}
-	// Why: an agent that was started anew while all seeds are down would stay alone.
+	// Without these peers, an agent that restarted while all seeds are down would stay isolated.
 	if time.Duration(p.agentSeenAt.Load()) < time.Duration(p.agentFirstSeenAt.Load())+time.Second {
 		up.Peers = *p.peers.Load()
 	}
 	up.HoldMs = int(feedHold.Milliseconds())
-	asked := p.env.Clock.Since()
+	askedAt := p.env.Clock.Since()
 	var sent report.Report
-	if up.NoReport = !f.reportDue(snap, asked); !up.NoReport {
+	if up.NoReport = !f.reportDue(snap, askedAt); !up.NoReport {
 		sent = p.buildReport()
 		up.Report = f.delta(sent)
 	}
@@ -85,13 +85,13 @@
 		return
 	}
 	f.updateBase(sent, down.Holds)
-	f.gossipCursor, f.sendAll = mine, false
+	f.gossipCursor, f.sendAll = cursor, false
 	if down.WantAll {
-		// Why: the agent lost its table; ours may be newer than any it can get elsewhere.
+		// The agent has lost its table; the entries here may be newer than any it can get elsewhere.
 		f.gossipCursor, f.sendAll = 0, true
 	}
 	if f.agentBoot != "" && f.agentBoot != down.AgentBoot {
-		p.agentFirstSeenAt.Store(int64(asked))
+		p.agentFirstSeenAt.Store(int64(askedAt))
 	}
 	if f.agentBoot != down.AgentBoot {
 		f.reportedAt = 0
@@ -103,28 +103,28 @@
 	if !p.routes.Deaf() {
 		p.isolatedAt.Store(0)
 	}
-	p.updateEdgeCount(down.Edges, asked)
-	// Why: a new agent that knows few must not make us forget whom the one before it knew.
-	if young := asked-time.Duration(p.agentFirstSeenAt.Load()) < agentWarmup; len(down.Peers) > 0 && (!young || len(down.Peers) >= len(*p.peers.Load())) {
+	p.updateEdgeCount(down.Edges, askedAt)
+	// A new agent that knows few peers must not replace the larger list of its predecessor.
+	if isNew := askedAt-time.Duration(p.agentFirstSeenAt.Load()) < agentWarmup; len(down.Peers) > 0 && (!isNew || len(down.Peers) >= len(*p.peers.Load())) {
 		p.peers.Store(&down.Peers)
 	}
-	p.agentSeenAt.Store(int64(asked))
-	p.contact.Told(asked, touch.Word(down.HeardMs+1))
+	p.agentSeenAt.Store(int64(askedAt))
+	p.contact.Told(askedAt, touch.Word(down.HeardMs+1))
 	if !p.confirmed.Load() && isTableCurrent(down, p.routes.Now()) {
 		p.confirmed.Store(true)
 	}
 	p.paceExchanges(ctx, p.env.Clock.Since())
 }
 
-// knowsEnough says whether a proxy that was just started may serve by a table: its agent
-// knows what was in force before, and the table was made from that or from what came after. By a table without
-// any configuration it would tell callers that there is no route.
+// isTableCurrent reports whether a newly started proxy may serve from a table: the agent knows the latest
+// configuration in effect, and the table was built from it or from a later one. A table without any configuration would
+// make the proxy report unknown routes to callers.
 func isTableCurrent(agent feed.Down, table *route.Snapshot) bool {
 	return agent.Confirmed && table.Serial > 0 && !agent.Conf.Newer(table.Stamp)
 }
 
-// reportDue says whether a report goes with an exchange: now and then, and soon
-// after what is in force here has changed, since controllers may wait for that.
+// reportDue reports whether to include a report in an exchange: at regular intervals, and soon
+// after the routing table has changed, since controllers may wait for that.
 func (f *feedState) reportDue(snap *route.Snapshot, now time.Duration) bool {
 	age := now - f.reportedAt
 	if f.reportedAt != 0 && age < reportInterval && (age < minReportInterval || snap.Version == f.reportedVersion) {
@@ -134,7 +134,7 @@
 	return true
 }
 
-// difference is a report as the agent needs it.
+// delta returns a report relative to the base, or whole if the agent holds none.
 func (f *feedState) delta(r report.Report) report.Report {
 	if f.base.Version == 0 {
 		return r
@@ -142,8 +142,8 @@
 	return r.Since(f.base)
 }
 
-// settle notes which report the agent holds after an exchange in which it was sent
-// one, or none. Why: the agent may be another one by now, or one that takes whole reports only.
+// updateBase records which report the agent holds after an exchange, in which one may have been sent.
+// The agent may have been replaced in the meantime, or may accept whole reports only.
 func (f *feedState) updateBase(sent report.Report, holds uint64) {
 	before := f.base
 	switch {
@@ -157,17 +157,17 @@
 	}
 }
 
-// rest keeps exchanges apart while much is new. Why: what comes together makes one
-// table; what comes alone is passed on at once.
-func (p *Proxy) paceExchanges(ctx context.Context, answered time.Duration) {
+// paceExchanges spaces out exchanges while updates are frequent. Updates that arrive together are built into one
+// table; a single update is applied at once.
+func (p *Proxy) paceExchanges(ctx context.Context, exchangedAt time.Duration) {
 	f := &p.feed
-	if answered-f.exchangedAt < feedBusyWindow {
+	if exchangedAt-f.exchangedAt < feedBusyWindow {
 		run.Wait(ctx, busyInterval(p.admission.Waiting()))
 	}
 	f.exchangedAt = p.env.Clock.Since()
 }
 
-// busyGap is how far apart exchanges are while much is new, with so many requests waiting for each item.
+// busyInterval returns the time between exchanges while updates are frequent, given the requests waiting for each item.
 func busyInterval(waiting map[string]int) time.Duration {
 	if len(waiting) > 0 {
 		return feedWaitingGap
@@ -175,7 +175,7 @@
 	return feedBusyGap
 }
 
-// report is this proxy's word to the controllers.
+// buildReport returns this proxy's periodic report to the controllers.
 func (p *Proxy) buildReport() report.Report {
 	snap := p.routes.Now()
 	tenants, version := p.tenantReport()
@@ -184,18 +184,18 @@
 		Tenants: tenants, TenantsVersion: version}
 }
 
-// acknowledged is what controllers are told of the replicas' status that is in force here. Why: they wait for it
-// only where a replica does not itself let runs end before it unloads; told for nothing, each change at a
-// replica made a change in every edge's report.
-func acknowledgedStatuses(traits backend.Traits, inForce map[string]state.Stamp) map[string]state.Stamp {
+// acknowledgedStatuses returns the versions of replica status to acknowledge to controllers. Controllers wait
+// for these only if replicas do not finish running requests before an unload; otherwise each change at a replica would
+// needlessly change the report of every edge.
+func acknowledgedStatuses(traits backend.Traits, versions map[string]state.Stamp) map[string]state.Stamp {
 	if traits.WaitsForRuns {
 		return nil
 	}
-	return inForce
+	return versions
 }
 
-// tellMiss passes the report on at once. Why: a load can only begin when a
-// controller has heard that somebody waits for it.
+// sendUrgentReport sends the report at once: a load can start only after a
+// controller has learned that a request waits for it.
 func (p *Proxy) sendUrgentReport() {
 	ctx, cancel := context.WithTimeout(p.group.Context(), feedTimeout)
 	defer cancel()
@@ -203,8 +203,8 @@
 	run.Wait(ctx, urgentReportGap)
 }
 
-// countEdges keeps the largest count of edges seen lately. Why: edges cut apart
-// each see only themselves, and together must keep to one allowance all the same.
+// updateEdgeCount keeps the largest recent count of edges. During a network partition each edge
+// sees only itself, and all of them together must still keep to one retry allowance.
 func (p *Proxy) updateEdgeCount(n int, now time.Duration) {
 	f := &p.feed
 	if f.firstContactAt == 0 {
@@ -220,12 +220,14 @@
 	}
 }
 
+// demandCounts returns a copy of the number of requests per model and per adapter.
 func (p *Proxy) demandCounts() map[string]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.demand)
 }
 
+// countDemand counts a request for a model and, if it names one, its adapter.
 func (p *Proxy) countDemand(item conf.Item) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/identity.go
+++ b/internal/proxy/identity.go
@@ -7,11 +7,11 @@
 	"drumstall.example/internal/conf"
 )
 
-// bearer is the scheme under which callers bear their keys.
+// bearerScheme is the authentication scheme of callers' keys.
 const bearerScheme = "Bearer"
 
-// Identify finds whose key a request bears, by what its Authorization header says, and
-// gives the route as it holds for that tenant. Where keys are required a request is refused without one.
+// Identify finds the tenant whose key the Authorization header of a request contains and returns the route as it
+// applies to that tenant. Where keys are required, a request without a known key is refused unless its route is public.
 func (p *Proxy) Identify(r conf.Route, authorization string) (conf.Route, attempt.Identity, *Refusal) {
 	cfg := p.Conf()
 	if !cfg.Limits.RequireKeys {
@@ -19,7 +19,7 @@
 	}
 	tenant, known := cfg.TenantOfKey(bearerKey(authorization))
 	if !known && !r.Public {
-		return r, attempt.Identity{}, &Refusal{Reason: Unauthorized, Detail: "the request bears no key of a tenant", Outcome: attempt.NotRun}
+		return r, attempt.Identity{}, &Refusal{Reason: Unauthorized, Detail: "the request has no key of a known tenant", Outcome: attempt.NotRun}
 	}
 	if class := cfg.Tenants[tenant].Class; class != "" {
 		r.Class = class
@@ -27,7 +27,7 @@
 	return r, attempt.Identity{Required: true, Tenant: tenant}, nil
 }
 
-// keyIn is the key that an Authorization header holds; "" is none.
+// bearerKey returns the key in an Authorization header, or "" if there is none.
 func bearerKey(authorization string) string {
 	scheme, key, _ := strings.Cut(strings.TrimSpace(authorization), " ")
 	if !strings.EqualFold(scheme, bearerScheme) {
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -15,7 +15,7 @@
 	"drumstall.example/internal/route"
 )
 
-// goaError is a refusal in the design's own form.
+// goaError converts a refusal to the error type of the native API.
 func (r *Refusal) goaError() error {
 	d := &gen.Refusal{Name: string(r.Reason), Detail: r.Detail, Outcome: string(r.Outcome)}
 	if r.RetryAfter > 0 {
@@ -25,20 +25,20 @@
 	return d
 }
 
-// Vitals tells whether this proxy serves.
+// Vitals reports whether this proxy serves requests, with its node name, active configuration and counters.
 func (p *Proxy) Vitals(context.Context) (map[string]string, error) {
 	serial, serving := p.ActiveConfig()
 	if !serving || p.draining.Load() {
-		return nil, (&Refusal{Reason: Unavailable, Detail: "not serving yet, or no more", Outcome: attempt.NotRun, RetryAfter: time.Second}).goaError()
+		return nil, (&Refusal{Reason: Unavailable, Detail: "the proxy is starting up or shutting down", Outcome: attempt.NotRun, RetryAfter: time.Second}).goaError()
 	}
 	return map[string]string{"node": p.settings.Name, "conf": strconv.FormatUint(serial, 10), "shots": strconv.FormatInt(p.admission.Attempts(), 10),
 		"cut": strconv.FormatInt(p.truncated.Load(), 10)}, nil
 }
 
-// Shoot takes a caller's request through all stages.
+// Shoot handles a caller's request on the native API, from validation to the relayed response.
 func (p *Proxy) Shoot(ctx context.Context, q *gen.ShootPayload, body io.ReadCloser) (*gen.ShootResult, io.ReadCloser, error) {
 	defer body.Close()
-	began := time.Now()
+	startedAt := time.Now()
 	if refusal := p.Ready(ctx); refusal != nil {
 		return nil, nil, refusal.goaError()
 	}
@@ -48,19 +48,19 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(body, target.Route.MaxBody+1))
 	if err != nil {
-		return nil, nil, (&Refusal{Reason: BadRequest, Detail: "the body broke off or stalled", Outcome: attempt.NotRun}).goaError()
+		return nil, nil, (&Refusal{Reason: BadRequest, Detail: "the request body was incomplete or stalled", Outcome: attempt.NotRun}).goaError()
 	}
 	relay.BodyRead(ctx)
 	if int64(len(raw)) > target.Route.MaxBody {
-		detail := fmt.Sprintf("a body on this route has at most %d bytes", target.Route.MaxBody)
+		detail := fmt.Sprintf("the request body exceeds the limit of %d bytes on this route", target.Route.MaxBody)
 		return nil, nil, (&Refusal{Reason: TooLarge, Detail: detail, Outcome: attempt.NotRun}).goaError()
 	}
 	if target.Route.Kind == "model" {
 		target.Prompt = route.ReadPrompt(target.Item.String(), raw)
 	}
-	call := Call{Target: target, Identity: identity, Deadline: began.Add(target.Route.Deadline), ContentType: "application/json", Body: raw}
+	call := Call{Target: target, Identity: identity, Deadline: startedAt.Add(target.Route.Deadline), ContentType: "application/json", Body: raw}
 	if q.DeadlineMs != nil {
-		call.Deadline = began.Add(target.Route.Within(time.Duration(*q.DeadlineMs) * time.Millisecond))
+		call.Deadline = startedAt.Add(target.Route.Within(time.Duration(*q.DeadlineMs) * time.Millisecond))
 	}
 	if q.Ticket != nil {
 		call.RequestID = *q.Ticket
@@ -72,7 +72,7 @@
 	return &gen.ShootResult{Outcome: string(attempt.Ran), ContentType: a.ContentType, Replica: a.Replica}, a.Body, nil
 }
 
-// target finds what the request names, and whose it is.
+// target resolves the route and item that the request names and identifies the caller's tenant.
 func (p *Proxy) target(q *gen.ShootPayload) (route.Target, attempt.Identity, *Refusal) {
 	r, found := p.Conf().Routes[q.Route]
 	if !found {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy puts a dsproxy together: the callers' API, admission, attempts,
-// relay, and the feed from the agent beside it.
+// Package proxy assembles a dsproxy: the callers' API, admission, attempts, the relay of responses, and the feed
+// exchange with the agent on the same node.
 package proxy
 
 import (
@@ -31,57 +31,59 @@
 )
 
 const (
-	// feedHold is how long the agent may hold an answer back until it has news, and feedGap the least time between two questions.
+	// feedHold is how long the agent may delay its response until it has updates, and feedGap the minimum time
+	// between two exchanges.
 	feedHold = 200 * time.Millisecond
 	feedGap  = 2 * time.Millisecond
-	// feedBusyGap is the time between two questions while each answer has news that came within feedBusy of the one
-	// before, and feedWaitedGap the same while requests wait here for what the news may tell of.
+	// feedBusyGap is the time between two exchanges while each response comes within feedBusyWindow of the previous
+	// one, and feedWaitingGap the same while requests are queued here for items that an update may make available.
 	feedBusyGap    = 100 * time.Millisecond
 	feedWaitingGap = 20 * time.Millisecond
 	feedBusyWindow = 50 * time.Millisecond
-	// reportEvery is how often a report goes to the agent, and reportGap how soon after another when what is in force has changed.
+	// reportInterval is how often a report goes to the agent, and minReportInterval the minimum time between two reports
+	// when the routing table has changed.
 	reportInterval    = 200 * time.Millisecond
 	minReportInterval = 50 * time.Millisecond
 	feedTimeout       = time.Second
-	// missGap is the least time between two urgent reports.
+	// urgentReportGap is the minimum time between two urgent reports.
 	urgentReportGap  = 5 * time.Millisecond
 	peerPullInterval = 400 * time.Millisecond
 	bodyReadTimeout  = 15 * time.Second
 	stallTimeout     = 30 * time.Second
-	// unknownEdges is how many edges a proxy supposes before it has been told for a while.
+	// initialEdgeCount is the number of edges assumed until agents have reported a count for edgeCountDelay.
 	initialEdgeCount = 16
-	// settled is how long an agent must have been there for its count of edges to be believed.
+	// edgeCountDelay is how long after the first contact with an agent the reported count of edges is accepted.
 	edgeCountDelay = 10 * time.Second
-	// edgesLast is how long the largest count of edges holds.
+	// edgeCountTTL is how long the largest count of edges stays valid.
 	edgeCountTTL = 30 * time.Minute
-	// lameDuck is how long a stopping proxy still serves while it lets go of its connections.
+	// lameDuck is how long a stopping proxy still serves while it closes its connections.
 	lameDuck = 3 * time.Second
-	// wakeFor is how long requests wait for a proxy that has just found itself out of touch.
+	// isolationWait is how long requests wait at a proxy that has just found itself isolated.
 	isolationWait   = time.Second
 	pollInterval    = 20 * time.Millisecond
 	maxReadyWaiters = 1000
-	// agentYoung is how long a new agent may know less than those its predecessor knew.
+	// agentWarmup is how long a new agent may know fewer peers than its predecessor did.
 	agentWarmup   = 5 * time.Second
 	peerPullCount = 3
-	// deafMargin is how long before the bound on draining a proxy that hears nobody stops sending.
+	// isolationMargin is how long before the drain bound an isolated proxy stops sending.
 	isolationMargin = 500 * time.Millisecond
-	// agentLost is after how long without the agent the proxy asks the platform itself.
+	// agentTimeout is how long after the last contact with the agent the proxy asks the platform itself.
 	agentTimeout = 700 * time.Millisecond
 )
 
-// Settings of a proxy.
+// Settings configures a proxy.
 type Settings struct {
 	Name     string
 	Zone     string
-	Callers  string // callers' HTTP
-	Agent    string // the agent's loopback address
+	Callers  string // HTTP address for callers
+	Agent    string // loopback address of the agent
 	Platform string
 	Bounds   bounds.Bounds
 	Cadence  bounds.Cadence
-	Lister   inventory.Lister                     // nil asks Platform over the design's own API
-	Replicas backend.Client                       // nil asks replicas over the design's own API
-	Protocol attempt.Protocol                     // nil sends requests over the design's own API
-	Handlers map[string]func(*Proxy) http.Handler // further APIs, by address
+	Lister   inventory.Lister                     // nil lists replicas at Platform over the native API
+	Replicas backend.Client                       // nil uses the native API of replicas
+	Protocol attempt.Protocol                     // nil sends requests over the native API
+	Handlers map[string]func(*Proxy) http.Handler // additional APIs, by address
 }
 
 // Proxy is a running dsproxy.
@@ -89,9 +91,9 @@
 	settings         Settings
 	env              core.Env
 	log              *slog.Logger
-	boot             string
+	boot             string // ID of this start of the process
 	group            *run.Group
-	rootGroup        *run.Group
+	rootGroup        *run.Group // runs the servers; parent of group
 	gossip           *gossip.Table
 	routes           *route.Keeper
 	admission        *admission.Controller
@@ -101,28 +103,28 @@
 	caller           *wire.Caller
 	watch            *inventory.Watch
 	servers          []*wire.Server
-	reports          atomic.Uint64
+	reports          atomic.Uint64 // version of the last report
 	urgentReport     *run.Nudge
 	startedAt        time.Duration
-	confirmed        atomic.Bool
+	confirmed        atomic.Bool // the routing table is current enough to serve from
 	contact          *touch.Keeper
 	agentSeenAt      atomic.Int64
-	agentFirstSeenAt atomic.Int64 // when the agent was first heard under its boot
+	agentFirstSeenAt atomic.Int64 // when the current boot of the agent was first seen
 	edgeCount        atomic.Int64
 	peers            atomic.Pointer[[]string]
-	isolatedAt       atomic.Int64 // since when a request has found this proxy out of touch; 0 is not
-	readyWaiters     atomic.Int64 // requests that wait for it to be in touch again
-	serving          atomic.Int64 // requests that are being served
-	draining         atomic.Bool  // a planned stop has begun: serve, but let go of connections
-	stopping         atomic.Bool
-	truncated        atomic.Int64
+	isolatedAt       atomic.Int64 // since when requests have found this proxy isolated; 0 if it is not
+	readyWaiters     atomic.Int64 // requests waiting for the proxy to start or to regain contact
+	serving          atomic.Int64 // requests in flight
+	draining         atomic.Bool  // a planned stop has started: requests are served, connections are closed
+	stopping         atomic.Bool  // new requests are refused
+	truncated        atomic.Int64 // responses that ended before they were complete
 	mu               sync.Mutex
-	demand           map[string]uint64
+	demand           map[string]uint64 // requests per item
 	feed             feedState
 	tenantStats      tenantStats
 }
 
-// Start begins to serve.
+// Start starts a proxy. It opens all its addresses or returns an error.
 func Start(s Settings, env core.Env) (*Proxy, error) {
 	s.Bounds, s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
 	p := &Proxy{settings: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), rootGroup: run.NewGroup(context.Background()),
@@ -165,7 +167,7 @@
 	return p, nil
 }
 
-// listen opens the APIs for callers, the design's own among them.
+// listen opens the APIs for callers, including the native one.
 func (p *Proxy) listen() error {
 	at := map[string]http.Handler{}
 	if p.settings.Callers != "" {
@@ -189,13 +191,13 @@
 	return nil
 }
 
-// Stop takes no new requests, finishes the accepted ones, and ends.
+// Stop stops accepting requests, finishes the accepted ones, and ends the proxy.
 func (p *Proxy) Stop(ctx context.Context) error {
 	if p.settings.Bounds.Grace > 0 {
 		return p.stopWithin(ctx, p.settings.Bounds.Grace)
 	}
-	// Why: a connection closed while a caller writes to it drops that request. So each is closed after an
-	// answer that says so, and only those idle for longer than callers keep them are closed unasked.
+	// Closing a connection while a caller writes to it would drop that request. So each is closed after a response
+	// that announces it, and only those idle for longer than callers keep them are closed without notice.
 	p.draining.Store(true)
 	run.Wait(ctx, p.lameDuck())
 	for _, srv := range p.servers {
@@ -212,13 +214,13 @@
 	return failed
 }
 
-// stopWithin ends where whatever is not done after a grace is cut off. Callers may
-// come to the very end; they are told so at once when there is no time left for them.
+// stopWithin stops the proxy where work that is not finished after the grace period is cut off. Callers may connect
+// until the end; once too little time is left, their requests are refused at once.
 func (p *Proxy) stopWithin(ctx context.Context, grace time.Duration) error {
 	p.draining.Store(true)
 	run.Wait(ctx, grace/4)
 	p.stopping.Store(true)
-	// Why: what waits for a replica now would still be at work when the grace ends.
+	// Requests still queued for a replica now would not be finished when the grace period ends.
 	run.Wait(ctx, grace/8)
 	p.admission.Close()
 	for p.serving.Load() > 0 && run.Wait(ctx, pollInterval) {
@@ -233,7 +235,7 @@
 	return failed
 }
 
-// lameDuck is how long a stopping proxy still serves while it lets go of its connections.
+// lameDuck returns how long a stopping proxy still serves while it closes its connections.
 func (p *Proxy) lameDuck() time.Duration {
 	if g := p.settings.Bounds.Grace; g > 0 {
 		return min(lameDuck, g/4)
@@ -241,12 +243,15 @@
 	return lameDuck
 }
 
-// Leaving says that a planned stop has begun.
+// Draining reports whether a planned stop has started.
 func (p *Proxy) Draining() bool { return p.draining.Load() }
 
-// headerConf is on every answer: the configuration in force here when its request came.
+// headerConfSerial names the response header that holds the serial of the configuration active here when the request
+// arrived.
 const headerConfSerial = "Drumstall-Conf"
 
+// withResponseHeaders adds the configuration serial to each response and, during a planned stop, closes the connection
+// after it.
 func (p *Proxy) withResponseHeaders(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if serial, serves := p.ActiveConfig(); serves {
@@ -259,7 +264,7 @@
 	})
 }
 
-// Kill ends at once.
+// Kill ends the proxy at once.
 func (p *Proxy) Kill() {
 	for _, srv := range p.servers {
 		srv.Close()
@@ -272,18 +277,19 @@
 	p.watch.Close()
 }
 
-// Freeze and Thaw are for simulations.
+// Freeze suspends all loops of the proxy, for simulations.
 func (p *Proxy) Freeze() { p.rootGroup.Freeze() }
 
-// Thaw ends a freeze.
+// Thaw resumes after Freeze.
 func (p *Proxy) Thaw() { p.rootGroup.Thaw() }
 
-// InForce is the serial of the configuration requests are served by, and
-// whether any are.
+// ActiveConfig returns the serial of the configuration that requests are served by, and
+// whether requests are served at all.
 func (p *Proxy) ActiveConfig() (uint64, bool) {
 	return p.routes.Now().Serial, p.confirmed.Load()
 }
 
+// sinceAgentSeen returns the time since the last successful exchange with the agent.
 func (p *Proxy) sinceAgentSeen() time.Duration {
 	return p.env.Clock.Since() - time.Duration(p.agentSeenAt.Load())
 }
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -15,36 +15,36 @@
 	"drumstall.example/internal/route"
 )
 
-// Call is one request as an API has read it.
+// Call is one request as decoded by an API.
 type Call struct {
 	Target            route.Target
 	Identity          attempt.Identity
 	Deadline          time.Time
-	FirstByteDeadline time.Time // when the caller goes away if nothing has come; zero is the deadline
-	RequestID         string    // the caller's own number
+	FirstByteDeadline time.Time // when the caller disconnects if no data has arrived; zero means Deadline
+	RequestID         string    // the caller's own ID for the request
 	ContentType       string
 	Method            string
-	Path              string // with the query, as the caller wrote it
+	Path              string // with the query, exactly as sent by the caller
 	Host              string
 	Header            http.Header
 	Body              []byte
-	LastEventID       string // the event after which a stream is to go on
+	LastEventID       string // ID of the event after which a stream is to resume
 }
 
-// Answer is what a replica answers.
+// Response is the response of a replica.
 type Response struct {
 	Replica     string
 	Status      int
 	Header      http.Header
 	ContentType string
-	Length      int64 // of the body; -1 is not known
+	Length      int64 // of the body; -1 if unknown
 	Body        *relay.Stream
 }
 
-// Reason says why a request got no answer of a replica.
+// Reason is why a request reply no response body a replica.
 type Reason string
 
-// The reasons.
+// Reasons of refusals.
 const (
 	UnknownTarget    Reason = "unknown_target"
 	Unauthorized     Reason = "unauthorized"
@@ -55,16 +55,16 @@
 	ResponseLost     Reason = "lost"
 )
 
-// Refusal is the final answer of a request that is given up on.
+// Refusal is the final result of a request that is not served.
 type Refusal struct {
 	Reason     Reason
 	Detail     string
 	Outcome    attempt.Outcome
-	RetryAfter time.Duration // 0 says nothing
+	RetryAfter time.Duration // 0 means none
 }
 
-// starting waits until a proxy that has just started knows what is in force.
-// Why: callers would come again and again, to be turned away each time.
+// awaitConfirmed waits until a newly started proxy has a confirmed configuration.
+// Otherwise callers would retry and be refused over and over.
 func (p *Proxy) awaitConfirmed(ctx context.Context) {
 	defer p.readyWaiters.Add(-1)
 	if p.readyWaiters.Add(1) > maxReadyWaiters {
@@ -74,32 +74,31 @@
 	}
 }
 
-// Ready is nil when requests are taken.
+// Ready returns nil if the proxy accepts requests. It may wait for a short time for a proxy that is starting or isolated.
 func (p *Proxy) Ready(ctx context.Context) *Refusal {
 	if !p.confirmed.Load() {
 		p.awaitConfirmed(ctx)
 	}
 	if !p.confirmed.Load() || p.stopping.Load() {
-		return &Refusal{Reason: Unavailable, Detail: "not serving yet, or no more", Outcome: attempt.NotRun, RetryAfter: time.Second}
+		return &Refusal{Reason: Unavailable, Detail: "the proxy is starting up or shutting down", Outcome: attempt.NotRun, RetryAfter: time.Second}
 	}
-	// Why: it could not learn that a replica is leaving, so it may send to none; waiting would change nothing.
+	// An isolated proxy cannot learn that a replica is draining, so it must not send to any; queueing would not help.
 	if !p.awaitContact(ctx) {
-		return &Refusal{Reason: Unavailable, Detail: "this proxy hears nobody who would tell it of leaving replicas", Outcome: attempt.NotRun, RetryAfter: 2 * time.Second}
+		return &Refusal{Reason: Unavailable, Detail: "this proxy hears nobody who would report draining replicas", Outcome: attempt.NotRun, RetryAfter: 2 * time.Second}
 	}
 	return nil
 }
 
-// Conf is the configuration in force here.
+// Conf returns the active configuration.
 func (p *Proxy) Conf() conf.Effective { return p.routes.Now().Conf }
 
-// Takes says whether this proxy is to be given new connections.
+// AcceptsConnections reports whether this proxy should be given new connections.
 func (p *Proxy) AcceptsConnections() bool {
 	return p.confirmed.Load() && !p.draining.Load() && !p.routes.Deaf()
 }
 
-// inTouch says whether this proxy may send to replicas. Why: a machine that has
-// just woken is out of touch for a moment only, and what waited at its door need not be
-// turned away for that; after a second nobody waits any more.
+// awaitContact reports whether this proxy may send to replicas. A machine that has just resumed is isolated for a
+// moment only, so pending requests wait instead of being refused; after isolationWait (one second) none waits any more.
 func (p *Proxy) awaitContact(ctx context.Context) bool {
 	if !p.routes.Deaf() {
 		return true
@@ -118,7 +117,7 @@
 	return true
 }
 
-// Resolve picks the service of a request and checks the item that it names.
+// Resolve picks the service of a request and checks the model and adapter that it names.
 func (p *Proxy) Resolve(r conf.Route, item conf.Item) (route.Target, *Refusal) {
 	cfg := p.routes.Now().Conf
 	t := route.Target{Route: cfg.Resolve(r, rand.Float64())}
@@ -129,11 +128,11 @@
 		return t, nil
 	}
 	if item.Model == "" {
-		return t, &Refusal{Reason: BadRequest, Detail: "the route leads to models and the request names none", Outcome: attempt.NotRun}
+		return t, &Refusal{Reason: BadRequest, Detail: "the route serves models and the request names none", Outcome: attempt.NotRun}
 	}
 	m, found := cfg.Models[item.Model]
 	if !found {
-		return unknown("no model " + item.Model)
+		return unknown("unknown model " + item.Model)
 	}
 	if item.Adapter != "" && !m.Adapters[item.Adapter] {
 		return unknown("model " + item.Model + " has no adapter " + item.Adapter)
@@ -142,7 +141,7 @@
 	return t, nil
 }
 
-// service is what retries are counted against.
+// retryBudgetKey returns the key that retries of a request are counted under.
 func retryBudgetKey(t route.Target) string {
 	switch {
 	case t.Route.Service != "":
@@ -153,7 +152,7 @@
 	return t.Lane()
 }
 
-// Serve takes a request through admission and attempts to an answer.
+// Serve takes a request through admission and its attempts, and returns the response or a refusal.
 func (p *Proxy) Serve(ctx context.Context, c Call) (*Response, *Refusal) {
 	if c.Target.Route.Kind == "model" {
 		p.countDemand(c.Target.Item)
@@ -162,40 +161,40 @@
 	if c.FirstByteDeadline.IsZero() || c.FirstByteDeadline.After(c.Deadline) {
 		c.FirstByteDeadline = c.Deadline
 	}
-	w := &dispatch{proxy: p, call: c, startedAt: time.Now(), outcome: attempt.NotRun}
-	got, refusal := w.awaitReply(ctx)
-	w.releaseReservedRetry()
+	d := &dispatch{proxy: p, call: c, startedAt: time.Now(), outcome: attempt.NotRun}
+	active, refusal := d.awaitReply(ctx)
+	d.releaseReservedRetry()
 	if refusal != nil {
 		p.serving.Add(-1)
 		p.log.Debug("refused", "item", c.Target.Item.String(), "reason", string(refusal.Reason), "outcome", string(refusal.Outcome),
-			"attempts", w.attempts, "detail", refusal.Detail, "afterMs", time.Since(w.startedAt).Milliseconds())
+			"attempts", d.attempts, "detail", refusal.Detail, "afterMs", time.Since(d.startedAt).Milliseconds())
 		return nil, refusal
 	}
-	a := &Response{Replica: got.replica, Status: got.reply.Status, Header: got.reply.Header, ContentType: got.reply.ContentType, Length: got.reply.Length}
-	var from io.ReadCloser = got
-	if c.Target.Route.Resumable && c.Target.Route.Streaming && got.reply.Status == http.StatusOK {
-		from, a.Length = newEventStream(ctx, w, got), -1
+	a := &Response{Replica: active.replica, Status: active.reply.Status, Header: active.reply.Header, ContentType: active.reply.ContentType, Length: active.reply.Length}
+	var body io.ReadCloser = active
+	if c.Target.Route.Resumable && c.Target.Route.Streaming && active.reply.Status == http.StatusOK {
+		body, a.Length = newEventStream(ctx, d, active), -1
 	}
-	a.Body = relay.New(from, &p.truncated, c.cutoff(), func() { p.serving.Add(-1) })
+	a.Body = relay.New(body, &p.truncated, c.cutoff(), func() { p.serving.Add(-1) })
 	return a, nil
 }
 
-// overrun is how long after its deadline an answer that has begun may still end by itself.
+// cutoffSlack is how long after its deadline a response that has started may still end by itself.
 const cutoffSlack = 100 * time.Millisecond
 
-// until is when an answer that has begun is broken off.
+// cutoff returns when a response that has started is cut off.
 func (c Call) cutoff() time.Time { return c.Deadline.Add(cutoffSlack) }
 
-// gaveUp is the final answer of a request that is not sent again.
-func noRetryRefusal(why string, sofar attempt.Outcome) *Refusal {
-	// Why: one that has surely not run is as good as one turned away at admission, and its caller is told the same way.
-	if sofar == attempt.NotRun {
-		return &Refusal{Reason: Unavailable, Detail: why, Outcome: sofar, RetryAfter: 2 * time.Second}
+// noRetryRefusal is the refusal of a request that is not retried.
+func noRetryRefusal(why string, outcome attempt.Outcome) *Refusal {
+	// A request that certainly has not run is refused in the same way as one rejected at admission.
+	if outcome == attempt.NotRun {
+		return &Refusal{Reason: Unavailable, Detail: why, Outcome: outcome, RetryAfter: 2 * time.Second}
 	}
-	return &Refusal{Reason: ResponseLost, Detail: why, Outcome: sofar, RetryAfter: 2 * time.Second}
+	return &Refusal{Reason: ResponseLost, Detail: why, Outcome: outcome, RetryAfter: 2 * time.Second}
 }
 
-// share is this proxy's part of the fleet's allowance for retries.
+// retryShare returns this proxy's share of the fleet's retry allowance.
 func (p *Proxy) retryShare() float64 {
 	if extra := p.settings.Bounds.Retry.Extra; extra > 0 {
 		return extra / float64(p.edgeCount.Load())
@@ -203,12 +202,12 @@
 	return float64(p.routes.Now().Conf.Limits.RetryAllowance) / float64(p.edgeCount.Load())
 }
 
-// turnedAway is the final answer of a request that got no replica.
-func admissionRefusal(a queue.Answer, sofar attempt.Outcome) *Refusal {
+// admissionRefusal is the refusal of a request that reply no replica.
+func admissionRefusal(a queue.Answer, outcome attempt.Outcome) *Refusal {
 	reason := Unavailable
 	if a.Late {
 		reason = DeadlineExceeded
 	}
-	// Why: an earlier attempt of the same request may have run, and that is what counts.
-	return &Refusal{Reason: reason, Detail: a.Why, Outcome: sofar, RetryAfter: time.Duration(a.RetryS) * time.Second}
+	// An earlier attempt of the same request may have run, so the outcome so far is reported.
+	return &Refusal{Reason: reason, Detail: a.Why, Outcome: outcome, RetryAfter: time.Duration(a.RetryS) * time.Second}
 }
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -7,11 +7,11 @@
 	"drumstall.example/internal/place/report"
 )
 
-// tenantsEvery is how often the figures of tenants in reports are made anew. Why:
-// they are for people, and a node's word to the cores is to stay small.
+// tenantStatsInterval is how often the tenant statistics in reports are refreshed. They are meant for operators,
+// and a node's report to the cores should stay small.
 const tenantStatsInterval = 5 * time.Second
 
-// tenantFigures are the figures of tenants as last reported.
+// tenantStats holds the tenant statistics as last reported.
 type tenantStats struct {
 	mu        sync.Mutex
 	updatedAt time.Duration
@@ -19,7 +19,7 @@
 	latest    map[string]report.Tenant
 }
 
-// tenants are the figures for a report, and their number; none without tenants.
+// tenantReport returns the tenant statistics for a report and their version. Without tenants it returns nil.
 func (p *Proxy) tenantReport() (map[string]report.Tenant, uint64) {
 	f, now := &p.tenantStats, p.env.Clock.Since()
 	f.mu.Lock()
@@ -28,13 +28,13 @@
 		return f.latest, f.version
 	}
 	f.updatedAt = now
-	figures := p.routes.Tenants()
-	if len(figures) == 0 && len(f.latest) == 0 {
+	stats := p.routes.Tenants()
+	if len(stats) == 0 && len(f.latest) == 0 {
 		return nil, f.version
 	}
 	f.version++
-	f.latest = make(map[string]report.Tenant, len(figures))
-	for name, t := range figures {
+	f.latest = make(map[string]report.Tenant, len(stats))
+	for name, t := range stats {
 		f.latest[name] = report.Tenant{Share: t.Share, Kept: t.Kept, Evicted: t.Evicted, Tokens: t.Tokens, Warm: t.Warm, Bulk: t.IsBulk}
 	}
 	return f.latest, f.version
