--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,5 +1,5 @@
-// Package attempt sends one request to one replica, once, and says for sure
-// whether it ran, did not run, or may have run.
+// Package attempt sends one request to one replica, at most once, and reports reliably
+// whether it ran, did not run, or may have run. It also owns the retry budget.
 package attempt
 
 import (
@@ -20,32 +20,32 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// Outcome of an attempt.
+// Outcome is whether a request ran on a replica.
 type Outcome string
 
-// The three outcomes.
+// Outcomes of an attempt. Unknown means that the request may have run.
 const (
 	Ran     Outcome = "ran"
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 )
 
-// maxWhole bounds an answer that is read whole before it is passed on.
+// maxBufferedResponse bounds a response that is read completely before it is relayed.
 const maxBufferedResponse = 4 << 20
 
-// Failure is an attempt that brought no answer to pass on.
+// Failure is the result of an attempt without a response to relay.
 type Failure struct {
 	Outcome Outcome
-	Refused bool // no connection was to be had
-	Said    bool // the replica itself said that it would not run it
-	Missing bool // and that was because it does not hold what was asked for
+	Refused bool // no connection could be established
+	Said    bool // the replica itself rejected the request without running it
+	Missing bool // it was rejected because the replica does not hold the requested item
 	Reason  string
 	Load    Load
 }
 
 func (f *Failure) Error() string { return "attempt: " + string(f.Outcome) + ": " + f.Reason }
 
-// Load is what a replica says of itself with an answer.
+// Load is the load that a replica reports with a response.
 type Load struct {
 	Known   bool
 	Running int
@@ -53,24 +53,24 @@
 	Slots   int
 }
 
-// Protocol is how requests to replicas and the heads of their answers are written.
+// Protocol encodes requests to replicas and decodes the heads of their responses.
 type Protocol interface {
-	// Encode writes a request; its body must not be one that net/http can rewind.
+	// Encode builds the request; net/http must not be able to rewind its body.
 	Encode(ctx context.Context, q Request) (*http.Request, error)
-	// Decode reads the head of an answer.
+	// Decode interprets the head of a response.
 	Decode(q Request, res *http.Response) Decision
 }
 
-// Decision is what the head of an answer says.
+// Decision is the interpretation of the head of a response.
 type Decision struct {
 	Outcome Outcome
-	Relay   bool // the answer is to be passed on
-	Said    bool // the replica itself said that it would not run the request
-	Missing bool // and that was because it does not hold what was asked for
-	Failed  bool // the answer is a failure of the replica's own
+	Relay   bool // the response is to be relayed
+	Said    bool // the replica itself rejected the request without running it
+	Missing bool // it was rejected because the replica does not hold the requested item
+	Failed  bool // the response reports a failure of the replica itself
 	Reason  string
 	Load    Load
-	Header  http.Header // to be passed on
+	Header  http.Header // headers to be relayed
 }
 
 // Sender sends requests to replicas.
@@ -80,8 +80,8 @@
 	stallTimeout time.Duration
 }
 
-// NewSender dials through n. A stream that brings nothing for stall is given up.
-func NewSender(n wire.Net, protocol Protocol, stall time.Duration) *Sender {
+// NewSender returns a sender that dials through n. A response without data for stallTimeout is ended.
+func NewSender(n wire.Net, protocol Protocol, stallTimeout time.Duration) *Sender {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := n.Dial(ctx, network, addr)
 		if err != nil {
@@ -89,89 +89,89 @@
 		}
 		return &gatedConn{Conn: c}, nil
 	}
-	return &Sender{stallTimeout: stall, protocol: protocol, http: &http.Client{
+	return &Sender{stallTimeout: stallTimeout, protocol: protocol, http: &http.Client{
 		Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second,
 			DisableCompression: true, MaxResponseHeaderBytes: 64 << 10, ReadBufferSize: 4 << 10, WriteBufferSize: 4 << 10},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 func (s *Sender) Close() { s.http.CloseIdleConnections() }
 
-// Identity is whose key a caller has borne.
+// Identity is the tenant that a caller has authenticated as.
 type Identity struct {
-	Required bool   // callers bear keys here: theirs is no replica's business
-	Tenant   string // whose key it is; "" bore none that is known
+	Required bool   // callers authenticate with keys here, which replicas must not see
+	Tenant   string // owner of the key; "" if the caller sent no known key
 }
 
-// Request is what a replica is sent.
+// Request is a request to one replica, with the limits of the attempt.
 type Request struct {
-	ReplicaID   string // of the replica
+	ReplicaID   string
 	Addr        string
 	Item        conf.Item
-	Ticket      string // the caller's own number for the request
+	Ticket      string // the caller's own ID for the request
 	ContentType string
 	Method      string
-	Path        string // with the query, as the caller wrote it
+	Path        string // with the query, exactly as sent by the caller
 	Host        string
 	Header      http.Header
 	Body        []byte
 	Number      int    // 1 for the first attempt
 	Rank        int    // 0 is the most urgent
-	Tenant      string // whose it is; "" where there are no tenants
+	Tenant      string // owner of the request; "" if no tenants are configured
 	Share       int    // weight of the tenant
 	Identity    Identity
-	Urgency     int           // step of urgency within the tenant; 0 is the first
-	TimeLeft    time.Duration // that the caller will wait
-	LastEvent   string        // the event after which a stream goes on
-	Whole       bool          // the answer is read to its end before it is passed on
-	Stall       time.Duration // longest silence within the answer; 0 is the sender's own
-	FirstBy     time.Time     // the first byte of the answer must have come by then
-	Until       time.Time     // an answer that has begun is broken off then; zero is never
-	// Alive says that the replica has been heard of late, on whatever request.
-	// While it is, a silence before FirstAtLast or within the answer is borne; nil bears none.
+	Urgency     int           // urgency level within the tenant; 0 is the most urgent
+	TimeLeft    time.Duration // how long the caller will still wait
+	LastEvent   string        // ID of the event after which a stream resumes
+	Whole       bool          // the response is read to its end before it is relayed
+	Stall       time.Duration // longest silence within the response; 0 means the sender's default
+	FirstBy     time.Time     // deadline for the first byte of the response
+	Until       time.Time     // when a response that has started is cut off; zero means never
+	// Alive reports whether the replica has recently sent data on any request. While it has, a silence
+	// before FirstAtLast or within the response is tolerated; nil tolerates none.
 	Alive       func() bool
 	FirstAtLast time.Time
-	// Only says that no other replica could answer. While it does, a silence before
-	// OnlyUntil is borne; nil bears none.
+	// Only reports whether no other replica could respond. While that is so, a silence before
+	// OnlyUntil is tolerated; nil tolerates none.
 	Only      func() bool
 	OnlyUntil time.Time
-	// GoneOn is asked when an answer that has begun is silent for too long: has another
-	// replica begun to go on with it? Until it has, the silence is borne; nil ends the answer at once.
+	// GoneOn is called when a response that has started is silent for too long. It reports whether another replica
+	// has started to resume it; until then the silence is tolerated. Nil ends the response at once.
 	GoneOn   func() bool
-	OnData   func()      // called whenever a piece comes
+	OnData   func()      // called whenever data arrives
 	CanRetry bool        // another attempt may be made after a failure
-	Sendable func() bool // asked right before the first byte leaves
+	Sendable func() bool // called right before the first byte is sent
 }
 
-// Reply is an answer that has begun.
+// Reply is a response that has started.
 type Reply struct {
 	Status        int
 	Header        http.Header
 	ContentType   string
-	Length        int64 // of the body; -1 is not known
+	Length        int64 // of the body; -1 if unknown
 	Load          Load
 	body          io.Reader
 	raw           io.ReadCloser
 	cancel        context.CancelFunc
-	cutoff        time.Time // it is broken off then; zero is never
+	cutoff        time.Time // when the response is cut off; zero means never
 	stallTimeout  time.Duration
 	alive         func() bool
 	failOver      func() bool
 	onData        func()
 	startedAt     time.Time
 	reading       atomic.Bool
-	readStartedAt atomic.Int64 // when the last read began, since begunAt
-	stallTimer    *time.Timer  // runs on from piece to piece, and looks how long a read has lasted
+	readStartedAt atomic.Int64 // start of the last read, relative to startedAt
+	stallTimer    *time.Timer  // kept across reads; checks how long the current read has taken
 	closed        atomic.Bool
 	closeOnce     sync.Once
 }
 
-// patienceStep is how often a silence that is borne is looked at again.
+// silenceCheckInterval is how often a tolerated silence is checked again.
 const silenceCheckInterval = 50 * time.Millisecond
 
-// Read reads pieces as they come; a stream that stalls or breaks off is an error.
+// Read returns data as it arrives; a response that stalls or is interrupted gives an error.
 func (r *Reply) Read(p []byte) (int, error) {
 	r.readStartedAt.Store(int64(time.Since(r.startedAt)))
 	r.reading.Store(true)
@@ -183,23 +183,23 @@
 	return n, err
 }
 
-// watch has silences, and the end of the answer's time, looked for from now on.
+// watch starts the checks for stalls and for the cutoff.
 func (r *Reply) watch() {
 	r.startedAt = time.Now()
-	// Why: the timer is in its place before it can go off.
+	// The timer must be assigned before it can fire, hence the long initial duration.
 	r.stallTimer = time.AfterFunc(time.Hour, r.check)
 	r.checkAfter(r.stallTimeout)
 }
 
-// lookIn has the answer looked at after a while, or when its time is over.
-func (r *Reply) checkAfter(while time.Duration) {
+// checkAfter schedules the next check after a delay, or at the cutoff if that is sooner.
+func (r *Reply) checkAfter(delay time.Duration) {
 	if !r.cutoff.IsZero() {
-		while = min(while, time.Until(r.cutoff))
+		delay = min(delay, time.Until(r.cutoff))
 	}
-	r.stallTimer.Reset(while)
+	r.stallTimer.Reset(delay)
 }
 
-// look ends an answer whose time is over, and one that brings nothing.
+// check ends a response that has reached its cutoff or has stalled.
 func (r *Reply) check() {
 	switch {
 	case r.closed.Load():
@@ -210,8 +210,8 @@
 	}
 }
 
-// stalled ends an answer that brings nothing, unless its replica is heard on others, or
-// nobody has gone on with it.
+// checkStall ends a stalled response, unless its replica sends data on other requests or no other replica has
+// resumed it.
 func (r *Reply) checkStall() {
 	if !r.reading.Load() {
 		r.checkAfter(r.stallTimeout)
@@ -239,13 +239,13 @@
 	return nil
 }
 
-// Send sends the request once and waits for the first piece of the answer.
+// Send sends the request once and waits for the first byte of the response, or for all of a buffered one.
 func (s *Sender) Send(ctx context.Context, q Request) (*Reply, *Failure) {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &sendGate{sendable: q.Sendable}
+	gate := &sendGate{sendable: q.Sendable}
 	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		if c, ok := i.Conn.(*gatedConn); ok {
-			c.gate.Store(p)
+			c.gate.Store(gate)
 		}
 	}}
 	req, err := s.protocol.Encode(httptrace.WithClientTrace(ctx, trace), q)
@@ -253,19 +253,19 @@
 		cancel()
 		return nil, &Failure{Outcome: NotRun, Reason: err.Error()}
 	}
-	late := newFirstByteTimer(q, cancel)
+	timer := newFirstByteTimer(q, cancel)
 	res, err := s.http.Do(req)
 	if err != nil {
-		late.stop()
+		timer.stop()
 		cancel()
-		if p.withdraw() {
+		if gate.withdraw() {
 			return nil, &Failure{Outcome: NotRun, Refused: !errors.Is(err, errWithdrawn) && !errors.Is(err, context.Canceled), Reason: err.Error()}
 		}
 		return nil, &Failure{Outcome: Unknown, Reason: err.Error()}
 	}
 	d := s.protocol.Decode(q, res)
 	fail := func(f Failure) (*Reply, *Failure) {
-		late.stop()
+		timer.stop()
 		cancel()
 		_ = res.Body.Close()
 		f.Load = d.Load
@@ -277,9 +277,9 @@
 	if d.Failed && q.CanRetry {
 		return fail(Failure{Outcome: Unknown, Reason: d.Reason})
 	}
-	// Why: an answer that ends with its connection looks the same whether whole or cut.
+	// A response that ends with its connection looks the same whether complete or truncated.
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-		return fail(Failure{Outcome: Ran, Reason: "replica's answer has no end that can be told"})
+		return fail(Failure{Outcome: Ran, Reason: "the response has neither a length nor a chunked encoding"})
 	}
 	r := &Reply{Status: res.StatusCode, Header: d.Header, ContentType: res.Header.Get("Content-Type"), Length: res.ContentLength, Load: d.Load,
 		raw: res.Body, cancel: cancel, cutoff: q.Until, stallTimeout: s.stallTimeout, alive: q.Alive, failOver: q.GoneOn, onData: q.OnData}
@@ -287,10 +287,10 @@
 		r.stallTimeout = q.Stall
 	}
 	if err := r.awaitFirstByte(res.Body, q.Whole); err != nil {
-		return fail(Failure{Outcome: Unknown, Reason: "broke off before the first piece: " + err.Error()})
+		return fail(Failure{Outcome: Unknown, Reason: "the response failed before it could be relayed: " + err.Error()})
 	}
-	if !late.stop() {
-		return fail(Failure{Outcome: Unknown, Reason: "the first piece came too late"})
+	if !timer.stop() {
+		return fail(Failure{Outcome: Unknown, Reason: "the first byte of the response came too late"})
 	}
 	if q.OnData != nil {
 		q.OnData()
@@ -299,22 +299,22 @@
 	return r, nil
 }
 
-// begin waits for the first piece, or for the whole answer.
-func (r *Reply) awaitFirstByte(body io.Reader, whole bool) error {
-	if whole {
+// awaitFirstByte waits for the first byte, or for the complete response if it is buffered.
+func (r *Reply) awaitFirstByte(body io.Reader, buffered bool) error {
+	if buffered {
 		b, err := io.ReadAll(io.LimitReader(body, maxBufferedResponse+1))
 		if err != nil {
 			return err
 		}
 		if len(b) > maxBufferedResponse {
-			return errors.New("it is too large to be read whole")
+			return errors.New("the response exceeds the size limit for buffering")
 		}
 		r.body, r.Length = bytes.NewReader(b), int64(len(b))
 		return nil
 	}
-	first := bufio.NewReaderSize(body, 4<<10)
-	r.body = first
-	if _, err := first.Peek(1); err != nil && err != io.EOF {
+	reader := bufio.NewReaderSize(body, 4<<10)
+	r.body = reader
+	if _, err := reader.Peek(1); err != nil && err != io.EOF {
 		return err
 	}
 	return nil
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -17,13 +17,13 @@
 	"drumstall.example/internal/sim/simnet"
 )
 
-// backEnd answers each connection as it is told, and counts the requests it read.
+// testReplica handles each request with a given function and counts the requests it has read.
 type testReplica struct {
 	requests atomic.Int64
 	ln       net.Listener
 }
 
-func newTestReplica(t *testing.T, g *run.Group, f *simnet.Fabric, answer func(c net.Conn, n int64)) *testReplica {
+func newTestReplica(t *testing.T, g *run.Group, f *simnet.Fabric, respond func(c net.Conn, n int64)) *testReplica {
 	ln, err := f.Host("10.0.0.1").Listen("10.0.0.1:90")
 	if err != nil {
 		t.Fatal(err)
@@ -44,9 +44,9 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, req.Body)
-					before := b.requests.Add(1)
-					answer(c, before)
-					if before < 0 {
+					count := b.requests.Add(1)
+					respond(c, count)
+					if count < 0 {
 						return
 					}
 				}
@@ -58,11 +58,11 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
-func runWithSender(t *testing.T, answer func(c net.Conn, n int64), f func(b *testReplica, shoot func(sendable bool, within time.Duration) (*Reply, *Failure))) {
+func runWithSender(t *testing.T, respond func(c net.Conn, n int64), f func(b *testReplica, send func(sendable bool, within time.Duration) (*Reply, *Failure))) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		fab := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
-		b := newTestReplica(t, g, fab, answer)
+		b := newTestReplica(t, g, fab, respond)
 		s := NewSender(fab.Host("10.0.0.2"), Native{}, time.Second)
 		f(b, func(sendable bool, within time.Duration) (*Reply, *Failure) {
 			return s.Send(t.Context(), Request{Addr: "10.0.0.1:90", Body: []byte("{}"), Number: 1, FirstBy: time.Now().Add(within), Sendable: func() bool { return sendable }})
@@ -73,79 +73,79 @@
 	})
 }
 
-func expectOutcome(t *testing.T, p *Failure, o Outcome) {
+func expectOutcome(t *testing.T, failure *Failure, o Outcome) {
 	t.Helper()
-	if p == nil || p.Outcome != o {
-		t.Errorf("got %v, want outcome %s", p, o)
+	if failure == nil || failure.Outcome != o {
+		t.Errorf("got %v, want outcome %s", failure, o)
 	}
 }
 
-// net/http replays some requests by itself when a kept connection dies under them.
+// net/http replays some requests by itself when a kept-alive connection breaks under them.
 func TestTransportNeverReplays(t *testing.T) {
 	runWithSender(t, func(c net.Conn, n int64) {
 		if n == 1 {
 			_, _ = io.WriteString(c, okResponse)
 			return
 		}
-		_ = c.Close() // read, and perhaps run, but not answered
-	}, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
-		r, p := shoot(true, time.Second)
-		if p != nil {
-			t.Fatal(p)
+		_ = c.Close() // read, and perhaps run, but without a response
+	}, func(b *testReplica, send func(bool, time.Duration) (*Reply, *Failure)) {
+		r, failure := send(true, time.Second)
+		if failure != nil {
+			t.Fatal(failure)
 		}
 		_, _ = io.ReadAll(r)
 		_ = r.Close()
-		_, p = shoot(true, time.Second)
-		expectOutcome(t, p, Unknown)
+		_, failure = send(true, time.Second)
+		expectOutcome(t, failure, Unknown)
 		if n := b.requests.Load(); n != 2 {
-			t.Errorf("two requests were read %d times", n)
+			t.Errorf("two requests were received %d times", n)
 		}
 	})
 }
 
 func TestNothingIsSentToADrainingReplica(t *testing.T) {
-	runWithSender(t, func(c net.Conn, n int64) { _, _ = io.WriteString(c, okResponse) }, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
-		_, p := shoot(false, time.Second)
-		expectOutcome(t, p, NotRun)
+	runWithSender(t, func(c net.Conn, n int64) { _, _ = io.WriteString(c, okResponse) }, func(b *testReplica, send func(bool, time.Duration) (*Reply, *Failure)) {
+		_, failure := send(false, time.Second)
+		expectOutcome(t, failure, NotRun)
 		time.Sleep(time.Second)
 		if n := b.requests.Load(); n != 0 {
-			t.Errorf("it was read %d times", n)
+			t.Errorf("the request was received %d times", n)
 		}
 	})
 }
 
 func TestConnectionRefusedIsNotRun(t *testing.T) {
-	runWithSender(t, nil, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+	runWithSender(t, nil, func(b *testReplica, send func(bool, time.Duration) (*Reply, *Failure)) {
 		_ = b.ln.Close()
-		_, p := shoot(true, time.Second)
-		expectOutcome(t, p, NotRun)
-		if !p.Refused {
-			t.Error("not told that the connection was refused")
+		_, failure := send(true, time.Second)
+		expectOutcome(t, failure, NotRun)
+		if !failure.Refused {
+			t.Error("the failure does not report a refused connection")
 		}
 	})
 }
 
 func TestMissedFirstByteDeadlineIsUnknown(t *testing.T) {
-	runWithSender(t, func(c net.Conn, n int64) { time.Sleep(5 * time.Second) }, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+	runWithSender(t, func(c net.Conn, n int64) { time.Sleep(5 * time.Second) }, func(b *testReplica, send func(bool, time.Duration) (*Reply, *Failure)) {
 		began := time.Now()
-		_, p := shoot(true, 300*time.Millisecond)
-		expectOutcome(t, p, Unknown)
+		_, failure := send(true, 300*time.Millisecond)
+		expectOutcome(t, failure, Unknown)
 		if d := time.Since(began); d > 310*time.Millisecond {
-			t.Errorf("the final answer came after %v", d)
+			t.Errorf("the failure was reported after %v", d)
 		}
 	})
 }
 
-// The only replica that could answer is waited for; once another could, it is given up.
+// A silent replica is awaited while no other could respond; once another could, the attempt is given up.
 func TestOnlyReplicaIsAwaited(t *testing.T) {
 	for name, c := range map[string]struct {
-		onlyFor time.Duration
-		ended   time.Duration
-		answers bool
+		onlyFor   time.Duration
+		endsAfter time.Duration
+		responds  bool
 	}{
-		"nobody else, ever":           {time.Hour, 500 * time.Millisecond, true},
-		"another one after a while":   {420 * time.Millisecond, 450 * time.Millisecond, false},
-		"another one from the outset": {0, 300 * time.Millisecond, false},
+		"no other replica":               {time.Hour, 500 * time.Millisecond, true},
+		"another replica after a while":  {420 * time.Millisecond, 450 * time.Millisecond, false},
+		"another replica from the start": {0, 300 * time.Millisecond, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			g := run.NewGroup(t.Context())
@@ -159,11 +159,11 @@
 			reply, failure := s.Send(t.Context(), Request{Addr: "10.0.0.1:90", Body: []byte("{}"), Number: 1, Sendable: func() bool { return true },
 				FirstBy: began.Add(300 * time.Millisecond), OnlyUntil: began.Add(time.Second),
 				Only: func() bool { return time.Since(began) < c.onlyFor }})
-			if (failure == nil) != c.answers {
+			if (failure == nil) != c.responds {
 				t.Errorf("%s: got %v", name, failure)
 			}
-			if took := time.Since(began); took < c.ended || took > c.ended+10*time.Millisecond {
-				t.Errorf("%s: ended after %v", name, took)
+			if elapsed := time.Since(began); elapsed < c.endsAfter || elapsed > c.endsAfter+10*time.Millisecond {
+				t.Errorf("%s: ended after %v", name, elapsed)
 			}
 			if reply != nil {
 				_ = reply.Close()
@@ -182,20 +182,20 @@
 		outcome Outcome
 	}{
 		"ends with the connection": {"HTTP/1.1 200 OK\r\n\r\nhalf", Ran},
-		"dies before a piece":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", Unknown},
+		"breaks before any data":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", Unknown},
 		"says not-run":             {"HTTP/1.1 503 No\r\nDrumstall-Outcome: not-run\r\nContent-Length: 0\r\n\r\n", NotRun},
 		"fails":                    {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Ran},
-		"sends elsewhere":          {"HTTP/1.1 307 Go\r\nLocation: http://10.0.0.1:90/run\r\nContent-Length: 0\r\n\r\n", Ran},
+		"redirects":                {"HTTP/1.1 307 Go\r\nLocation: http://10.0.0.1:90/run\r\nContent-Length: 0\r\n\r\n", Ran},
 		"says not-run but answers": {"HTTP/1.1 200 OK\r\nDrumstall-Outcome: not-run\r\n\r\nhalf", Ran},
-		"is no HTTP":               {"nonsense\r\n\r\n", Unknown},
+		"is not HTTP":              {"nonsense\r\n\r\n", Unknown},
 	} {
-		runWithSender(t, func(conn net.Conn, n int64) { _, _ = io.WriteString(conn, c.raw); _ = conn.Close() }, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
-			_, p := shoot(true, time.Second)
-			if p == nil || p.Outcome != c.outcome {
-				t.Errorf("an answer that %s: got %v, want %s", name, p, c.outcome)
+		runWithSender(t, func(conn net.Conn, n int64) { _, _ = io.WriteString(conn, c.raw); _ = conn.Close() }, func(b *testReplica, send func(bool, time.Duration) (*Reply, *Failure)) {
+			_, failure := send(true, time.Second)
+			if failure == nil || failure.Outcome != c.outcome {
+				t.Errorf("a response that %s: got %v, want %s", name, failure, c.outcome)
 			}
 			if n := b.requests.Load(); n != 1 {
-				t.Errorf("an answer that %s: asked %d times", name, n)
+				t.Errorf("a response that %s: %d requests", name, n)
 			}
 		})
 	}
@@ -206,11 +206,11 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\npiece\r\n")
 		time.Sleep(time.Duration(n-1) * 10 * time.Second) // the second one stalls
 		_ = c.Close()
-	}, func(b *testReplica, shoot func(bool, time.Duration) (*Reply, *Failure)) {
+	}, func(b *testReplica, send func(bool, time.Duration) (*Reply, *Failure)) {
 		for _, what := range []string{"cut", "stalled"} {
-			r, p := shoot(true, time.Second)
-			if p != nil {
-				t.Fatal(p)
+			r, failure := send(true, time.Second)
+			if failure != nil {
+				t.Fatal(failure)
 			}
 			got, err := io.ReadAll(r)
 			if string(got) != "piece" || err == nil {
@@ -221,23 +221,23 @@
 	})
 }
 
-// Whatever comes, retries in any span stay within a fifth of its first attempts
-// and the share.
+// For any sequence of operations, the retries in any period stay within a fifth of its first attempts
+// plus the share.
 func TestBudget(t *testing.T) {
 	b := NewBudget(0.2)
 	const share = 3.0
 	var log strings.Builder
-	kept, spent := 0, 0
+	reserved, spent := 0, 0
 	for i := range 5000 {
 		if i%7 != 0 && i%1000 < 700 {
 			b.RecordFirst("s", share)
 			log.WriteByte('f')
-			// Some set one aside, and spend it or give it back much later.
+			// Some attempts reserve a retry, and spend or release it much later.
 			if i%5 == 0 && b.Reserve("s") {
-				kept++
+				reserved++
 			}
-		} else if kept > 0 && i%3 == 0 {
-			kept--
+		} else if reserved > 0 && i%3 == 0 {
+			reserved--
 			if i%2 == 0 {
 				b.ReleaseReserved("s")
 				continue
@@ -251,7 +251,7 @@
 	}
 	s := log.String()
 	if strings.Count(s, "r") == 0 || spent == 0 {
-		t.Fatal("never a retry")
+		t.Fatal("no retry was granted")
 	}
 	for i := range s {
 		firsts, retries := 0, 0
--- a/internal/attempt/firstbytetimer.go
+++ b/internal/attempt/firstbytetimer.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// lateness gives an attempt up whose first piece does not come in time. Whether it
-// is given up or has begun is decided once.
+// firstByteTimer cancels an attempt whose first byte does not arrive in time. Whether the attempt is
+// cancelled or its response has started is decided once.
 type firstByteTimer struct {
 	mu      sync.Mutex
 	timer   *time.Timer
 	request Request
 	cancel  func()
-	decided bool // it has begun, or was given up
+	decided bool // the response has started, or the attempt was cancelled
 }
 
-// newLateness watches over an attempt until it has begun.
-func newFirstByteTimer(q Request, giveUp func()) *firstByteTimer {
-	l := &firstByteTimer{request: q, cancel: giveUp}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.timer = time.AfterFunc(time.Until(q.FirstBy), l.onDeadline)
-	return l
+// newFirstByteTimer starts the timer for an attempt; stop ends it.
+func newFirstByteTimer(q Request, cancel func()) *firstByteTimer {
+	t := &firstByteTimer{request: q, cancel: cancel}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.timer = time.AfterFunc(time.Until(q.FirstBy), t.onDeadline)
+	return t
 }
 
-// doubt gives the attempt up, unless its replica is borne with a little longer.
-func (l *firstByteTimer) onDeadline() {
-	borne := l.request.toleratesSilence(time.Now())
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// onDeadline cancels the attempt, unless the silence of its replica is tolerated a little longer.
+func (t *firstByteTimer) onDeadline() {
+	tolerated := t.request.toleratesSilence(time.Now())
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	switch {
-	// Why: the first piece may have come while the replica was looked at.
-	case l.decided:
-	case borne:
-		l.timer.Reset(silenceCheckInterval)
+	// The first byte may have arrived while the replica was checked.
+	case t.decided:
+	case tolerated:
+		t.timer.Reset(silenceCheckInterval)
 	default:
-		l.decided = true
-		l.cancel()
+		t.decided = true
+		t.cancel()
 	}
 }
 
-// end stops the watch, and says whether the attempt was not given up before.
-func (l *firstByteTimer) stop() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.timer.Stop()
-	inTime := !l.decided
-	l.decided = true
+// stop stops the timer and reports whether the attempt had not been cancelled before.
+func (t *firstByteTimer) stop() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.timer.Stop()
+	inTime := !t.decided
+	t.decided = true
 	return inTime
 }
 
-// bearsSilence says that the first piece is waited for beyond FirstBy.
+// toleratesSilence reports whether to wait for the first byte beyond FirstBy.
 func (q Request) toleratesSilence(now time.Time) bool {
 	if q.Alive != nil && now.Before(q.FirstAtLast) && q.Alive() {
 		return true
--- a/internal/attempt/firstbytetimer_test.go
+++ b/internal/attempt/firstbytetimer_test.go
@@ -12,8 +12,8 @@
 	"drumstall.example/internal/sim/simnet"
 )
 
-// The first piece comes while it is just being looked at whether a late one is still
-// waited for: the answer has begun, and nothing that was decided before may end it.
+// The first byte arrives while the deadline check is still deciding whether to wait longer. The response has started by
+// then, and the result of the check must not cancel it.
 func TestResponseStartingDuringDeadlineCheckIsKept(t *testing.T) {
 	const chunk = "5\r\npiece\r\n"
 	synctest.Test(t, func(t *testing.T) {
@@ -27,12 +27,12 @@
 		})
 		for _, alive := range []bool{true, false} {
 			s := NewSender(fabric.Host("10.0.0.2"), Native{}, 5*time.Second)
-			slowly := func() bool {
+			slowAlive := func() bool {
 				time.Sleep(20 * time.Millisecond)
 				return alive
 			}
 			reply, failure := s.Send(context.Background(), Request{Addr: "10.0.0.1:90", Body: []byte("{}"), Number: 1, Sendable: func() bool { return true },
-				FirstBy: time.Now().Add(100 * time.Millisecond), FirstAtLast: time.Now().Add(500 * time.Millisecond), Alive: slowly})
+				FirstBy: time.Now().Add(100 * time.Millisecond), FirstAtLast: time.Now().Add(500 * time.Millisecond), Alive: slowAlive})
 			if failure != nil {
 				t.Fatalf("alive %v: %v", alive, failure)
 			}
--- a/internal/attempt/native.go
+++ b/internal/attempt/native.go
@@ -11,10 +11,10 @@
 	"drumstall.example/internal/backend"
 )
 
-// Native speaks the design's own API of replicas.
+// Native is the protocol of replicas that implement the native API.
 type Native struct{}
 
-// Encode writes a request for the design's own replicas.
+// Encode builds a request of the native API.
 func (Native) Encode(ctx context.Context, q Request) (*http.Request, error) {
 	u := url.URL{Scheme: "http", Host: q.Addr, Path: backend.RunPath}
 	v := url.Values{}
@@ -46,7 +46,7 @@
 	return req, nil
 }
 
-// Decode reads the head of an answer.
+// Decode interprets the head of a response of the native API.
 func (Native) Decode(_ Request, res *http.Response) Decision {
 	why := "replica answered status " + strconv.Itoa(res.StatusCode)
 	switch {
@@ -58,8 +58,8 @@
 	return Decision{Outcome: Ran, Relay: true}
 }
 
-// Body gives a request body that net/http cannot rewind. Why: a body without
-// GetBody, a POST and no idempotency header keep net/http from replaying by itself.
+// OneShotBody returns a request body that net/http cannot rewind: a body without
+// GetBody, a POST and no idempotency header keep net/http from replaying the request by itself.
 func OneShotBody(b []byte) io.Reader {
 	if len(b) == 0 {
 		return nil
--- a/internal/attempt/native_test.go
+++ b/internal/attempt/native_test.go
@@ -7,8 +7,8 @@
 	"drumstall.example/internal/backend"
 )
 
-// A replica is told whose a request is where there are tenants, and nothing more
-// than before where there are none.
+// A request has the tenant headers if tenants are configured, and no additional headers
+// otherwise.
 func TestNativeSendsTenantHeaders(t *testing.T) {
 	for _, c := range []struct {
 		q                      Request
@@ -27,7 +27,7 @@
 			t.Errorf("%+v: %v", c.q, h)
 		}
 		if c.tenant == "" && len(h) != 2 {
-			t.Errorf("without tenants: %v", h)
+			t.Errorf("unexpected headers without tenants: %v", h)
 		}
 	}
 }
--- a/internal/attempt/sendgate.go
+++ b/internal/attempt/sendgate.go
@@ -7,51 +7,53 @@
 	"github.com/pkg/errors"
 )
 
-var errWithdrawn = errors.New("attempt: withdrawn before its first byte")
+var errWithdrawn = errors.New("attempt: withdrawn before the first byte was sent")
 
-// States of a pass.
+// States of a sendGate.
 const (
 	undecided int32 = iota
 	sent
 	withdrawn
 )
 
-// pass lets a request's first byte leave, or not; it is decided once.
+// sendGate decides once whether the first byte of a request may be sent.
 type sendGate struct {
 	state    atomic.Int32
-	conn     atomic.Pointer[gatedConn] // the one that the first byte left on
+	conn     atomic.Pointer[gatedConn] // connection that the first byte was sent on
 	sendable func() bool
 }
 
-func (p *sendGate) allowWrite(c *gatedConn) bool {
-	if p.state.Load() == sent {
-		// Why: net/http begins some requests anew on another connection by itself; that would be a second attempt.
-		return p.conn.Load() == c
+// allowWrite reports whether a write on c may proceed; the first call decides.
+func (g *sendGate) allowWrite(c *gatedConn) bool {
+	if g.state.Load() == sent {
+		// net/http may replay some requests on another connection by itself; that would be a second attempt.
+		return g.conn.Load() == c
 	}
-	// Why: the last look at a leaving mark is right before the first byte.
-	if !p.sendable() {
-		p.state.CompareAndSwap(undecided, withdrawn)
+	// The last check for a draining replica is right before the first byte.
+	if !g.sendable() {
+		g.state.CompareAndSwap(undecided, withdrawn)
 	}
-	if !p.state.CompareAndSwap(undecided, sent) {
+	if !g.state.CompareAndSwap(undecided, sent) {
 		return false
 	}
-	p.conn.Store(c)
+	g.conn.Store(c)
 	return true
 }
 
-// withdraw says whether no byte has left, and makes sure that none will.
-func (p *sendGate) withdraw() bool {
-	return p.state.CompareAndSwap(undecided, withdrawn) || p.state.Load() == withdrawn
+// withdraw reports whether no byte has been sent and ensures that none will be.
+func (g *sendGate) withdraw() bool {
+	return g.state.CompareAndSwap(undecided, withdrawn) || g.state.Load() == withdrawn
 }
 
-// connection asks its pass before it writes.
+// gatedConn consults its gate before each write.
 type gatedConn struct {
 	net.Conn
 	gate atomic.Pointer[sendGate]
 }
 
+// Write writes b if the gate allows it.
 func (c *gatedConn) Write(b []byte) (int, error) {
-	if p := c.gate.Load(); p == nil || !p.allowWrite(c) {
+	if g := c.gate.Load(); g == nil || !g.allowWrite(c) {
 		return 0, errWithdrawn
 	}
 	return c.Conn.Write(b)
--- a/internal/attempt/stall_test.go
+++ b/internal/attempt/stall_test.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// pipedReply is an answer whose pieces are written to the other end; it breaks off when it is cancelled.
+// pipedReply returns a reply that reads what is written to the pipe; cancelling it breaks the pipe.
 func pipedReply(stall time.Duration) (*Reply, *io.PipeWriter) {
-	from, to := io.Pipe()
-	r := &Reply{body: from, raw: from, stallTimeout: stall, cancel: func() { _ = to.CloseWithError(io.ErrUnexpectedEOF) }}
+	reader, writer := io.Pipe()
+	r := &Reply{body: reader, raw: reader, stallTimeout: stall, cancel: func() { _ = writer.CloseWithError(io.ErrUnexpectedEOF) }}
 	r.watch()
-	return r, to
+	return r, writer
 }
 
-// Whatever came before, and however long the client took over it, a silence is borne for as long as it may last and no longer.
+// A response is ended after exactly the stall timeout, whatever data came before and however slowly the client read it.
 func TestStalledResponseEndsAfterTimeout(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	for name, c := range map[string]struct {
-		pieces, pause time.Duration // between pieces; that the client takes over each
+		pieces, pause time.Duration // time between pieces; time that the client takes for each
 	}{
-		"at once":           {0, 0},
-		"many pieces":       {70 * time.Millisecond, 0},
-		"at the last":       {stall - time.Millisecond, 0},
-		"a slow client":     {0, 4 * stall},
-		"both are not fast": {stall / 2, stall / 3},
+		"at once":       {0, 0},
+		"many pieces":   {70 * time.Millisecond, 0},
+		"just in time":  {stall - time.Millisecond, 0},
+		"a slow client": {0, 4 * stall},
+		"both are slow": {stall / 2, stall / 3},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			r, to := pipedReply(stall)
+			r, writer := pipedReply(stall)
 			go func() {
 				for range 20 {
 					time.Sleep(c.pieces)
-					if _, err := to.Write([]byte("x")); err != nil {
+					if _, err := writer.Write([]byte("x")); err != nil {
 						return
 					}
 				}
@@ -46,11 +46,11 @@
 				}
 				time.Sleep(c.pause)
 			}
-			silent := time.Now()
+			silentSince := time.Now()
 			if _, err := r.Read(buf); err == nil {
-				t.Errorf("%s: a piece came that was never sent", name)
+				t.Errorf("%s: read data that was never sent", name)
 			}
-			if took := time.Since(silent); took != stall {
+			if took := time.Since(silentSince); took != stall {
 				t.Errorf("%s: ended after a silence of %v, want %v", name, took, stall)
 			}
 			_ = r.Close()
@@ -58,24 +58,24 @@
 	}
 }
 
-// An answer that was let go of is not looked at any more.
+// A closed reply is not checked any more.
 func TestClosedResponseIsNotChecked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stall = 100 * time.Millisecond
 		r, _ := pipedReply(stall)
-		var asked atomic.Int64
-		r.alive = func() bool { asked.Add(1); return true }
+		var checks atomic.Int64
+		r.alive = func() bool { checks.Add(1); return true }
 		go func() { _, _ = r.Read(make([]byte, 8)) }()
 		time.Sleep(5 * stall)
-		before := asked.Load()
+		before := checks.Load()
 		if before == 0 {
-			t.Error("nobody asked whether the replica is alive")
+			t.Error("the replica was never checked")
 		}
 		_ = r.Close()
 		time.Sleep(10 * stall)
 		synctest.Wait()
-		if asked.Load() != before {
-			t.Errorf("asked %d times after it was closed", asked.Load()-before)
+		if checks.Load() != before {
+			t.Errorf("checked %d times after it was closed", checks.Load()-before)
 		}
 	})
 }
