--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -185,7 +185,7 @@
 		"breaks before any data":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", Unknown},
 		"says not-run":             {"HTTP/1.1 503 No\r\nDrumstall-Outcome: not-run\r\nContent-Length: 0\r\n\r\n", NotRun},
 		"fails":                    {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Ran},
-		"redirects":                {"HTTP/1.1 307 Go\r\nLocation: http://10.0.0.1:90/run\r\nContent-Length: 0\r\n\r\n", Ran},
+		"redirects elsewhere":      {"HTTP/1.1 307 Go\r\nLocation: http://10.0.0.1:90/run\r\nContent-Length: 0\r\n\r\n", Ran},
 		"says not-run but answers": {"HTTP/1.1 200 OK\r\nDrumstall-Outcome: not-run\r\n\r\nhalf", Ran},
 		"is not HTTP":              {"nonsense\r\n\r\n", Unknown},
 	} {
