--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is the one place that knows what a replica looks like from
-// outside: its reports and its orders over the goa API.
+// Package backend defines how the system sees a replica: its reports, the orders it takes, the headers of requests
+// to it, and the client of the native (goa) API for them.
 package backend
 
 import (
@@ -17,13 +17,13 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// Errors of this package.
+// Errors of reports and orders.
 var (
-	ErrUnreachable    = errors.New("backend: replica not reached")
-	ErrInvalidReport  = errors.New("backend: replica's report makes no sense")
+	ErrUnreachable    = errors.New("backend: replica unreachable")
+	ErrInvalidReport  = errors.New("backend: invalid replica report")
 	ErrRefused        = errors.New("backend: replica refused the order")
-	ErrOutcomeUnknown = errors.New("backend: order may or may not have arrived")
-	ErrBusy           = errors.New("backend: replica carries out another order")
+	ErrOutcomeUnknown = errors.New("backend: outcome of the order is unknown")
+	ErrBusy           = errors.New("backend: replica is executing another order")
 )
 
 // States of an item on a replica.
@@ -41,28 +41,28 @@
 	UnloadAdapter = "unload-adapter"
 )
 
-// What a request to a replica looks like.
+// Path and headers of requests to a replica.
 const (
 	RunPath         = "/run"
-	HeaderOutcome   = "Drumstall-Outcome" // a replica answers not-run when it has not begun
+	HeaderOutcome   = "Drumstall-Outcome" // a replica sets it to not-run when it has not started the request
 	HeaderRequestID = "Drumstall-Ticket"
 	HeaderAttempt   = "Drumstall-Shot" // 1 for the first, more for each retry
-	// Where there are tenants: whose a request is, the tenant's weight, and its step of urgency there, 0 first. A replica
-	// that divides its prefix cache goes by them.
+	// If tenants are configured: the tenant of a request, the tenant's weight, and the urgency level within the tenant,
+	// 0 being the most urgent. Replicas that divide their prefix cache by tenant use these.
 	HeaderTenant      = "Drumstall-Tenant"
 	HeaderTenantShare = "Drumstall-Tenant-Share"
 	HeaderUrgency     = "Drumstall-Urgency"
 	NotRun            = "not-run"
 )
 
-// Line is one item a replica reports.
+// ItemStatus is the state of one item in the report of a replica.
 type ItemStatus struct {
 	State    string
 	SizeMib  int
 	Inflight int
 }
 
-// Report is how a replica says it is, checked.
+// Report is the validated status report of a replica.
 type Report struct {
 	ID            string
 	Incarnation   string
@@ -72,36 +72,37 @@
 	Slots         int
 	Inflight      int
 	Leaving       bool
-	Busy          bool // an order is being carried out
+	Busy          bool // an order is being executed
 	ServeFor      time.Duration
 	Items         map[conf.Item]ItemStatus
 }
 
-// Order is one order to a replica.
+// Order is a command to a replica to load or unload an item.
 type Order struct {
 	ID         string
 	Verb       string
 	Item       conf.Item
 	SizeMib    int
 	Epoch      uint64
-	Controller string // the core's name and its boot
-	Holder     string // the core's name
+	Controller string // name and boot ID of the core
+	Holder     string // name of the core
 }
 
-// Client asks replicas how they are and orders them about.
+// Client requests reports from replicas and sends them orders.
 type Client interface {
-	// Report asks a replica for its report. Sizes, places and the replica's
-	// memory may be missing in it; the configuration knows them then.
+	// Report requests the report of a replica. Sizes, the adapter capacity and the replica's
+	// memory may be missing in it; they are taken from the configuration then.
 	Report(ctx context.Context, r Target) (Report, error)
-	// Order sends one order. ErrRefused is a considered no; ErrUnsure means that
-	// the replica may act on it.
+	// Order sends one order. ErrRefused means that the replica rejected it; ErrOutcomeUnknown means
+	// that the replica may act on it.
 	Order(ctx context.Context, r Target, o Order) error
+	// Close closes idle connections.
 	Close()
-	// Traits is what may be relied on.
+	// Traits returns the guarantees of the replicas.
 	Traits() Traits
 }
 
-// Target is the replica that is meant.
+// Target identifies the replica of a call.
 type Target struct {
 	ID      string
 	Addr    string
@@ -110,34 +111,34 @@
 	Slots   int
 }
 
-// Traits is what may be relied on in the replicas of a deployment.
+// Traits describes the guarantees and limits of the replicas of a deployment.
 type Traits struct {
-	// WaitsForRuns says that an unload waits for the requests that run, and that
-	// requests for what is being loaded or unloaded are turned away as not run.
+	// WaitsForRuns means that an unload waits for running requests, and that
+	// requests for an item being loaded or unloaded are rejected as not run.
 	WaitsForRuns bool
-	// KnowsByName says that a replica knows a controller by its name alone: one that
-	// was restarted is still the same.
+	// KnowsByName means that a replica identifies a controller by its name alone: after a restart
+	// it is still the same controller.
 	KnowsByName bool
-	// ReportLag is how old a report may be when it is given.
+	// ReportLag is how old a report may be when the replica returns it.
 	ReportLag time.Duration
-	// ServicesReport says that replicas without models have reports too.
+	// ServicesReport means that replicas without models provide reports too.
 	ServicesReport bool
-	// TellsBusy says that a report tells whether an order is being carried out.
+	// TellsBusy means that a report shows whether an order is being executed.
 	TellsBusy bool
-	// OneOrder says that a replica refuses an order while it carries out another.
+	// OneOrder means that a replica refuses an order while it executes another.
 	OneOrder bool
-	// KeepsOnDisk says that a replica keeps models that it has held on a disk of its own.
+	// KeepsOnDisk means that a replica keeps models it has held on its own disk.
 	KeepsOnDisk bool
-	// AdaptersUnpaced says that loads of adapters do not count at the weight store.
+	// AdaptersUnpaced means that loads of adapters are exempt from the rate limiter of the weight store.
 	AdaptersUnpaced bool
 }
 
-// Native is the client of the design's own API.
+// Native is the client of the native API.
 type Native struct {
 	http *http.Client
 }
 
-// NewNative dials through n; it follows no redirects.
+// NewNative returns a client that dials through n and follows no redirects.
 func NewNative(n wire.Net) *Native {
 	return &Native{http: &http.Client{
 		Transport: &http.Transport{DialContext: n.Dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second,
@@ -146,17 +147,17 @@
 	}}
 }
 
-// Traits of the design's own replicas.
+// Traits returns the guarantees of replicas with the native API.
 func (c *Native) Traits() Traits { return Traits{ServicesReport: true} }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 func (c *Native) Close() { c.http.CloseIdleConnections() }
 
 func (c *Native) clientFor(addr string) *client.Client {
 	return client.NewClient("http", addr, httpapi.Bounded{HTTP: c.http, Max: 4 << 20}, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 }
 
-// Report asks a replica how it is; the target's id is whom we expect to answer.
+// Report requests the report of a replica; a report with an ID other than the target's is invalid.
 func (c *Native) Report(ctx context.Context, r Target) (Report, error) {
 	res, err := c.clientFor(r.Addr).Vitals()(ctx, nil)
 	if err != nil {
@@ -172,35 +173,35 @@
 	return *p
 }
 
-// check turns a report into ours; one that makes no sense is not acted on.
+// parseReport validates and converts a report; an invalid one is an error.
 func parseReport(r *replica.ReplicaReport, id string) (Report, error) {
 	v := Report{ID: r.ID, Incarnation: r.Incarnation, Model: r.Kind == "model", CapacityMib: intOrZero(r.CapacityMib),
 		AdapterPlaces: intOrZero(r.AdapterPlaces), Slots: r.Slots, Inflight: r.Inflight, Leaving: r.Leaving,
 		ServeFor: time.Duration(intOrZero(r.ServeMs)) * time.Millisecond, Items: map[conf.Item]ItemStatus{}}
-	bad := func(what string) (Report, error) { return Report{}, errors.Wrapf(ErrInvalidReport, "%s: %s", id, what) }
+	invalid := func(what string) (Report, error) { return Report{}, errors.Wrapf(ErrInvalidReport, "%s: %s", id, what) }
 	switch {
 	case r.ID != id:
-		return bad("it goes by the name " + r.ID)
+		return invalid("it has the ID " + r.ID)
 	case r.Incarnation == "":
-		return bad("no incarnation")
+		return invalid("no incarnation")
 	case v.Slots < 1 || v.Slots > 1<<16 || v.Inflight < 0:
-		return bad("places or requests out of range")
+		return invalid("number of slots or requests out of range")
 	case v.CapacityMib < 0 || v.AdapterPlaces < 0 || v.ServeFor < 0:
-		return bad("negative sizes")
+		return invalid("negative sizes")
 	}
-	ok := func(state string) bool { return state == Loading || state == Loaded || state == Unloading }
+	isState := func(state string) bool { return state == Loading || state == Loaded || state == Unloading }
 	for _, m := range r.Models {
-		if m == nil || !conf.Plain(m.Name) || !ok(m.State) || m.SizeMib < 0 || m.Inflight < 0 {
-			return bad("a model's line is wrong")
+		if m == nil || !conf.Plain(m.Name) || !isState(m.State) || m.SizeMib < 0 || m.Inflight < 0 {
+			return invalid("invalid entry for a model")
 		}
 		item := conf.Item{Model: m.Name}
 		if _, twice := v.Items[item]; twice {
-			return bad("model " + m.Name + " stands twice")
+			return invalid("model " + m.Name + " is listed twice")
 		}
 		v.Items[item] = ItemStatus{State: m.State, SizeMib: m.SizeMib, Inflight: m.Inflight}
 		for _, a := range m.Adapters {
-			if a == nil || !conf.Plain(a.Name) || !ok(a.State) || a.Inflight < 0 {
-				return bad("an adapter's line is wrong")
+			if a == nil || !conf.Plain(a.Name) || !isState(a.State) || a.Inflight < 0 {
+				return invalid("invalid entry for an adapter")
 			}
 			v.Items[conf.Item{Model: m.Name, Adapter: a.Name}] = ItemStatus{State: a.State, Inflight: a.Inflight}
 		}
@@ -208,8 +209,8 @@
 	return v, nil
 }
 
-// Order sends one order. ErrRefused is a considered no; ErrUnsure means that
-// the replica may act on it.
+// Order sends one order. ErrRefused means that the replica rejected it; ErrOutcomeUnknown means
+// that the replica may act on it.
 func (c *Native) Order(ctx context.Context, r Target, o Order) error {
 	p := &replica.LoadOrder{ID: o.ID, Verb: o.Verb, Model: o.Item.Model, SizeMib: &o.SizeMib, Epoch: o.Epoch, Controller: o.Controller}
 	if o.Item.Adapter != "" {
@@ -226,8 +227,8 @@
 	return errors.Wrap(ErrOutcomeUnknown, err.Error())
 }
 
-// IsUnsure says whether an order may or may not have arrived.
+// IsOutcomeUnknown reports whether the outcome of an order is unknown.
 func IsOutcomeUnknown(err error) bool { return errors.Is(err, ErrOutcomeUnknown) }
 
-// IsBusy says whether an order was refused because another is being carried out.
+// IsBusy reports whether an order was refused because another is being executed.
 func IsBusy(err error) bool { return errors.Is(err, ErrBusy) }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -32,36 +32,36 @@
 
 const validHead = `"id":"r1","incarnation":"i","kind":"model","slots":2,"inflight":0,"leaving":false`
 
-// A replica's report that makes no sense is an error, never a report.
+// An invalid report is always an error.
 func TestInvalidReportsAreRejected(t *testing.T) {
 	v, err := fetchReport(t, 200, `{`+validHead+`,"capacityMib":10,"models":[{"name":"m","state":"loaded","sizeMib":4,"inflight":1,"adapters":[{"name":"a","state":"loading","inflight":0}]}]}`)
 	if err != nil || v.Items[conf.Item{Model: "m"}].SizeMib != 4 || v.Items[conf.Item{Model: "m", Adapter: "a"}].State != Loading {
-		t.Fatalf("a good report: %+v %v", v, err)
+		t.Fatalf("a valid report: %+v %v", v, err)
 	}
 	for name, body := range map[string]string{
-		"another's name":   strings.Replace(`{`+validHead+`}`, "r1", "r2", 1),
-		"no incarnation":   strings.Replace(`{`+validHead+`}`, `"i"`, `""`, 1),
-		"no places":        strings.Replace(`{`+validHead+`}`, `"slots":2`, `"slots":0`, 1),
-		"negative":         strings.Replace(`{`+validHead+`}`, `"inflight":0`, `"inflight":-3`, 1),
-		"negative memory":  `{` + validHead + `,"capacityMib":-1}`,
-		"unknown state":    `{` + validHead + `,"models":[{"name":"m","state":"asleep","sizeMib":1,"inflight":0}]}`,
-		"a model twice":    `{` + validHead + `,"models":[{"name":"m","state":"loaded","sizeMib":1,"inflight":0},{"name":"m","state":"loaded","sizeMib":1,"inflight":0}]}`,
-		"a null model":     `{` + validHead + `,"models":[null]}`,
-		"an odd name":      `{` + validHead + `,"models":[{"name":"m/x","state":"loaded","sizeMib":1,"inflight":0}]}`,
-		"missing fields":   `{"id":"r1"}`,
-		"no JSON":          `<html>`,
-		"nothing":          ``,
-		"far too long":     `{` + validHead + `,"models":[` + strings.Repeat(" ", 5<<20) + `]}`,
-		"a null":           `null`,
-		"another type":     `[1,2]`,
-		"a list of places": strings.Replace(`{`+validHead+`}`, `"slots":2`, `"slots":[2]`, 1),
+		"different ID":    strings.Replace(`{`+validHead+`}`, "r1", "r2", 1),
+		"no incarnation":  strings.Replace(`{`+validHead+`}`, `"i"`, `""`, 1),
+		"no slots":        strings.Replace(`{`+validHead+`}`, `"slots":2`, `"slots":0`, 1),
+		"negative":        strings.Replace(`{`+validHead+`}`, `"inflight":0`, `"inflight":-3`, 1),
+		"negative memory": `{` + validHead + `,"capacityMib":-1}`,
+		"unknown state":   `{` + validHead + `,"models":[{"name":"m","state":"asleep","sizeMib":1,"inflight":0}]}`,
+		"a model twice":   `{` + validHead + `,"models":[{"name":"m","state":"loaded","sizeMib":1,"inflight":0},{"name":"m","state":"loaded","sizeMib":1,"inflight":0}]}`,
+		"a null model":    `{` + validHead + `,"models":[null]}`,
+		"an invalid name": `{` + validHead + `,"models":[{"name":"m/x","state":"loaded","sizeMib":1,"inflight":0}]}`,
+		"missing fields":  `{"id":"r1"}`,
+		"no JSON":         `<html>`,
+		"nothing":         ``,
+		"too large":       `{` + validHead + `,"models":[` + strings.Repeat(" ", 5<<20) + `]}`,
+		"a null":          `null`,
+		"another type":    `[1,2]`,
+		"a list of slots": strings.Replace(`{`+validHead+`}`, `"slots":2`, `"slots":[2]`, 1),
 	} {
 		if v, err := fetchReport(t, 200, body); !errors.Is(err, ErrInvalidReport) && !errors.Is(err, ErrUnreachable) {
-			t.Errorf("%s: taken as %+v, %v", name, v, err)
+			t.Errorf("%s: accepted as %+v, %v", name, v, err)
 		}
 	}
 	if _, err := fetchReport(t, 500, `{`+validHead+`}`); err == nil {
-		t.Error("a report with status 500 was taken")
+		t.Error("a report with status 500 was accepted")
 	}
 }
 
@@ -86,7 +86,7 @@
 		conn := NewNative(wire.Host())
 		err := conn.Order(t.Context(), Target{Addr: strings.TrimPrefix(srv.URL, "http://")}, Order{ID: "1", Verb: Load, Item: conf.Item{Model: "m"}, Epoch: 1, Controller: "c"})
 		if c.want == nil && err != nil || c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("status %d: %v, want %v", c.status, err, c.want)
+			t.Errorf("status %d: got %v, want %v", c.status, err, c.want)
 		}
 		conn.Close()
 		srv.Close()
@@ -94,6 +94,6 @@
 	conn := NewNative(wire.Host())
 	defer conn.Close()
 	if err := conn.Order(t.Context(), Target{Addr: "127.0.0.1:1"}, Order{ID: "1", Verb: Load, Item: conf.Item{Model: "m"}}); !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("connection refused: %v", err)
 	}
 }
