--- a/cmd/dsscale/failures.go
+++ b/cmd/dsscale/failures.go
@@ -64,7 +64,7 @@
 			return err
 		}
 		now := time.Since(began)
-		if slots == 0 && held >= state.Slots {
+		if slots == 0 && held >= state.SlotCount {
 			slots = now
 		}
 		right := count(nodes, func(n hollow.NodeState) bool { return n.Edges == alive })
@@ -82,7 +82,7 @@
 		}
 		if !run.Wait(ctx, pollEvery) {
 			fmt.Fprintf(f.out, "%sNOT whole within %v: %d of %d slots held, a change acknowledged after %s, %d of %d nodes know that %d are alive\n",
-				whose, failLimit, held, state.Slots, orNever(acknowledged), right, len(nodes), alive)
+				whose, failLimit, held, state.SlotCount, orNever(acknowledged), right, len(nodes), alive)
 			return nil
 		}
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	interval = 20 * time.Millisecond
-	sweep    = 5 * interval // between two sweeps of waiters that no longer wait
-	depth    = 4096
+	recheckInterval = 20 * time.Millisecond
+	sweepInterval   = 5 * recheckInterval // between two sweeps of waiters that no longer wait
+	mailboxDepth    = 4096
 	// reserve is the share of attempts that only urgent classes may use.
-	reserve = 4
+	urgentReserveDivisor = 4
 )
 
 // Controller owns the queue of a proxy.
 type Controller struct {
-	actor    *run.Actor
-	routes   *route.Keeper
-	queue    *queue.Queue
-	now      func() time.Time
-	attempts atomic.Int64
-	urgent   atomic.Int64
-	waiting  atomic.Pointer[map[string]int]
-	again    *run.Nudge // dispatches soon
-	next     *run.Alarm // the next look at those who wait
-	sweep    *run.Alarm
-	hold     time.Duration
-	closed   atomic.Bool
-	onMiss   func() // tells at once that a request waits for what nobody holds
+	actor           *run.Actor
+	routes          *route.Router
+	queue           *queue.Queue
+	now             func() time.Time
+	attempts        atomic.Int64
+	urgentAttempts  atomic.Int64
+	waiting         atomic.Pointer[map[string]int]
+	dispatchSoon    *run.Nudge // dispatches soon
+	recheck         *run.Alarm // the next look at those who wait
+	sweepAlarm      *run.Alarm
+	noHolderTimeout time.Duration
+	closed          atomic.Bool
+	onMiss          func() // tells at once that a request waits for what nobody holds
 }
 
 // New opens admission.
 // hold is how long an item that nobody holds is waited for without any word.
-func New(g *run.Group, routes *route.Keeper, hold time.Duration, onMiss func()) *Controller {
-	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, hold: hold, onMiss: onMiss}
+func New(g *run.Group, routes *route.Router, hold time.Duration, onMiss func()) *Controller {
+	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, noHolderTimeout: hold, onMiss: onMiss}
 	ac.waiting.Store(&map[string]int{})
-	ac.actor = run.NewActor(g, depth, 0, nil)
-	ac.next, ac.sweep = run.NewAlarm(ac.actor, ac.onTick), run.NewAlarm(ac.actor, ac.onSweep)
-	ac.again = run.NewNudge(ac.actor, ac.dispatch)
-	routes.OnTable(ac.again.Now)
+	ac.actor = run.NewActor(g, mailboxDepth, 0, nil)
+	ac.recheck, ac.sweepAlarm = run.NewAlarm(ac.actor, ac.onRecheck), run.NewAlarm(ac.actor, ac.onSweep)
+	ac.dispatchSoon = run.NewNudge(ac.actor, ac.dispatch)
+	routes.OnTable(ac.dispatchSoon.Now)
 	return ac
 }
 
@@ -56,20 +56,20 @@
 func (ac *Controller) Attempts() int64 { return ac.attempts.Load() }
 
 // Enter waits until a replica can take the request, and says which, or why not.
-func (ac *Controller) Enter(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
+func (ac *Controller) Acquire(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
 	w := queue.NewWaiter(target, class, ac.now(), deadline)
-	if ac.actor.Tell(func() { ac.take(w) }) != nil {
-		return queue.Answer{Why: "the holding is full", RetryS: 1}
+	if ac.actor.Tell(func() { ac.enqueue(w) }) != nil {
+		return queue.Answer{Explanation: "the holding is full", RetryS: 1}
 	}
 	wait := time.NewTimer(time.Until(deadline))
 	defer wait.Stop()
-	late := queue.Answer{Why: "the deadline passed while it waited", Late: true, RetryS: 1}
+	late := queue.Answer{Explanation: "the deadline passed while it waited", Late: true, RetryS: 1}
 	select {
 	case a := <-w.Answer:
 		return a
 	case <-wait.C:
 	case <-ctx.Done():
-		late.Why = "the client left"
+		late.Explanation = "the client left"
 	}
 	if w.Withdraw() {
 		return late
@@ -83,9 +83,9 @@
 	ac.closed.Store(true)
 	_ = ac.actor.Tell(func() {
 		for _, c := range ac.queue.Order() {
-			c.Lanes(func(l *queue.Lane) (bool, bool) {
+			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				for i := range l.Waiters.Len() {
-					refuse(l.Waiters.At(i), stopped)
+					refuse(l.Waiters.At(i), stoppingResult)
 				}
 				return false, false
 			})
@@ -94,7 +94,7 @@
 }
 
 // stopped is the answer once admission has closed.
-var stopped = queue.Answer{Why: "this proxy is stopping", RetryS: 1}
+var stoppingResult = queue.Answer{Explanation: "this proxy is stopping", RetryS: 1}
 
 func refuse(w *queue.Waiter, a queue.Answer) {
 	if w.Withdraw() {
@@ -102,64 +102,64 @@
 	}
 }
 
-func (ac *Controller) take(w *queue.Waiter) {
+func (ac *Controller) enqueue(w *queue.Waiter) {
 	if ac.closed.Load() {
-		refuse(w, stopped)
+		refuse(w, stoppingResult)
 		return
 	}
-	cl, known := ac.routes.Now().Conf.Classes[w.Class]
+	cl, known := ac.routes.Current().Conf.Classes[w.Class]
 	if !known {
-		refuse(w, queue.Answer{Why: "its class has gone", RetryS: 1})
+		refuse(w, queue.Answer{Explanation: "its class has gone", RetryS: 1})
 		return
 	}
-	ac.queue.SetShares(ac.routes.Now().Conf.Shares())
+	ac.queue.SetShares(ac.routes.Current().Conf.Shares())
 	c := ac.queue.Class(w.Class, cl)
-	ac.sweep.In(sweep)
-	if !ac.queue.Put(c, w) {
-		refuse(w, queue.Answer{Why: "the holding of class " + w.Class + " is full", RetryS: 1})
+	ac.sweepAlarm.In(sweepInterval)
+	if !ac.queue.Push(c, w) {
+		refuse(w, queue.Answer{Explanation: "the holding of class " + w.Class + " is full", RetryS: 1})
 		return
 	}
 	ac.dispatch()
-	if !w.Waits() {
+	if !w.IsWaiting() {
 		return
 	}
-	ac.next.In(interval)
+	ac.recheck.In(recheckInterval)
 	// Why: if what is ahead already takes longer than the deadline, waiting would only delay the no.
 	_, held, serve := ac.routes.Choose(w.Target)
 	if held == 0 {
-		ac.routes.CountWaiting(&w.Target)
-		ac.tellWaiting()
+		ac.routes.CountWaitingWork(&w.Target)
+		ac.publishWaiting()
 		ac.onMiss()
 	}
 	if held > 0 {
 		ahead := time.Duration(c.Size()) * serve
 		// Why: who waits longest for the same tells best how long it takes, other edges and other classes included.
-		ahead = max(ahead, ac.now().Sub(c.Oldest(w).Since))
-		if ahead > w.Deadline.Sub(w.Since) {
-			refuse(w, queue.Answer{Why: "too many wait ahead of it", RetryS: retry(ahead - w.Deadline.Sub(w.Since))})
+		ahead = max(ahead, ac.now().Sub(c.Oldest(w).EnqueuedAt))
+		if ahead > w.Deadline.Sub(w.EnqueuedAt) {
+			refuse(w, queue.Answer{Explanation: "too many wait ahead of it", RetryS: retryAfterSeconds(ahead - w.Deadline.Sub(w.EnqueuedAt))})
 		}
 	}
 }
 
-func retry(d time.Duration) int { return max(1, min(60, int(d/time.Second)+1)) }
+func retryAfterSeconds(d time.Duration) int { return max(1, min(60, int(d/time.Second)+1)) }
 
 // dispatch gives replicas to waiters until none can be given more.
 func (ac *Controller) dispatch() {
-	limit := int64(ac.routes.Now().Conf.Limits.Attempts)
+	limit := int64(ac.routes.Current().Conf.Limits.Attempts)
 	for progress := true; progress; {
 		progress = false
 		for _, c := range ac.queue.Order() {
 			full := ac.attempts.Load() >= limit
 			// Why: urgent requests find places that others can never fill.
 			if !c.Conf.Urgent {
-				full = ac.attempts.Load()-ac.urgent.Load() >= limit-limit/reserve || full
+				full = ac.attempts.Load()-ac.urgentAttempts.Load() >= limit-limit/urgentReserveDivisor || full
 			}
 			// Why: a tenant that calls all its requests urgent must leave the others' part of those places free.
-			kept := int64(float64(limit/reserve) * ac.queue.OthersPart(c.Of))
-			if full || kept > 0 && c.Of.Out.Load() >= limit-kept {
+			kept := int64(float64(limit/urgentReserveDivisor) * ac.queue.OthersFraction(c.Of))
+			if full || kept > 0 && c.Of.Inflight.Load() >= limit-kept {
 				continue
 			}
-			c.Lanes(func(l *queue.Lane) (bool, bool) {
+			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				head := l.Waiters.Front()
 				r, held, _ := ac.routes.Choose(head.Target)
 				if held > 0 {
@@ -174,10 +174,10 @@
 				progress = true
 				// Why: an attempt whose first piece comes after the deadline does the work, and tells its caller that nobody
 				// knows whether it did.
-				if w.Deadline.Sub(ac.now()) < r.Live.FirstFor() {
-					refuse(w, queue.Answer{Why: "its answer would begin after the deadline", Late: true, RetryS: 1})
+				if w.Deadline.Sub(ac.now()) < r.Live.ExpectedFirstChunk() {
+					refuse(w, queue.Answer{Explanation: "its answer would begin after the deadline", Late: true, RetryS: 1})
 				} else if w.Claim() {
-					ac.give(w, r, c)
+					ac.assign(w, r, c)
 				}
 				return true, false
 			})
@@ -188,59 +188,59 @@
 	}
 }
 
-func (ac *Controller) give(w *queue.Waiter, r *route.Replica, c *queue.Class) {
+func (ac *Controller) assign(w *queue.Waiter, r *route.Replica, c *queue.Class) {
 	urgent, tenant := c.Conf.Urgent, c.Of
 	ac.attempts.Add(1)
-	tenant.Out.Add(1)
+	tenant.Inflight.Add(1)
 	if urgent {
-		ac.urgent.Add(1)
+		ac.urgentAttempts.Add(1)
 	}
-	place := ac.routes.Took(w.Target, r)
+	place := ac.routes.StartAttempt(w.Target, r)
 	var once atomic.Bool
-	w.Answer <- queue.Answer{Replica: r, Begun: func() { place.Begun(); ac.again.Now() }, Done: func() {
+	w.Answer <- queue.Answer{Replica: r, Begun: func() { place.FirstChunk(); ac.dispatchSoon.Now() }, Done: func() {
 		if once.Swap(true) {
 			return
 		}
 		place.Done()
 		ac.attempts.Add(-1)
-		tenant.Out.Add(-1)
+		tenant.Inflight.Add(-1)
 		if urgent {
-			ac.urgent.Add(-1)
+			ac.urgentAttempts.Add(-1)
 		}
-		ac.again.Now()
+		ac.dispatchSoon.Now()
 	}}
 }
 
 // onTick looks at those who wait. Why: most of the time nobody does, and a proxy
 // that sleeps then costs nothing.
-func (ac *Controller) onTick() {
+func (ac *Controller) onRecheck() {
 	ac.dispatch()
-	ac.hopeless()
-	if ac.queue.Holds() {
-		ac.next.In(interval)
+	ac.rejectHopeless()
+	if ac.queue.HasWaiters() {
+		ac.recheck.In(recheckInterval)
 	}
 }
 
 // onSweep lets go of waiters that no longer wait, and of classes without any.
 func (ac *Controller) onSweep() {
 	ac.queue.Sweep()
-	ac.tellWaiting()
-	if ac.queue.Known() {
-		ac.sweep.In(sweep)
+	ac.publishWaiting()
+	if ac.queue.HasClasses() {
+		ac.sweepAlarm.In(sweepInterval)
 	}
 }
 
-func (ac *Controller) tellWaiting() {
+func (ac *Controller) publishWaiting() {
 	w := ac.queue.Waiting()
 	ac.waiting.Store(&w)
 }
 
 // hopeless turns away what no load and no freed place can serve in time.
-func (ac *Controller) hopeless() {
-	s := ac.routes.Now()
+func (ac *Controller) rejectHopeless() {
+	s := ac.routes.Current()
 	now := ac.now()
 	for _, c := range ac.queue.Order() {
-		c.Lanes(func(l *queue.Lane) (bool, bool) {
+		c.EachLane(func(l *queue.Lane) (bool, bool) {
 			if l.Empty.IsZero() {
 				return false, false
 			}
@@ -250,7 +250,7 @@
 			}
 			x, told := s.Expect.Get(l.Key)
 			at, coming := s.Coming[l.Key]
-			ready := now.Add(at - ac.routes.Since())
+			ready := now.Add(at - ac.routes.MonotonicNow())
 			// Why: silence counts from the last word. A load that is just done is no longer on its way, and the
 			// replica has not told us yet; those that waited for it must not be dropped in between.
 			if coming || told && !x.Refused {
@@ -259,14 +259,14 @@
 			for i := range l.Waiters.Len() {
 				w := l.Waiters.At(i)
 				switch {
-				case !w.Waits():
+				case !w.IsWaiting():
 				case coming && ready.After(w.Deadline):
-					refuse(w, queue.Answer{Why: "it will be loaded too late", RetryS: retry(ready.Sub(now))})
+					refuse(w, queue.Answer{Explanation: "it will be loaded too late", RetryS: retryAfterSeconds(ready.Sub(now))})
 				case coming:
 				case told && x.Refused:
-					refuse(w, queue.Answer{Why: x.Why, RetryS: max(1, x.RetryS)})
-				case now.Sub(later(w.Since, l.Empty)) > ac.hold:
-					refuse(w, queue.Answer{Why: "nobody has it and no controller answers", RetryS: 2})
+					refuse(w, queue.Answer{Explanation: x.Reason, RetryS: max(1, x.RetryAfterS)})
+				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.noHolderTimeout:
+					refuse(w, queue.Answer{Explanation: "nobody has it and no controller answers", RetryS: 2})
 				}
 			}
 			return false, false
--- a/internal/admission/tenant_test.go
+++ b/internal/admission/tenant_test.go
@@ -20,17 +20,17 @@
 
 // A tenant that calls all its requests urgent fills a proxy but for the others'
 // part of what is kept for urgent ones, and what it has waiting takes turns with ours.
-func TestATenantThatIsAllUrgentLeavesOthersPlaces(t *testing.T) {
+func TestAllUrgentTenantLeavesReservedAttemptsToOthers(t *testing.T) {
 	const limit = 16
 	for _, c := range []struct {
 		name, doc string
 		theirs    int // requests of the other that are out
 		plates    bool
 	}{
-		{"with tenants", `{"share":1}`, limit - limit/reserve/2, true},
+		{"with tenants", `{"share":1}`, limit - limit/urgentReserveDivisor/2, true},
 		{"without", "", limit, false},
 	} {
-		opened(t, func(g *Controller, n *gossip.Table) {
+		withController(t, func(g *Controller, n *gossip.Table) {
 			objects := map[string][]byte{"limits/default": []byte(`{"shots":16}`), "classes/plates": []byte(`{"urgent":true}`), "classes/bulk": []byte(`{"urgent":true}`)}
 			if c.doc != "" {
 				objects["tenants/ours"], objects["tenants/other"] = []byte(c.doc), []byte(c.doc)
@@ -45,7 +45,7 @@
 			enter := func(class string, done func(queue.Answer)) {
 				group.Go(func(ctx context.Context) {
 					target := route.Target{Route: conf.Route{Kind: "model", Class: class}, Item: conf.Item{Model: "m"}}
-					done(g.Enter(ctx, target, class, time.Now().Add(5*time.Second)))
+					done(g.Acquire(ctx, target, class, time.Now().Add(5*time.Second)))
 				})
 			}
 			for range 2 * limit {
--- a/internal/core/consider.go
+++ b/internal/core/consider.go
@@ -17,35 +17,35 @@
 )
 
 // considerHere has the controller of a replica, if it is here, consider a load.
-func (c *Core) considerHere(ctx context.Context, q order.Consider) (order.Considered, error) {
+func (c *Core) considerHere(ctx context.Context, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 	controller := (*c.controllersNow.Load())[q.Replica]
 	if controller == nil {
-		return order.Considered{}, wire.Refuse("not-owner", q.Replica+" is not controlled here")
+		return order.ConsiderResponse{}, wire.Refuse("not-owner", q.Replica+" is not controlled here")
 	}
 	return controller.Consider(ctx, q)
 }
 
 // considerAllHere asks the controllers of several replicas side by side, dry.
 // Why: who asks waits for so long for all of them; one that is slow must not keep the others' answers back.
-func (c *Core) considerAllHere(ctx context.Context, q order.ConsiderAll) []order.Considered {
+func (c *Core) considerAllHere(ctx context.Context, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 	ctx, cancel := context.WithTimeout(ctx, c.s.Cadence.Ask*3/4)
 	defer cancel()
-	return c.eachReplica(q, func(one order.Consider) (order.Considered, error) { return c.considerHere(ctx, one) })
+	return c.eachReplica(q, func(one order.ConsiderRequest) (order.ConsiderResponse, error) { return c.considerHere(ctx, one) })
 }
 
 // eachReplica asks about each replica of q side by side.
-func (c *Core) eachReplica(q order.ConsiderAll, ask func(order.Consider) (order.Considered, error)) []order.Considered {
+func (c *Core) eachReplica(q order.ConsiderBatchRequest, ask func(order.ConsiderRequest) (order.ConsiderResponse, error)) []order.ConsiderResponse {
 	type answered struct {
 		i int
-		a order.Considered
+		a order.ConsiderResponse
 	}
-	answers := make([]order.Considered, len(q.Replicas))
+	answers := make([]order.ConsiderResponse, len(q.Replicas))
 	ch := run.Fan(c.group, len(q.Replicas), func(_ context.Context, i int) answered {
-		one := q.Ask
-		one.Replica, one.Dry = q.Replicas[i], true
+		one := q.Request
+		one.Replica, one.DryRun = q.Replicas[i], true
 		a, err := ask(one)
 		if err != nil {
-			a = order.Unheard(err)
+			a = order.NoAnswer(err)
 		}
 		return answered{i, a}
 	})
@@ -57,19 +57,19 @@
 }
 
 // consider asks the controller of a replica, on whichever core it is.
-func (c *Core) consider(ctx context.Context, controller string, q order.Consider) (order.Considered, error) {
+func (c *Core) consider(ctx context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 	if controller == c.s.Name {
 		return c.considerHere(ctx, q)
 	}
 	addr, live := c.coreAddr(controller)
 	if !live {
-		return order.Considered{}, wire.ErrUnreachable
+		return order.ConsiderResponse{}, wire.ErrUnreachable
 	}
-	return wire.Call[order.Consider, order.Considered](ctx, c.caller, addr, considerPath, q)
+	return wire.Call[order.ConsiderRequest, order.ConsiderResponse](ctx, c.caller, addr, considerPath, q)
 }
 
 // considerAll asks the core that controls several replicas about all of them.
-func (c *Core) considerAll(ctx context.Context, controller string, q order.ConsiderAll) []order.Considered {
+func (c *Core) considerAll(ctx context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 	if controller == c.s.Name {
 		return c.considerAllHere(ctx, q)
 	}
@@ -81,12 +81,12 @@
 }
 
 // considerAllAt asks with one message; a core of an earlier version is asked about each replica.
-func (c *Core) considerAllAt(ctx context.Context, addr string, q order.ConsiderAll) []order.Considered {
-	got, err := wire.Call[order.ConsiderAll, order.ConsideredAll](ctx, c.caller, addr, considerAllPath, q)
+func (c *Core) considerAllAt(ctx context.Context, addr string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
+	got, err := wire.Call[order.ConsiderBatchRequest, order.ConsiderBatchResponse](ctx, c.caller, addr, considerAllPath, q)
 	switch {
 	case errors.Is(err, wire.ErrNotServed):
-		return c.eachReplica(q, func(one order.Consider) (order.Considered, error) {
-			return wire.Call[order.Consider, order.Considered](ctx, c.caller, addr, considerPath, one)
+		return c.eachReplica(q, func(one order.ConsiderRequest) (order.ConsiderResponse, error) {
+			return wire.Call[order.ConsiderRequest, order.ConsiderResponse](ctx, c.caller, addr, considerPath, one)
 		})
 	case err != nil:
 		return unheard(q, err)
@@ -97,10 +97,10 @@
 }
 
 // unheard is the answers where none came.
-func unheard(q order.ConsiderAll, err error) []order.Considered {
-	answers := make([]order.Considered, len(q.Replicas))
+func unheard(q order.ConsiderBatchRequest, err error) []order.ConsiderResponse {
+	answers := make([]order.ConsiderResponse, len(q.Replicas))
 	for i := range answers {
-		answers[i] = order.Unheard(err)
+		answers[i] = order.NoAnswer(err)
 	}
 	return answers
 }
--- a/internal/core/consider_test.go
+++ b/internal/core/consider_test.go
@@ -22,25 +22,25 @@
 
 func (a *askedCore) mux() *wire.Mux {
 	mux := wire.NewMux()
-	answer := func(q order.Consider) order.Considered {
-		return order.Considered{Taken: q.Replica != "full" && q.Dry && q.Item == "m", Why: q.Replica}
+	answer := func(q order.ConsiderRequest) order.ConsiderResponse {
+		return order.ConsiderResponse{Accepted: q.Replica != "full" && q.DryRun && q.Item == "m", Why: q.Replica}
 	}
-	wire.Handle(mux, considerPath, func(_ context.Context, q order.Consider) (order.Considered, error) {
+	wire.Handle(mux, considerPath, func(_ context.Context, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 		a.calls.Add(1)
 		if q.Replica == "elsewhere" {
-			return order.Considered{}, wire.Refuse("not-owner", "not here")
+			return order.ConsiderResponse{}, wire.Refuse("not-owner", "not here")
 		}
 		return answer(q), nil
 	})
 	if !a.batch {
 		return mux
 	}
-	wire.Handle(mux, considerAllPath, func(_ context.Context, q order.ConsiderAll) (order.ConsideredAll, error) {
+	wire.Handle(mux, considerAllPath, func(_ context.Context, q order.ConsiderBatchRequest) (order.ConsiderBatchResponse, error) {
 		a.calls.Add(1)
-		var out order.ConsideredAll
+		var out order.ConsiderBatchResponse
 		for _, r := range q.Replicas {
-			one := q.Ask
-			one.Replica, one.Dry = r, true
+			one := q.Request
+			one.Replica, one.DryRun = r, true
 			out.Answers = append(out.Answers, answer(one))
 		}
 		if a.garble {
@@ -52,7 +52,7 @@
 }
 
 // asked is what a core hears that asks another about replicas.
-func asked(t *testing.T, a *askedCore, replicas ...string) (answers []order.Considered) {
+func asked(t *testing.T, a *askedCore, replicas ...string) (answers []order.ConsiderResponse) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fabric := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
@@ -64,7 +64,7 @@
 		server := wire.NewServer(ln, a.mux())
 		g.Go(server.Run)
 		c := &Core{group: g, caller: wire.NewCaller(fabric.Host("10.0.0.1"))}
-		answers = c.considerAllAt(t.Context(), "10.0.0.2:7000", order.ConsiderAll{Ask: order.Consider{Item: "m"}, Replicas: replicas})
+		answers = c.considerAllAt(t.Context(), "10.0.0.2:7000", order.ConsiderBatchRequest{Request: order.ConsiderRequest{Item: "m"}, Replicas: replicas})
 		c.caller.Close()
 		server.Close()
 		g.Stop()
@@ -76,7 +76,7 @@
 func TestReplicasOfOneCoreAreAskedAboutAtOnce(t *testing.T) {
 	a := &askedCore{batch: true}
 	got := asked(t, a, "r1", "full", "r2")
-	if a.calls.Load() != 1 || len(got) != 3 || !got[0].Taken || got[1].Taken || !got[2].Taken || got[2].Why != "r2" {
+	if a.calls.Load() != 1 || len(got) != 3 || !got[0].Accepted || got[1].Accepted || !got[2].Accepted || got[2].Why != "r2" {
 		t.Errorf("%d calls, %+v", a.calls.Load(), got)
 	}
 }
@@ -85,7 +85,7 @@
 func TestAnEarlierVersionIsAskedAboutEachReplica(t *testing.T) {
 	a := &askedCore{}
 	got := asked(t, a, "r1", "elsewhere", "full")
-	if a.calls.Load() != 3 || len(got) != 3 || !got[0].Taken || !got[1].Silent || got[1].Taken || got[2].Taken || got[2].Silent {
+	if a.calls.Load() != 3 || len(got) != 3 || !got[0].Accepted || !got[1].Unanswered || got[1].Accepted || got[2].Accepted || got[2].Unanswered {
 		t.Errorf("%d calls, %+v", a.calls.Load(), got)
 	}
 }
@@ -93,7 +93,7 @@
 // Answers that are not one for each replica are none.
 func TestTooFewAnswersAreNone(t *testing.T) {
 	for _, x := range asked(t, &askedCore{batch: true, garble: true}, "r1", "r2") {
-		if !x.Silent || x.Taken {
+		if !x.Unanswered || x.Accepted {
 			t.Errorf("%+v", x)
 		}
 	}
--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -18,20 +18,20 @@
 
 // afloat tells the store's keeper of a load that may still start.
 func (c *Core) afloat(ctx context.Context, who string) {
-	_, _ = atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.Granting{Who: who, Afloat: true}, c.planner.Grant)
+	_, _ = atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: who, Outstanding: true}, c.planner.Grant)
 }
 
-func (c *Core) grant(ctx context.Context, l order.Leave) (time.Duration, bool) {
-	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.Granting{Who: l.Who, Worth: l.Worth, Start: l.Start}, c.planner.Grant)
-	return time.Duration(g.WaitMs) * time.Millisecond, err == nil && g.OK
+func (c *Core) grant(ctx context.Context, l order.GrantRequest) (time.Duration, bool) {
+	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.Who, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
+	return time.Duration(g.WaitMs) * time.Millisecond, err == nil && g.Granted
 }
 
-func (c *Core) tellShared(ctx context.Context, s plan.Shared) {
+func (c *Core) tellShared(ctx context.Context, s plan.SharedPredictions) {
 	to := c.others()
 	ch := run.Fan(c.group, len(to), func(ctx context.Context, i int) bool {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		_, err := wire.Call[plan.Shared, none](ctx, c.caller, to[i].Addr, "/place/share", s)
+		_, err := wire.Call[plan.SharedPredictions, none](ctx, c.caller, to[i].Addr, "/place/share", s)
 		return err == nil
 	})
 	for range to {
@@ -50,7 +50,7 @@
 	}
 	// Why: with the platform dark the replicas go on, so those known from the gossip stay controlled.
 	heard := c.watch.HeardFor() < 5*time.Second
-	for _, v := range c.views.Views().All {
+	for _, v := range c.views.Statuses().All {
 		id := v.Listed.ID
 		if _, there := listed[id]; there {
 			delete(c.absent, id)
@@ -66,7 +66,7 @@
 	for id, one := range c.controllers {
 		_, there := listed[id]
 		if there && c.own.Holds(order.Key(id)) {
-			one.controller.Listed(listed[id])
+			one.controller.SetListed(listed[id])
 			continue
 		}
 		gone := !there && c.own.Holds(order.Key(id))
@@ -83,8 +83,8 @@
 		}
 		g := c.group.Child()
 		c.controllers[id] = &controlled{group: g, controller: order.NewController(g, order.Deps{Clock: c.env.Clock, Log: c.log, Self: c.s.Name, Boot: c.boot,
-			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.own, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, Requests: c.planner.Requests,
-			Others: c.views.Views, Agents: c.agents, Platform: c.watch.HeardFor, Grant: c.grant, Afloat: c.afloat}, l)}
+			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.own, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, PredictedRequests: c.planner.PredictedRequests,
+			Others: c.views.Statuses, LiveAgents: c.agents, PlatformAge: c.watch.HeardFor, Grant: c.grant, Afloat: c.afloat}, l)}
 	}
 	snap := map[string]*order.Controller{}
 	for id, one := range c.controllers {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -92,7 +92,7 @@
 	base           *run.Group // what it stands on: servers, datagrams, disk
 	acc            *acceptor.Acceptor
 	own            *owner.Owner
-	set            *coremembers.Keeper
+	set            *coremembers.Manager
 	members        *member.Table
 	touch          *touch.Keeper
 	gossip         *gossip.Table
@@ -101,7 +101,7 @@
 	reports        *report.Table
 	relay          *relay.Relay
 	lag            *load.Lag
-	views          *plan.ViewCache
+	views          *plan.StatusCache
 	watch          *inventory.Watch
 	replicas       backend.Client
 	caller         *wire.Caller
@@ -121,7 +121,7 @@
 	preferred      preference
 	// tendSoon looks at once at which replicas are to be controlled here.
 	tendSoon *run.Nudge
-	holders  [state.Slots]atomic.Pointer[string] // who held each slot when last asked
+	holders  [state.SlotCount]atomic.Pointer[string] // who held each slot when last asked
 }
 
 const (
@@ -174,7 +174,7 @@
 		_, _ = ln.Close(), pc.Close()
 		return nil, err
 	}
-	if c.acc, err = acceptor.Open(c.base, s.Folder, acceptor.Whose{Fleet: s.Fleet, Node: s.Name}, env.FS, env.Clock, c.log); err != nil {
+	if c.acc, err = acceptor.Open(c.base, s.Folder, acceptor.FolderOwner{Fleet: s.Fleet, Node: s.Name}, env.FS, env.Clock, c.log); err != nil {
 		_, _ = ln.Close(), pc.Close()
 		for _, f := range servers {
 			f.Close()
@@ -185,13 +185,13 @@
 	c.post = wire.NewPost(pc)
 	c.watch = inventory.NewWatch(s.Lister, env.Clock, c.log, c.gossip)
 	c.touch = touch.New(env.Clock, func() time.Duration { return c.watch.HeardFor() }, c.heardMost)
-	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acc.Disk(),
-		Phase: string(c.acc.Standing().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
+	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acc.DiskID(),
+		Phase: string(c.acc.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
 	c.reading = conf.ReadingRest()
 	c.confSoon = run.NewNudge(run.NewActor(c.group, 4, readEvery, c.takeConf), c.takeConf)
 	c.gossip.OnNew(c.onGossip)
-	c.views = plan.NewViewCache(c.gossip)
+	c.views = plan.NewStatusCache(c.gossip)
 	c.spread = gossip.NewSpreader(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
 	c.acc.Serve(c.mux)
 	ownQuarantine := s.Bounds.Lease
@@ -199,16 +199,16 @@
 		ownQuarantine = 0
 	}
 	c.own = owner.New(owner.Deps{Self: c.self, Group: c.group, Clock: env.Clock, Log: c.log, Caller: c.caller, Acceptor: c.acc,
-		Addr: c.addrOf, Rank: c.voters, Behind: func(v state.Core) { c.set.Behind(v) }, Quarantine: s.Bounds.Lease, OwnQuarantine: ownQuarantine, Handback: s.Cadence.Handback, OnTake: c.onTake})
+		Addr: c.addrOf, Rank: c.voters, Behind: func(v state.Core) { c.set.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, OwnQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnTake: c.onTake})
 	c.lag = load.NewLag(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.own, Gossip: c.gossip,
-		Reports: c.reports, Conf: c.effective, Views: c.views.Views, Ask: c.consider, AskAll: c.considerAll, Tell: c.tellShared, Busy: c.lag.Busy})
+		Reports: c.reports, Conf: c.effective, Views: c.views.Statuses, Ask: c.consider, AskAll: c.considerAll, Tell: c.tellShared, Busy: c.lag.Busy})
 	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
 		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Taken, error) {
 			return wire.CallLarge[relay.Taken](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
 		}, Busy: c.lag.Busy})
-	c.set = coremembers.New(coremembers.Deps{Self: c.self, Want: s.Cores, Founders: s.Founders, MayFound: s.MayFound, Target: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
-		Acceptor: c.acc, Owner: c.own, Live: c.liveCores, Addr: c.addrOf, Gone: c.goneFor, Heard: c.heardFor}, c.mux)
+	c.set = coremembers.New(coremembers.Deps{Self: c.self, Want: s.Cores, InitialAddrs: s.Founders, MayBootstrap: s.MayFound, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
+		Acceptor: c.acc, Owner: c.own, Live: c.liveCores, Addr: c.addrOf, Gone: c.goneFor, SinceContact: c.heardFor}, c.mux)
 	c.watch.Start(c.group, s.Cadence.List, func() bool { return true })
 	c.newestStamp = flight.New(c.group, func(ctx context.Context) (Newest, error) {
 		ctx, cancel := context.WithTimeout(ctx, ownerFor)
@@ -219,11 +219,11 @@
 	tending := run.NewActor(c.group, 4, tendEvery, func() { c.tend(c.group.Context()) })
 	c.tendSoon = run.NewNudge(tending, func() { c.tend(c.group.Context()) })
 	c.group.Every(200*time.Millisecond, func(context.Context) {
-		phase := string(c.acc.Standing().Phase)
-		if c.acc.Sick() {
+		phase := string(c.acc.Membership().Phase)
+		if c.acc.DiskFailed() {
 			phase = "sick"
 		}
-		disk := c.acc.Disk()
+		disk := c.acc.DiskID()
 		c.members.SetSelf(func(n *member.Node) { n.Phase, n.Disk = phase, disk })
 	})
 	load.Watch(c.group, c.log, c.mux.Served, c.post.Served)
@@ -299,7 +299,7 @@
 func (c *Core) Held() map[int]uint64 { return c.own.Held() }
 
 // Phase is how far this core has come towards voting.
-func (c *Core) Phase() acceptor.Phase { return c.acc.Standing().Phase }
+func (c *Core) Phase() acceptor.Phase { return c.acc.Membership().Phase }
 
 // Sick says whether the disk has failed, so that the process may end.
-func (c *Core) Sick() bool { return c.acc.Sick() }
+func (c *Core) Sick() bool { return c.acc.DiskFailed() }
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -17,7 +17,7 @@
 		c.tendSoon.Now()
 	}
 	epoch := c.own.Held()[slot]
-	c.planner.OnTake(slot, epoch, recs)
+	c.planner.OnSlotAcquired(slot, epoch, recs)
 	for _, r := range recs {
 		if r.Key == conf.Key {
 			// Why: the owner before us may have died between keeping it and telling it.
@@ -114,7 +114,7 @@
 			return a, state.ErrNoQuorum
 		}
 		// Why: it may have been done there, so it is not tried elsewhere.
-		return a, errors.Wrap(state.ErrUnknown, err.Error())
+		return a, errors.Wrap(state.ErrOutcomeUnknown, err.Error())
 	}
 	return a, errors.Wrap(state.ErrNoQuorum, "no core is known to hold "+key)
 }
@@ -125,7 +125,7 @@
 		return errNotOwner
 	case errors.Is(err, state.ErrNoQuorum):
 		return wire.Refuse("no-quorum", err.Error())
-	case errors.Is(err, state.ErrUnknown):
+	case errors.Is(err, state.ErrOutcomeUnknown):
 		return wire.Refuse("unknown", err.Error())
 	}
 	return err
--- a/internal/core/preference.go
+++ b/internal/core/preference.go
@@ -15,7 +15,7 @@
 type preference struct {
 	mu     sync.Mutex
 	voters string // names, joined
-	ranked [state.Slots][]string
+	ranked [state.SlotCount][]string
 }
 
 // of is the voters by how much each is preferred for a slot. First comes the one that is to hold it, so that no voter
@@ -32,7 +32,7 @@
 
 // rank ranks the voters for every slot.
 func (p *preference) rank(names []string) {
-	keys := make([][]byte, state.Slots)
+	keys := make([][]byte, state.SlotCount)
 	for slot := range keys {
 		keys[slot] = []byte{byte(slot)}
 	}
@@ -49,7 +49,7 @@
 
 // voters are the live members of the core membership, most preferred for the slot first.
 func (c *Core) voters(slot int) []state.Core {
-	set := c.acc.Standing().Set
+	set := c.acc.Membership().Set
 	byName := map[string]state.Core{}
 	for v, phase := range c.liveCores() {
 		if phase == acceptor.Voter && set.Has(v) && !c.unheard(v) {
--- a/internal/core/roll.go
+++ b/internal/core/roll.go
@@ -12,14 +12,14 @@
 )
 
 func (c *Core) self() state.Core {
-	return state.Core{Name: c.s.Name, Disk: c.acc.Disk(), Addr: c.s.Addr}
+	return state.Core{Name: c.s.Name, DiskID: c.acc.DiskID(), Addr: c.s.Addr}
 }
 
 // addrOf is where a voter is reached; the roll knows better than the set.
 func (c *Core) addrOf(v state.Core) (string, bool) {
 	for _, n := range c.members.Nodes() {
 		if n.Role == member.RoleCore && n.Name == v.Name {
-			if n.Disk != v.Disk {
+			if n.Disk != v.DiskID {
 				return "", false
 			}
 			return n.Addr, n.Thought()
@@ -31,7 +31,7 @@
 func (c *Core) liveCores() map[state.Core]acceptor.Phase {
 	out := map[state.Core]acceptor.Phase{}
 	for _, n := range c.members.Live(member.RoleCore) {
-		out[state.Core{Name: n.Name, Disk: n.Disk, Addr: n.Addr}] = acceptor.Phase(n.Phase)
+		out[state.Core{Name: n.Name, DiskID: n.Disk, Addr: n.Addr}] = acceptor.Phase(n.Phase)
 	}
 	return out
 }
@@ -42,7 +42,7 @@
 // unheard says that a voter does not answer this core. Why: one that others still
 // reach may be cut off from the cores, and a slot that waits for it is held by nobody.
 func (c *Core) unheard(v state.Core) bool {
-	if v.Is(c.self()) || c.env.Clock.Since()-c.began < unheardAfter {
+	if v.SameVoter(c.self()) || c.env.Clock.Since()-c.began < unheardAfter {
 		return false
 	}
 	return c.heardFor(v) > unheardAfter
@@ -52,7 +52,7 @@
 // answered; 0 while it is thought to be there.
 func (c *Core) goneFor(v state.Core) (left bool, away time.Duration) {
 	for _, n := range c.members.Nodes() {
-		if n.Role != member.RoleCore || n.Name != v.Name || n.Disk != v.Disk {
+		if n.Role != member.RoleCore || n.Name != v.Name || n.Disk != v.DiskID {
 			continue
 		}
 		if n.Thought() {
@@ -65,7 +65,7 @@
 
 // heardFor is how long ago a voter answered this core.
 func (c *Core) heardFor(v state.Core) time.Duration {
-	return min(c.members.HeardFor(v.Name), c.own.HeardFor(v))
+	return min(c.members.HeardFor(v.Name), c.own.SinceLastGrant(v))
 }
 
 // gossipTree is whom this core tells its news in a large fleet.
@@ -86,14 +86,14 @@
 
 // heardMost is how long ago most of the core membership was heard, this core among them.
 func (c *Core) heardMost() time.Duration {
-	st := c.acc.Standing()
+	st := c.acc.Membership()
 	if st.Phase != acceptor.Voter {
 		return touch.Never
 	}
 	var ago []time.Duration
 	for _, v := range st.Set.Cores {
-		if !v.Is(c.self()) {
-			ago = append(ago, min(c.members.HeardFor(v.Name), c.own.HeardFor(v)))
+		if !v.SameVoter(c.self()) {
+			ago = append(ago, min(c.members.HeardFor(v.Name), c.own.SinceLastGrant(v)))
 		}
 	}
 	return touch.Most(st.Set.Quorum(), ago)
--- a/internal/core/serve.go
+++ b/internal/core/serve.go
@@ -30,24 +30,24 @@
 		return a, coded(err)
 	})
 	wire.Handle(c.mux, considerPath, c.considerHere)
-	wire.Handle(c.mux, considerAllPath, func(ctx context.Context, q order.ConsiderAll) (order.ConsideredAll, error) {
-		return order.ConsideredAll{Answers: c.considerAllHere(ctx, q)}, nil
+	wire.Handle(c.mux, considerAllPath, func(ctx context.Context, q order.ConsiderBatchRequest) (order.ConsiderBatchResponse, error) {
+		return order.ConsiderBatchResponse{Answers: c.considerAllHere(ctx, q)}, nil
 	})
-	wire.Handle(c.mux, "/place/grant", func(ctx context.Context, q plan.Granting) (plan.Granted, error) {
+	wire.Handle(c.mux, "/place/grant", func(ctx context.Context, q plan.GrantRequest) (plan.GrantResponse, error) {
 		if !c.own.Holds(plan.PaceKey) {
-			return plan.Granted{}, errNotOwner
+			return plan.GrantResponse{}, errNotOwner
 		}
 		return c.planner.Grant(ctx, q)
 	})
 	wire.Handle(c.mux, "/place/explain", c.explainHere)
-	wire.Handle(c.mux, "/place/unmet", func(ctx context.Context, _ none) (map[string]string, error) { return c.planner.Unmet(ctx), nil })
-	wire.Handle(c.mux, "/place/afloat", func(ctx context.Context, _ none) (map[string]int, error) { return c.planner.Afloat(ctx), nil })
-	wire.Handle(c.mux, "/place/share", func(ctx context.Context, s plan.Shared) (none, error) {
-		return none{}, c.planner.Shared(ctx, s)
+	wire.Handle(c.mux, "/place/unmet", func(ctx context.Context, _ none) (map[string]string, error) { return c.planner.UnmetClaims(ctx), nil })
+	wire.Handle(c.mux, "/place/afloat", func(ctx context.Context, _ none) (map[string]int, error) { return c.planner.OutstandingLoads(ctx), nil })
+	wire.Handle(c.mux, "/place/share", func(ctx context.Context, s plan.SharedPredictions) (none, error) {
+		return none{}, c.planner.MergePredictions(ctx, s)
 	})
 	wire.Handle(c.mux, "/place/report", c.takeReport)
 	wire.HandleLarge(c.mux, relay.Path, func(ctx context.Context, b relay.Batch) (relay.Taken, error) {
-		return relay.Take(ctx, b, c.planner.Reports)
+		return relay.Take(ctx, b, c.planner.ApplyReports)
 	})
 }
 
@@ -55,7 +55,7 @@
 func (c *Core) takeReport(ctx context.Context, r report.Report) (report.Taken, error) {
 	// Why: the word is of the moment before; what was learned since is told with the next.
 	taken := report.Taken{Touch: c.touch.Word(), Differences: true, InflightDifferences: true, Conf: c.gossip.StampOf(conf.Key), Busy: c.lag.Busy()}
-	outcome, err := c.planner.Report(ctx, r)
+	outcome, err := c.planner.ApplyReport(ctx, r)
 	if err != nil {
 		return taken, err
 	}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -87,7 +87,7 @@
 
 // Status is what this core sees.
 func (c *Core) Status(ctx context.Context) any {
-	st := c.acc.Standing()
+	st := c.acc.Membership()
 	now := c.env.Clock.Since()
 	type edge struct {
 		Conf    uint64 `json:"conf"`
@@ -124,7 +124,7 @@
 	known, dropped := c.gossip.Len()
 	calls, bytes := c.caller.Sent()
 	inflight := map[string]int{}
-	views := c.views.Views()
+	views := c.views.Statuses()
 	for _, v := range views.All {
 		if n := c.reports.InflightOn(v.Listed.ID, now); n > 0 {
 			inflight[v.Listed.ID] = n
@@ -133,9 +133,9 @@
 	return map[string]any{
 		"core": c.s.Name, "phase": string(st.Phase), "coreSet": st.Set, "slots": held, "members": members,
 		"busy": c.lag.Busy(), "served": c.served(), "decisions": c.planner.Progress(), "conf": serial, "laggards": laggards, "edges": edges, "tenants": tenants, "replicas": views.All,
-		"claimsUnmet": gather(ctx, c, "/place/unmet", c.planner.Unmet), "afloatS": gather(ctx, c, "/place/afloat", c.planner.Afloat), "inflight": inflight, "platformHeardMs": c.watch.HeardFor().Milliseconds(),
+		"claimsUnmet": gather(ctx, c, "/place/unmet", c.planner.UnmetClaims), "afloatS": gather(ctx, c, "/place/afloat", c.planner.OutstandingLoads), "inflight": inflight, "platformHeardMs": c.watch.HeardFor().Milliseconds(),
 		"counts": map[string]int64{"garbledCalls": c.mux.Garbled(), "garbledAnswers": c.caller.Garbled(), "garbledGrams": c.post.Garbled(),
-			"news": int64(known), "newsDropped": dropped, "handedOver": c.own.Owed(), "edgesRelayed": c.relay.Agents(),
+			"news": int64(known), "newsDropped": dropped, "handedOver": c.own.Repaired(), "edgesRelayed": c.relay.Agents(),
 			"callsMade": calls, "bytesCalled": bytes, "gramsSent": c.post.Sent()},
 	}
 }
--- a/internal/place/demand/demand.go
+++ b/internal/place/demand/demand.go
@@ -9,10 +9,10 @@
 )
 
 // DayMinutes is the length of an epoch where a rule gives none.
-const DayMinutes = 1440
+const DefaultUnitsPerDay = 1440
 
 // Minute is the unit that requests are counted by where a rule gives none.
-const Minute = time.Minute
+const DefaultUnit = time.Minute
 
 // KeptHours is how many hours are kept: the seven days that predict, and
 // today's. Hours are stored in a ring of that many keys.
@@ -22,26 +22,26 @@
 //
 // A rule's minute is its unit of counting and its day the epoch; a deployment
 // that lives faster may make both shorter.
-type Rule struct {
+type Params struct {
 	Day            int64     // units in an epoch; 0 is DayMinutes
 	DayWeights     []float64 // yesterday first, seven of them
 	WarmupMinutes  int
 	HorizonMinutes int
 }
 
-func (r Rule) day() int64 {
+func (r Params) unitsPerDay() int64 {
 	if r.Day > 0 {
 		return r.Day
 	}
-	return DayMinutes
+	return DefaultUnitsPerDay
 }
 
 // Hour is the requests of one hour by minute, and how far each reporter had
 // counted when they were added up.
 type Hour struct {
-	Hour   int64             `cbor:"1,keyasint"`
-	Counts [60]uint32        `cbor:"2,keyasint"`
-	Seen   map[string]uint64 `cbor:"3,keyasint,omitempty"`
+	Hour           int64             `cbor:"1,keyasint"`
+	Counts         [60]uint32        `cbor:"2,keyasint"`
+	ReporterTotals map[string]uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Pack encodes for the control state.
@@ -58,18 +58,18 @@
 type Series struct {
 	hours map[int64]*Hour
 	// Sums of today's observed and first-predicted requests, up to accAt.
-	accDay, accAt    int64
-	accSeen, accInit float64
+	accuracyDay, accuracyThrough int64
+	observedSum, predictedSum    float64
 }
 
 // NewSeries has no history.
-func NewSeries() *Series { return &Series{hours: map[int64]*Hour{}, accDay: -1} }
+func NewSeries() *Series { return &Series{hours: map[int64]*Hour{}, accuracyDay: -1} }
 
 // MinuteOf is the number of a wall-clock unit.
 func MinuteOf(t time.Time, unit time.Duration) int64 { return t.UnixNano() / int64(unit) }
 
 // Lay puts back an hour that was kept.
-func (s *Series) Lay(h Hour) { s.hours[h.Hour] = &h; s.accDay = -1 }
+func (s *Series) Restore(h Hour) { s.hours[h.Hour] = &h; s.accuracyDay = -1 }
 
 // Hour gives a copy of an hour for keeping.
 func (s *Series) Hour(n int64) (Hour, bool) {
@@ -97,13 +97,13 @@
 	}
 	h.Counts[minute%60] += n
 	// Why: a minute already summed into today's accuracy has changed.
-	if minute <= s.accAt {
-		s.accDay = -1
+	if minute <= s.accuracyThrough {
+		s.accuracyDay = -1
 	}
 }
 
 // At is what was observed in a minute.
-func (s *Series) At(minute int64) uint32 {
+func (s *Series) Observed(minute int64) uint32 {
 	if h := s.hours[minute/60]; h != nil {
 		return h.Counts[minute%60]
 	}
@@ -111,10 +111,10 @@
 }
 
 // Initial is the weighted sum of the same minute on the past seven days.
-func (s *Series) Initial(r Rule, minute int64) float64 {
+func (s *Series) InitialPrediction(r Params, minute int64) float64 {
 	sum := 0.0
 	for d, w := range r.DayWeights {
-		if n := s.At(minute - int64(d+1)*r.day()); n > 0 {
+		if n := s.Observed(minute - int64(d+1)*r.unitsPerDay()); n > 0 {
 			sum += float64(n) * w
 		}
 	}
@@ -123,45 +123,45 @@
 
 // Accuracy is today's observed over first-predicted requests up to now; known
 // is false while it says nothing: in the warm-up, or with nothing predicted.
-func (s *Series) Accuracy(r Rule, now int64) (acc float64, known bool) {
-	start := now - now%r.day()
+func (s *Series) Accuracy(r Params, now int64) (acc float64, known bool) {
+	start := now - now%r.unitsPerDay()
 	if now < start+int64(r.WarmupMinutes) {
 		return 1, false
 	}
 	// Why: computed once a minute by adding the minutes that have ended since.
-	if s.accDay != start || s.accAt > now-1 {
-		s.accDay, s.accAt, s.accSeen, s.accInit = start, start-1, 0, 0
+	if s.accuracyDay != start || s.accuracyThrough > now-1 {
+		s.accuracyDay, s.accuracyThrough, s.observedSum, s.predictedSum = start, start-1, 0, 0
 	}
-	for m := s.accAt + 1; m <= now-1; m++ {
-		s.accSeen += float64(s.At(m))
-		s.accInit += s.Initial(r, m)
-		s.accAt = m
+	for m := s.accuracyThrough + 1; m <= now-1; m++ {
+		s.observedSum += float64(s.Observed(m))
+		s.predictedSum += s.InitialPrediction(r, m)
+		s.accuracyThrough = m
 	}
-	if s.accInit == 0 {
+	if s.predictedSum == 0 {
 		return 1, false
 	}
-	return s.accSeen / s.accInit, true
+	return s.observedSum / s.predictedSum, true
 }
 
 // Predict is the requests expected in a minute, as seen from now.
-func (s *Series) Predict(r Rule, now, minute int64) float64 {
-	start := minute - minute%r.day()
+func (s *Series) Predict(r Params, now, minute int64) float64 {
+	start := minute - minute%r.unitsPerDay()
 	if warm := int64(r.WarmupMinutes); minute < start+warm {
 		// Why: held constant through the warm-up. The paper prints the sum over the
 		// warm-up as each minute's value; its mean keeps the unit a minute.
 		sum := 0.0
 		for m := start; m < start+warm; m++ {
-			sum += s.Initial(r, m)
+			sum += s.InitialPrediction(r, m)
 		}
 		return sum / float64(warm)
 	}
 	acc, _ := s.Accuracy(r, now)
-	return s.Initial(r, minute) * acc
+	return s.InitialPrediction(r, minute) * acc
 }
 
 // Next is the requests expected over the horizon from now on. Where the past
 // says nothing, it is what the last horizon saw and what waits now (ours).
-func (s *Series) Next(r Rule, now int64, waiting int) float64 {
+func (s *Series) PredictHorizon(r Params, now int64, waiting int) float64 {
 	sum := 0.0
 	for m := now; m < now+int64(r.HorizonMinutes); m++ {
 		sum += s.Predict(r, now, m)
@@ -170,57 +170,57 @@
 		return sum
 	}
 	for m := now - int64(r.HorizonMinutes) + 1; m <= now; m++ {
-		sum += float64(s.At(m))
+		sum += float64(s.Observed(m))
 	}
 	return sum + float64(waiting)
 }
 
 // Minutes is a clock of minutes that follows the wall but never runs twice
 // through the same one.
-type Minutes struct {
-	unit    time.Duration
-	anchor  time.Time
-	from    time.Duration
-	highest int64
-	lapsed  bool          // the clock was set back behind highest
-	off     time.Duration // since when the wall has disagreed
+type MinuteClock struct {
+	unit          time.Duration
+	anchorWall    time.Time
+	anchorElapsed time.Duration
+	latest        int64
+	setBack       bool          // the clock was set back behind highest
+	skewedSince   time.Duration // since when the wall has disagreed
 }
 
 // sound is how far the wall may differ before it is doubted, and patience for
 // how long it must go on differing before it is believed.
 const (
-	sound    = 90 * time.Second
-	patience = 10 * time.Minute
+	maxClockSkew     = 90 * time.Second
+	skewConfirmation = 10 * time.Minute
 )
 
 // NewMinutes starts at the wall's time.
-func NewMinutes(wall time.Time, since, unit time.Duration) *Minutes {
-	return &Minutes{unit: unit, anchor: wall, from: since, off: -1}
+func NewMinuteClock(wall time.Time, since, unit time.Duration) *MinuteClock {
+	return &MinuteClock{unit: unit, anchorWall: wall, anchorElapsed: since, skewedSince: -1}
 }
 
 // Now is the current minute; fresh is false while the minute was already
 // counted before the clock was set back, so that nothing is added to it.
-func (m *Minutes) Now(wall time.Time, since time.Duration) (minute int64, fresh bool) {
-	own := m.anchor.Add(since - m.from)
+func (m *MinuteClock) Now(wall time.Time, since time.Duration) (minute int64, fresh bool) {
+	own := m.anchorWall.Add(since - m.anchorElapsed)
 	diff := wall.Sub(own)
 	switch {
-	case diff < sound && diff > -sound:
-		m.off = -1
-	case m.off < 0:
-		m.off = since
-	case since-m.off > patience:
+	case diff < maxClockSkew && diff > -maxClockSkew:
+		m.skewedSince = -1
+	case m.skewedSince < 0:
+		m.skewedSince = since
+	case since-m.skewedSince > skewConfirmation:
 		// Why: a wall that keeps its new time is right; one that jumps and comes back was not.
-		m.anchor, m.from, m.off, own = wall, since, -1, wall
+		m.anchorWall, m.anchorElapsed, m.skewedSince, own = wall, since, -1, wall
 	}
 	minute = MinuteOf(own, m.unit)
 	// Why: once set back, the minute that was counted last is over too.
-	if minute < m.highest {
-		m.lapsed = true
+	if minute < m.latest {
+		m.setBack = true
 		return minute, false
 	}
-	if minute == m.highest && m.lapsed {
+	if minute == m.latest && m.setBack {
 		return minute, false
 	}
-	m.highest, m.lapsed = minute, false
+	m.latest, m.setBack = minute, false
 	return minute, true
 }
--- a/internal/place/judge/explain_test.go
+++ b/internal/place/judge/explain_test.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-func candidates(rnd *rand.Rand, n int) []Replica {
-	var rs []Replica
+func randomCandidates(rnd *rand.Rand, n int) []Candidate {
+	var rs []Candidate
 	for i := range n {
-		rs = append(rs, Replica{Name: fmt.Sprint("r", i), Inflight: rnd.IntN(5), Slots: 12, ServeFor: time.Duration(rnd.IntN(3)) * time.Second, Leaving: rnd.IntN(9) == 0,
+		rs = append(rs, Candidate{Name: fmt.Sprint("r", i), Inflight: rnd.IntN(5), Slots: 12, ServeTime: time.Duration(rnd.IntN(3)) * time.Second, Leaving: rnd.IntN(9) == 0,
 			Fits: rnd.IntN(9) > 0, FreeMib: rnd.IntN(100), NeedMib: rnd.IntN(100), AdFree: rnd.IntN(9), Copies: rnd.IntN(3)})
 	}
 	return rs
 }
 
 // A ranking that is explained later says what it would have said at once.
-func TestARankingIsExplainedLater(t *testing.T) {
+func TestWithBreakdownMatchesImmediateRanking(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		rs := candidates(rnd, 30)
-		later := RankLoad(even, rs)
-		for i, at := range Load(even, rs) {
-			if len(later[i].Verdicts) > 0 {
+		rs := randomCandidates(rnd, 30)
+		later := RankForLoad(evenWeights, rs)
+		for i, at := range RankForLoadWithBreakdown(evenWeights, rs) {
+			if len(later[i].Breakdown) > 0 {
 				t.Fatalf("%s has verdicts that nobody asked for", later[i].Name)
 			}
-			if got := later[i].Explained(even); !reflect.DeepEqual(got, at) || len(got.Verdicts) != len(forLoad) {
+			if got := later[i].WithBreakdown(evenWeights); !reflect.DeepEqual(got, at) || len(got.Breakdown) != len(loadCriteria) {
 				t.Fatalf("seed %d, place %d: %+v, want %+v", seed, i, got, at)
 			}
 		}
-		var idle []Idle
+		var idle []IdleItem
 		for i := range 12 {
-			idle = append(idle, Idle{Name: fmt.Sprint("m", i), SizeMib: rnd.IntN(3), Penalty: float64(rnd.IntN(4)), IdleFor: time.Duration(rnd.IntN(90)) * time.Minute, Copies: rnd.IntN(3), Adapters: rnd.IntN(2)})
+			idle = append(idle, IdleItem{Name: fmt.Sprint("m", i), SizeMib: rnd.IntN(3), Penalty: float64(rnd.IntN(4)), IdleFor: time.Duration(rnd.IntN(90)) * time.Minute, Copies: rnd.IntN(3), Adapters: rnd.IntN(2)})
 		}
-		ranked := RankVictims(even, idle)
-		for i, r := range Victims(even, idle) {
+		ranked := RankVictims(evenWeights, idle)
+		for i, r := range RankVictimsWithBreakdown(evenWeights, idle) {
 			if ranked[i].Name != r.Name || ranked[i].Score != r.Score {
 				t.Fatalf("seed %d, victim %d: %+v, want %+v", seed, i, ranked[i], r)
 			}
@@ -45,13 +45,13 @@
 }
 
 // A ranking of 140 candidates for a load, with its verdicts and without.
-func BenchmarkRankLoad(b *testing.B) {
-	rs := candidates(rand.New(rand.NewPCG(1, 1)), 140)
-	for name, rank := range map[string]func(map[string]float64, []Replica) []Ranked{"explained": Load, "ranked": RankLoad} {
+func BenchmarkRankForLoad(b *testing.B) {
+	rs := randomCandidates(rand.New(rand.NewPCG(1, 1)), 140)
+	for name, rank := range map[string]func(map[string]float64, []Candidate) []Ranked{"explained": RankForLoadWithBreakdown, "ranked": RankForLoad} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				rank(even, rs)
+				rank(evenWeights, rs)
 			}
 		})
 	}
--- a/internal/place/judge/judge.go
+++ b/internal/place/judge/judge.go
@@ -11,47 +11,47 @@
 )
 
 // Verdict is one judge's opinion between 0 and 1, with its reason.
-type Verdict struct {
-	Judge  string  `json:"judge" cbor:"1,keyasint"`
-	Value  float64 `json:"value" cbor:"2,keyasint"`
-	Weight float64 `json:"weight" cbor:"3,keyasint"`
-	Reason string  `json:"reason" cbor:"4,keyasint"`
-	Veto   bool    `json:"veto,omitempty" cbor:"5,keyasint,omitempty"`
+type CriterionScore struct {
+	Criterion string  `json:"judge" cbor:"1,keyasint"`
+	Value     float64 `json:"value" cbor:"2,keyasint"`
+	Weight    float64 `json:"weight" cbor:"3,keyasint"`
+	Reason    string  `json:"reason" cbor:"4,keyasint"`
+	Veto      bool    `json:"veto,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
 // Ranked is a name with what the judges said of it.
 type Ranked struct {
-	Name     string    `json:"name" cbor:"1,keyasint"`
-	Score    float64   `json:"score" cbor:"2,keyasint"`
-	Vetoed   bool      `json:"vetoed,omitempty" cbor:"3,keyasint,omitempty"`
-	Verdicts []Verdict `json:"verdicts" cbor:"4,keyasint"` // where they were asked for
-	load     *Replica  // what was looked at in a candidate for a load
+	Name          string           `json:"name" cbor:"1,keyasint"`
+	Score         float64          `json:"score" cbor:"2,keyasint"`
+	Vetoed        bool             `json:"vetoed,omitempty" cbor:"3,keyasint,omitempty"`
+	Breakdown     []CriterionScore `json:"verdicts" cbor:"4,keyasint"` // where they were asked for
+	loadCandidate *Candidate       // what was looked at in a candidate for a load
 }
 
 // Replica is what judges look at in a candidate replica.
-type Replica struct {
-	Name     string
-	Warm     float64 // share of the prompt that is warm there, as far as is known
-	Home     float64 // rendezvous share of the prompt
-	Inflight int
-	Slots    int
-	ServeFor time.Duration
-	SameZone bool
-	Leaving  bool
-	Holds    bool // model and adapter are loaded
-	Fits     bool // could ever hold it
-	FreeMib  int
-	NeedMib  int
-	AdFree   int
-	Copies   int // copies of the item in the replica's zone
+type Candidate struct {
+	Name      string
+	WarmShare float64 // share of the prompt that is warm there, as far as is known
+	Home      float64 // rendezvous share of the prompt
+	Inflight  int
+	Slots     int
+	ServeTime time.Duration
+	SameZone  bool
+	Leaving   bool
+	Holds     bool // model and adapter are loaded
+	Fits      bool // could ever hold it
+	FreeMib   int
+	NeedMib   int
+	AdFree    int
+	Copies    int // copies of the item in the replica's zone
 	// Share is 1 where the request pushes out nothing that another tenant, or a more urgent class, keeps warm; 0 without tenants.
-	Share float64
+	TenantShare float64
 	// Wait is how long the first event is predicted to take there, with what it holds up there.
-	Wait time.Duration
+	PredictedWait time.Duration
 }
 
 // Idle is what judges look at in an idle item that may go.
-type Idle struct {
+type IdleItem struct {
 	Name     string        `cbor:"1,keyasint"`
 	SizeMib  int           `cbor:"2,keyasint"`
 	Penalty  float64       `cbor:"3,keyasint"`
@@ -61,19 +61,19 @@
 }
 
 // A replicaJudge looks; why is asked only where the verdict is kept.
-type replicaJudge struct {
-	name string
-	look func(Replica) (value float64, veto bool)
-	why  func(Replica) string
+type replicaCriterion struct {
+	name   string
+	score  func(Candidate) (value float64, veto bool)
+	reason func(Candidate) string
 }
 
 func clamp(x float64) float64 { return math.Max(0, math.Min(1, x)) }
 
-func free(r Replica) float64 { return clamp(1 - float64(r.Inflight)/float64(max(r.Slots, 1))) }
+func freeShare(r Candidate) float64 { return clamp(1 - float64(r.Inflight)/float64(max(r.Slots, 1))) }
 
-func quick(r Replica) (float64, bool) { return 1 / (1 + r.ServeFor.Seconds()), false }
+func serveTimeScore(r Candidate) (float64, bool) { return 1 / (1 + r.ServeTime.Seconds()), false }
 
-func stays(r Replica) (float64, bool) {
+func drainScore(r Candidate) (float64, bool) {
 	if r.Leaving {
 		return 0, true
 	}
@@ -81,34 +81,36 @@
 }
 
 // known is how much what is known to be warm counts against where it should be.
-const known = 0.5
+const observedWarmthWeight = 0.5
 
 // waitScale is the predicted wait that halves the verdict on it.
-const waitScale = 100 * time.Millisecond
+const halfScoreWait = 100 * time.Millisecond
 
 // forRoute rank the replicas that may serve a request now.
-var forRoute = []replicaJudge{
-	{name: "warmth", look: func(r Replica) (float64, bool) {
+var routeCriteria = []replicaCriterion{
+	{name: "warmth", score: func(r Candidate) (float64, bool) {
 		// Why: of what is warm nowhere the rendezvous share decides, so that all proxies warm the same replica; a
 		// beginning that everybody shares is warm in many places and must not outweigh it.
-		return (1-known)*clamp(r.Home) + known*clamp(r.Warm), false
+		return (1-observedWarmthWeight)*clamp(r.Home) + observedWarmthWeight*clamp(r.WarmShare), false
 	}},
-	{name: "wait", look: func(r Replica) (float64, bool) { return 1 / (1 + float64(r.Wait)/float64(waitScale)), false }},
-	{name: "load", look: func(r Replica) (float64, bool) { return free(r), r.Inflight >= max(r.Slots, 1) }},
-	{name: "zone", look: func(r Replica) (float64, bool) {
+	{name: "wait", score: func(r Candidate) (float64, bool) {
+		return 1 / (1 + float64(r.PredictedWait)/float64(halfScoreWait)), false
+	}},
+	{name: "load", score: func(r Candidate) (float64, bool) { return freeShare(r), r.Inflight >= max(r.Slots, 1) }},
+	{name: "zone", score: func(r Candidate) (float64, bool) {
 		if r.SameZone {
 			return 1, false
 		}
 		return 0, false
 	}},
-	{name: "serve", look: quick},
-	{name: "drain", look: stays},
-	{name: "share", look: func(r Replica) (float64, bool) { return clamp(r.Share), false }},
+	{name: "serve", score: serveTimeScore},
+	{name: "drain", score: drainScore},
+	{name: "share", score: func(r Candidate) (float64, bool) { return clamp(r.TenantShare), false }},
 }
 
 // forLoad rank the replicas that might load an item.
-var forLoad = []replicaJudge{
-	{"room", func(r Replica) (float64, bool) {
+var loadCriteria = []replicaCriterion{
+	{"room", func(r Candidate) (float64, bool) {
 		switch {
 		case !r.Fits:
 			return 0, true
@@ -116,7 +118,7 @@
 			return 1, false
 		}
 		return clamp(float64(r.FreeMib) / float64(r.NeedMib)), false
-	}, func(r Replica) string {
+	}, func(r Candidate) string {
 		switch {
 		case !r.Fits:
 			return "can never hold it"
@@ -125,14 +127,14 @@
 		}
 		return fmt.Sprintf("%d MiB free of %d needed", r.FreeMib, r.NeedMib)
 	}},
-	{"adapters", func(r Replica) (float64, bool) { return clamp(float64(r.AdFree) / 4), false },
-		func(r Replica) string { return fmt.Sprintf("%d adapter places free", r.AdFree) }},
-	{"load", func(r Replica) (float64, bool) { return free(r), false },
-		func(r Replica) string { return fmt.Sprintf("%d of %d places taken", r.Inflight, r.Slots) }},
-	{"serve", quick, func(r Replica) string { return "serves in " + r.ServeFor.String() }},
-	{"copies", func(r Replica) (float64, bool) { return 1 / (1 + float64(r.Copies)), false },
-		func(r Replica) string { return fmt.Sprintf("%d copies in its zone", r.Copies) }},
-	{"drain", stays, func(r Replica) string {
+	{"adapters", func(r Candidate) (float64, bool) { return clamp(float64(r.AdFree) / 4), false },
+		func(r Candidate) string { return fmt.Sprintf("%d adapter places free", r.AdFree) }},
+	{"load", func(r Candidate) (float64, bool) { return freeShare(r), false },
+		func(r Candidate) string { return fmt.Sprintf("%d of %d places taken", r.Inflight, r.Slots) }},
+	{"serve", serveTimeScore, func(r Candidate) string { return "serves in " + r.ServeTime.String() }},
+	{"copies", func(r Candidate) (float64, bool) { return 1 / (1 + float64(r.Copies)), false },
+		func(r Candidate) string { return fmt.Sprintf("%d copies in its zone", r.Copies) }},
+	{"drain", drainScore, func(r Candidate) string {
 		if r.Leaving {
 			return "is leaving"
 		}
@@ -142,12 +144,12 @@
 
 // Best is the replica to send a request to, by its place in the list; -1 when
 // each is vetoed. Requests wait on it, so no reasons are made.
-func Best(weights map[string]float64, rs []Replica) int {
+func BestForRequest(weights map[string]float64, rs []Candidate) int {
 	best, top := -1, 0.0
 	for i, r := range rs {
 		score, out := 0.0, false
-		for _, j := range forRoute {
-			value, veto := j.look(r)
+		for _, j := range routeCriteria {
+			value, veto := j.score(r)
 			score += value * weights[j.name]
 			out = out || veto
 		}
@@ -159,48 +161,48 @@
 }
 
 // Load ranks replicas for a load, best first; vetoed ones come last.
-func Load(weights map[string]float64, rs []Replica) []Ranked {
-	out := RankLoad(weights, rs)
+func RankForLoadWithBreakdown(weights map[string]float64, rs []Candidate) []Ranked {
+	out := RankForLoad(weights, rs)
 	for i := range out {
-		out[i] = out[i].Explained(weights)
+		out[i] = out[i].WithBreakdown(weights)
 	}
 	return out
 }
 
 // RankLoad is Load without the verdicts, which Explained gives later; until then
 // nobody may change rs. Why: nearly all rankings are never read, and the verdicts on 140 replicas are 90 KB.
-func RankLoad(weights map[string]float64, rs []Replica) []Ranked {
+func RankForLoad(weights map[string]float64, rs []Candidate) []Ranked {
 	out := make([]Ranked, 0, len(rs))
 	for i, r := range rs {
-		one := Ranked{Name: r.Name, load: &rs[i]}
-		for _, j := range forLoad {
-			value, veto := j.look(r)
-			one.weigh(value, weights[j.name], veto)
+		one := Ranked{Name: r.Name, loadCandidate: &rs[i]}
+		for _, j := range loadCriteria {
+			value, veto := j.score(r)
+			one.addScore(value, weights[j.name], veto)
 		}
 		out = append(out, one)
 	}
-	return order(out)
+	return sortRanked(out)
 }
 
 // Explained adds the verdicts of the judges for a load, under the weights that it was ranked with.
-func (r Ranked) Explained(weights map[string]float64) Ranked {
-	if r.load == nil {
+func (r Ranked) WithBreakdown(weights map[string]float64) Ranked {
+	if r.loadCandidate == nil {
 		return r
 	}
-	r.Verdicts = make([]Verdict, 0, len(forLoad))
-	for _, j := range forLoad {
-		value, veto := j.look(*r.load)
-		r.Verdicts = append(r.Verdicts, Verdict{Judge: j.name, Value: value, Weight: weights[j.name], Reason: j.why(*r.load), Veto: veto})
+	r.Breakdown = make([]CriterionScore, 0, len(loadCriteria))
+	for _, j := range loadCriteria {
+		value, veto := j.score(*r.loadCandidate)
+		r.Breakdown = append(r.Breakdown, CriterionScore{Criterion: j.name, Value: value, Weight: weights[j.name], Reason: j.reason(*r.loadCandidate), Veto: veto})
 	}
 	return r
 }
 
-func (r *Ranked) weigh(value, weight float64, veto bool) {
+func (r *Ranked) addScore(value, weight float64, veto bool) {
 	r.Score += value * weight
 	r.Vetoed = r.Vetoed || veto
 }
 
-func order(out []Ranked) []Ranked {
+func sortRanked(out []Ranked) []Ranked {
 	sort.SliceStable(out, func(i, j int) bool {
 		if out[i].Vetoed != out[j].Vetoed {
 			return !out[i].Vetoed
@@ -214,68 +216,68 @@
 }
 
 // An idleJudge looks at an idle item, whose penalty for each MiB is compared with the dearest.
-type idleJudge struct {
-	name string
-	look func(i Idle, dearest float64) float64
-	why  func(Idle) string
+type victimCriterion struct {
+	name   string
+	score  func(i IdleItem, dearest float64) float64
+	reason func(IdleItem) string
 }
 
 // forVictims rank the idle items that may go.
-var forVictims = []idleJudge{
-	{"demand", func(i Idle, dearest float64) float64 {
+var victimCriteria = []victimCriterion{
+	{"demand", func(i IdleItem, dearest float64) float64 {
 		if dearest <= 0 {
 			return 1
 		}
-		return clamp(1 - i.perMib()/dearest)
-	}, func(i Idle) string { return fmt.Sprintf("penalty %.1f for %d MiB", i.Penalty, i.SizeMib) }},
-	{"recency", func(i Idle, _ float64) float64 { return clamp(i.IdleFor.Minutes() / 60) },
-		func(i Idle) string { return "idle for " + i.IdleFor.Round(time.Second).String() }},
-	{"copies", func(i Idle, _ float64) float64 { return clamp(float64(i.Copies) / 2) },
-		func(i Idle) string { return fmt.Sprintf("%d copies elsewhere", i.Copies) }},
-	{"adapters", func(i Idle, _ float64) float64 { return 1 / (1 + float64(i.Adapters)) },
-		func(i Idle) string { return fmt.Sprintf("%d adapters go with it", i.Adapters) }},
+		return clamp(1 - i.penaltyPerMib()/dearest)
+	}, func(i IdleItem) string { return fmt.Sprintf("penalty %.1f for %d MiB", i.Penalty, i.SizeMib) }},
+	{"recency", func(i IdleItem, _ float64) float64 { return clamp(i.IdleFor.Minutes() / 60) },
+		func(i IdleItem) string { return "idle for " + i.IdleFor.Round(time.Second).String() }},
+	{"copies", func(i IdleItem, _ float64) float64 { return clamp(float64(i.Copies) / 2) },
+		func(i IdleItem) string { return fmt.Sprintf("%d copies elsewhere", i.Copies) }},
+	{"adapters", func(i IdleItem, _ float64) float64 { return 1 / (1 + float64(i.Adapters)) },
+		func(i IdleItem) string { return fmt.Sprintf("%d adapters go with it", i.Adapters) }},
 }
 
-func (i Idle) perMib() float64 { return i.Penalty / float64(max(i.SizeMib, 1)) }
+func (i IdleItem) penaltyPerMib() float64 { return i.Penalty / float64(max(i.SizeMib, 1)) }
 
 // dearestOf is the highest penalty for a MiB. Why: penalties have no upper end, so
 // they are compared with the dearest.
-func dearestOf(idle []Idle) float64 {
+func maxPenaltyPerMib(idle []IdleItem) float64 {
 	dearest := 0.0
 	for _, i := range idle {
-		dearest = math.Max(dearest, i.perMib())
+		dearest = math.Max(dearest, i.penaltyPerMib())
 	}
 	return dearest
 }
 
 // Victims ranks idle items, the one best let go first.
-func Victims(weights map[string]float64, idle []Idle) []Ranked {
-	dearest := dearestOf(idle)
+func RankVictimsWithBreakdown(weights map[string]float64, idle []IdleItem) []Ranked {
+	dearest := maxPenaltyPerMib(idle)
 	out := make([]Ranked, 0, len(idle))
 	for _, i := range idle {
 		one := rankVictim(weights, i, dearest)
-		for _, j := range forVictims {
-			one.Verdicts = append(one.Verdicts, Verdict{Judge: j.name, Value: j.look(i, dearest), Weight: weights[j.name], Reason: j.why(i)})
+		for _, j := range victimCriteria {
+			one.Breakdown = append(one.Breakdown, CriterionScore{Criterion: j.name, Value: j.score(i, dearest), Weight: weights[j.name], Reason: j.reason(i)})
 		}
 		out = append(out, one)
 	}
-	return order(out)
+	return sortRanked(out)
 }
 
 // RankVictims is Victims without the verdicts.
-func RankVictims(weights map[string]float64, idle []Idle) []Ranked {
-	dearest := dearestOf(idle)
+func RankVictims(weights map[string]float64, idle []IdleItem) []Ranked {
+	dearest := maxPenaltyPerMib(idle)
 	out := make([]Ranked, 0, len(idle))
 	for _, i := range idle {
 		out = append(out, rankVictim(weights, i, dearest))
 	}
-	return order(out)
+	return sortRanked(out)
 }
 
-func rankVictim(weights map[string]float64, i Idle, dearest float64) Ranked {
+func rankVictim(weights map[string]float64, i IdleItem, dearest float64) Ranked {
 	one := Ranked{Name: i.Name}
-	for _, j := range forVictims {
-		one.weigh(j.look(i, dearest), weights[j.name], false)
+	for _, j := range victimCriteria {
+		one.addScore(j.score(i, dearest), weights[j.name], false)
 	}
 	return one
 }
@@ -284,8 +286,8 @@
 func (r Ranked) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %.2f", r.Name, r.Score)
-	for _, v := range r.Verdicts {
-		fmt.Fprintf(&b, " %s=%.2fx%g", v.Judge, v.Value, v.Weight)
+	for _, v := range r.Breakdown {
+		fmt.Fprintf(&b, " %s=%.2fx%g", v.Criterion, v.Value, v.Weight)
 	}
 	return b.String()
 }
--- a/internal/place/order/book.go
+++ b/internal/place/order/book.go
@@ -12,18 +12,18 @@
 
 // planned is what will be used once all tasks are done: everything but what
 // is about to go.
-func (c *Controller) planned() (mib, places int) {
-	return c.sum(func(l *line) bool { return l.State != Leaving && l.State != backend.Unloading })
+func (c *Controller) plannedUse() (mib, places int) {
+	return c.sumUse(func(l *entry) bool { return l.State != Withdrawn && l.State != backend.Unloading })
 }
 
 // there is what may be on the replica at this moment, known or suspected; room
 // kept for later loads is not, unless an owner before us may have ordered it.
-func (c *Controller) there() (mib, places int) {
-	return c.sum(func(l *line) bool { return l.State != Reserved || l.inherited })
+func (c *Controller) currentUse() (mib, places int) {
+	return c.sumUse(func(l *entry) bool { return l.State != Reserved || l.inherited })
 }
 
-func (c *Controller) sum(counts func(*line) bool) (mib, places int) {
-	for item, l := range c.book {
+func (c *Controller) sumUse(counts func(*entry) bool) (mib, places int) {
+	for item, l := range c.entries {
 		switch {
 		case !counts(l):
 		case item.Adapter == "":
@@ -37,31 +37,31 @@
 }
 
 func (c *Controller) reserve(item conf.Item, size int) {
-	if c.book[item] == nil {
-		c.book[item] = &line{Line: Line{State: Reserved, SizeMib: size}, lastUsed: c.d.Clock.Since()}
+	if c.entries[item] == nil {
+		c.entries[item] = &entry{Entry: Entry{State: Reserved, SizeMib: size}, lastUsed: c.d.Clock.Since()}
 	}
 }
 
 func (c *Controller) withdrawItem(item conf.Item) {
-	for other, l := range c.book {
+	for other, l := range c.entries {
 		if item.Covers(other) {
 			if l.State == backend.Loaded {
-				l.State = Leaving
+				l.State = Withdrawn
 			}
 		}
 	}
 }
 
 // undo puts back what a task that will not be carried out had claimed.
-func (c *Controller) undo(t *task) {
+func (c *Controller) rollBack(t *task) {
 	for _, item := range []conf.Item{{Model: t.item.Model}, t.item} {
-		if l := c.book[item]; l != nil && l.State == Reserved {
-			delete(c.book, item)
+		if l := c.entries[item]; l != nil && l.State == Reserved {
+			delete(c.entries, item)
 		}
 	}
 	for _, v := range t.victims {
-		for other, l := range c.book {
-			if v.Covers(other) && l.State == Leaving {
+		for other, l := range c.entries {
+			if v.Covers(other) && l.State == Withdrawn {
 				l.State = backend.Loaded
 			}
 		}
@@ -69,10 +69,10 @@
 }
 
 // keep writes the book to the control state; orders only follow from what is kept.
-func (c *Controller) keep() bool {
-	b := Book{Incarnation: c.report.Incarnation, Lines: map[string]Line{}}
-	for item, l := range c.book {
-		b.Lines[item.String()] = l.Line
+func (c *Controller) persist() bool {
+	b := Contents{Incarnation: c.report.Incarnation, Entries: map[string]Entry{}}
+	for item, l := range c.entries {
+		b.Entries[item.String()] = l.Entry
 	}
 	ctx, cancel := context.WithTimeout(c.d.Group.Context(), 2*time.Second)
 	defer cancel()
@@ -85,7 +85,7 @@
 }
 
 // taken says whether a task wants the item gone.
-func (c *Controller) taken(item conf.Item) bool {
+func (c *Controller) isVictim(item conf.Item) bool {
 	for i := range c.tasks.Len() {
 		for _, v := range c.tasks.At(i).victims {
 			if v.Covers(item) {
@@ -96,7 +96,7 @@
 	return false
 }
 
-func (c *Controller) reservedBy(item conf.Item) bool {
+func (c *Controller) hasTaskFor(item conf.Item) bool {
 	for i := range c.tasks.Len() {
 		t := c.tasks.At(i)
 		if item.Covers(t.item) {
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -31,37 +31,37 @@
 )
 
 // noted is a network that notes when each order begins to leave.
-type noted struct {
+type recordingNet struct {
 	wire.Net
-	mu   sync.Mutex
-	left []time.Time
+	mu     sync.Mutex
+	sentAt []time.Time
 }
 
-type notedConn struct {
+type recordingConn struct {
 	net.Conn
-	n *noted
+	net *recordingNet
 }
 
-func (n *noted) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (n *recordingNet) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := n.Net.Dial(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	return notedConn{c, n}, nil
+	return recordingConn{c, n}, nil
 }
 
-func (c notedConn) Write(b []byte) (int, error) {
+func (c recordingConn) Write(b []byte) (int, error) {
 	if bytes.HasPrefix(b, []byte("POST /orders")) {
-		c.n.mu.Lock()
-		c.n.left = append(c.n.left, time.Now())
-		c.n.mu.Unlock()
+		c.net.mu.Lock()
+		c.net.sentAt = append(c.net.sentAt, time.Now())
+		c.net.mu.Unlock()
 	}
 	return c.Conn.Write(b)
 }
 
 // A lease runs out while a look of the controller is under way: it has asked the replica
 // and the store's keeper, both far off, and the order it meant to give must not leave any more.
-func TestNoOrderLeavesAfterTheHold(t *testing.T) {
+func TestNoOrderIsSentAfterLeaseExpires(t *testing.T) {
 	orders := 0
 	for try := range 40 {
 		// Why: a bubble that fails ends the test it runs in.
@@ -75,14 +75,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				out := &noted{Net: fabric.Host("10.0.0.1")}
-				acc, err := acceptor.Open(g, "d", acceptor.Whose{Node: "a"}, vfs.NewMem(), clk, log)
+				out := &recordingNet{Net: fabric.Host("10.0.0.1")}
+				acc, err := acceptor.Open(g, "d", acceptor.FolderOwner{Node: "a"}, vfs.NewMem(), clk, log)
 				if err != nil {
 					t.Fatal(err)
 				}
-				self := state.Core{Name: "a", Disk: acc.Disk(), Addr: "10.0.0.1:7000"}
-				if _, err := acc.SetStanding(t.Context(), func(acceptor.Standing) (acceptor.Standing, bool) {
-					return acceptor.Standing{Phase: acceptor.Voter, Set: state.CoreMembers{Version: 1, Cores: []state.Core{self}}}, true
+				self := state.Core{Name: "a", DiskID: acc.DiskID(), Addr: "10.0.0.1:7000"}
+				if _, err := acc.UpdateMembership(t.Context(), func(acceptor.Membership) (acceptor.Membership, bool) {
+					return acceptor.Membership{Phase: acceptor.Voter, Set: state.CoreSet{Version: 1, Cores: []state.Core{self}}}, true
 				}); err != nil {
 					t.Fatal(err)
 				}
@@ -95,16 +95,16 @@
 				}
 				conn := backend.NewNative(out)
 				ctl := NewController(g, Deps{Clock: clk, Log: log, Self: "a", Boot: "b", Cadence: bounds.DefaultCadence(), Replicas: conn, Owner: own, Gossip: gossip.NewTable(), Reports: report.NewTable(),
-					Conf: func() conf.Effective { return cfg }, Requests: func(string) float64 { return 0 }, Others: func() Statuses { return Statuses{} },
-					Agents: func() map[string]bool { return nil }, Platform: func() time.Duration { return 0 }, Afloat: func(context.Context, string) {},
-					Grant: func(context.Context, Leave) (time.Duration, bool) {
+					Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Others: func() Statuses { return Statuses{} },
+					LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 }, Afloat: func(context.Context, string) {},
+					Grant: func(context.Context, GrantRequest) (time.Duration, bool) {
 						time.Sleep(200 * time.Millisecond) // the keeper is far off
 						return 0, true
 					}}, inventory.Listed{ID: "r", Addr: "10.0.0.2:9000", Model: true})
 				for taken := 0; taken < bounds.DefaultCadence().Tasks; {
 					time.Sleep(50 * time.Millisecond)
 					for i := range 12 {
-						if a, err := ctl.Consider(t.Context(), Consider{Replica: "r", Item: fmt.Sprint("m", i), Alone: true}); err == nil && a.Taken {
+						if a, err := ctl.Consider(t.Context(), ConsiderRequest{Replica: "r", Item: fmt.Sprint("m", i), SkipTest: true}); err == nil && a.Accepted {
 							taken++
 						}
 					}
@@ -116,7 +116,7 @@
 				over := time.Now().Add(left)
 				time.Sleep(8 * time.Second)
 				out.mu.Lock()
-				for _, at := range out.left {
+				for _, at := range out.sentAt {
 					orders++
 					if at.After(over) {
 						t.Errorf("try %d: an order left %v after the lease ran out", try, at.Sub(over))
--- a/internal/place/order/room_test.go
+++ b/internal/place/order/room_test.go
@@ -16,14 +16,14 @@
 )
 
 // looking is a controller that looks at a replica and orders nothing; cfg is the configuration in force.
-func looking(t *testing.T, replica *reporting, cfg *conf.Effective) *Controller {
+func newPollingController(t *testing.T, replica *fakeReplica, cfg *conf.Effective) *Controller {
 	return &Controller{d: Deps{Group: run.NewGroup(t.Context()), Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Replicas: replica,
 		Gossip: gossip.NewTable(), Conf: func() conf.Effective { return *cfg }}, listed: inventory.Listed{ID: "r", Addr: "10.0.0.1:1", Model: true},
-		book: map[conf.Item]*line{}, held: map[string]bool{}, traits: replica.Traits()}
+		entries: map[conf.Item]*entry{}, heldBefore: map[string]bool{}, traits: replica.Traits()}
 }
 
 // configured is a configuration with models of some sizes.
-func configured(sizes map[string]int) conf.Effective {
+func configWithSizes(sizes map[string]int) conf.Effective {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{}
 	for name, size := range sizes {
@@ -33,16 +33,16 @@
 }
 
 // A model leaves the configuration while a replica holds it.
-func TestWhatIsHeldTakesRoomThoughTheConfigurationNoLongerNamesIt(t *testing.T) {
+func TestLoadedItemUsesMemoryAfterRemovalFromConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		both, one, smaller := configured(map[string]int{"a": 40, "b": 30}), configured(map[string]int{"b": 30}), configured(map[string]int{"a": 10, "b": 30})
-		held := map[conf.Item]backend.ItemStatus{model("a"): {State: backend.Loaded}, {Model: "a", Adapter: "x"}: {State: backend.Loaded}}
-		replica, cfg := &reporting{items: held}, both
-		ctl := looking(t, replica, &cfg)
+		both, one, smaller := configWithSizes(map[string]int{"a": 40, "b": 30}), configWithSizes(map[string]int{"b": 30}), configWithSizes(map[string]int{"a": 10, "b": 30})
+		held := map[conf.Item]backend.ItemStatus{modelItem("a"): {State: backend.Loaded}, {Model: "a", Adapter: "x"}: {State: backend.Loaded}}
+		replica, cfg := &fakeReplica{items: held}, both
+		ctl := newPollingController(t, replica, &cfg)
 		expect := func(when string, wantMib, wantPlaces int) {
 			t.Helper()
-			ctl.look()
-			if mib, places := ctl.there(); mib != wantMib || places != wantPlaces {
+			ctl.poll()
+			if mib, places := ctl.currentUse(); mib != wantMib || places != wantPlaces {
 				t.Errorf("%s: %d MiB and %d places count as taken, not %d and %d", when, mib, places, wantMib, wantPlaces)
 			}
 		}
@@ -53,7 +53,7 @@
 		expect("when it is said to be smaller", 44, 1)
 		// Another controller, whose book says nothing of it, takes it for as large as the largest.
 		cfg = one
-		ctl = looking(t, replica, &cfg)
+		ctl = newPollingController(t, replica, &cfg)
 		expect("where nobody knows its size", 33, 1)
 		cfg = both
 		expect("when its size is told", 44, 1)
@@ -62,30 +62,30 @@
 
 // An order of the owner before lies on a way that is cut; it arrives when the replica is heard again,
 // and shows in reports some time after that.
-func TestAnOrderHeldUpOnACutWayKeepsItsRoom(t *testing.T) {
+func TestOrderDelayedByPartitionKeepsItsMemory(t *testing.T) {
 	for _, cut := range []time.Duration{0, time.Second, 3 * time.Second, 5 * time.Second, 30 * time.Second} {
 		for _, inherited := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
-				cfg := configured(map[string]int{"a": 40})
-				replica := &reporting{items: map[conf.Item]backend.ItemStatus{}}
-				ctl := looking(t, replica, &cfg)
+				cfg := configWithSizes(map[string]int{"a": 40})
+				replica := &fakeReplica{items: map[conf.Item]backend.ItemStatus{}}
+				ctl := newPollingController(t, replica, &cfg)
 				if !inherited {
-					ctl.look()
+					ctl.poll()
 				}
-				ctl.book[model("a")] = &line{Line: Line{State: backend.Loading, SizeMib: 40}, ordered: ctl.d.Clock.Since(), inherited: inherited, unsure: !inherited}
+				ctl.entries[modelItem("a")] = &entry{Entry: Entry{State: backend.Loading, SizeMib: 40}, orderedAt: ctl.d.Clock.Since(), inherited: inherited, unanswered: !inherited}
 				time.Sleep(cut)
 				for range 25 {
-					ctl.look()
-					if mib, _ := ctl.there(); mib != 40 {
+					ctl.poll()
+					if mib, _ := ctl.currentUse(); mib != 40 {
 						t.Fatalf("cut %v, inherited %v: %d MiB count as taken", cut, inherited, mib)
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				for range doubt / (100 * time.Millisecond) {
+				for range outcomeTimeout / (100 * time.Millisecond) {
 					time.Sleep(100 * time.Millisecond)
-					ctl.look()
+					ctl.poll()
 				}
-				if mib, _ := ctl.there(); mib != 0 {
+				if mib, _ := ctl.currentUse(); mib != 0 {
 					t.Errorf("cut %v, inherited %v: %d MiB count as taken though nothing came of the order", cut, inherited, mib)
 				}
 			})
--- a/internal/place/order/statuses.go
+++ b/internal/place/order/statuses.go
@@ -17,8 +17,8 @@
 
 // itemIndex is which replicas have each item in any state, by their places; it is made when it is first asked for.
 type itemIndex struct {
-	once   sync.Once
-	having map[string][]int
+	once     sync.Once
+	replicas map[string][]int
 }
 
 // NewStatuses is for a list that nobody changes from now on.
@@ -26,47 +26,47 @@
 
 // Having is the places in All of the replicas that have an item, in any state. Why: a decision asks so for the
 // item, and for each that might go; going through all replicas each time took a sixth of a core's time in a large fleet.
-func (s Statuses) Having(item string) []int {
+func (s Statuses) WithItem(item string) []int {
 	if s.index == nil {
 		return nil
 	}
-	return s.index.of(s.All)[item]
+	return s.index.get(s.All)[item]
 }
 
 // of is the index of a list.
-func (x *itemIndex) of(all []Status) map[string][]int {
+func (x *itemIndex) get(all []Status) map[string][]int {
 	x.once.Do(func() {
-		x.having = make(map[string][]int, len(all))
+		x.replicas = make(map[string][]int, len(all))
 		for at := range all {
 			for item := range all[at].Items {
-				x.having[item] = append(x.having[item], at)
+				x.replicas[item] = append(x.replicas[item], at)
 			}
 		}
 	})
-	return x.having
+	return x.replicas
 }
 
 // Replaced is the statuses of a list of the same replicas, which differs at some places. The index is taken over but for
 // what the replicas at these places have or had.
 func (s Statuses) Replaced(all []Status, differ []int) Statuses {
-	having := maps.Clone(s.index.of(s.All))
+	having := maps.Clone(s.index.get(s.All))
 	for _, at := range differ {
 		was, now := s.All[at].Items, all[at].Items
 		for item := range was {
 			if _, still := now[item]; still {
 				continue
 			}
-			if having[item] = without(having[item], at); len(having[item]) == 0 {
+			if having[item] = removeIndex(having[item], at); len(having[item]) == 0 {
 				delete(having, item)
 			}
 		}
 		for item := range now {
 			if _, had := was[item]; !had {
-				having[item] = with(having[item], at)
+				having[item] = insertIndex(having[item], at)
 			}
 		}
 	}
-	x := &itemIndex{having: having}
+	x := &itemIndex{replicas: having}
 	x.once.Do(func() {})
 	return Statuses{All: all, index: x}
 }
@@ -74,9 +74,9 @@
 // holders are the replicas but one that hold an item, answer, and stay.
 func (s Statuses) holders(item, not string) iter.Seq[*Status] {
 	return func(yield func(*Status) bool) {
-		for _, at := range s.Having(item) {
+		for _, at := range s.WithItem(item) {
 			one := &s.All[at]
-			if one.Listed.ID == not || one.Dark || one.Listed.Leaving || one.Items[item] != backend.Loaded {
+			if one.Listed.ID == not || one.Stale || one.Listed.Leaving || one.Items[item] != backend.Loaded {
 				continue
 			}
 			if !yield(one) {
@@ -87,7 +87,7 @@
 }
 
 // without is a list of places without one of them; the list itself is not changed.
-func without(places []int, at int) []int {
+func removeIndex(places []int, at int) []int {
 	out := make([]int, 0, len(places))
 	for _, p := range places {
 		if p != at {
@@ -98,7 +98,7 @@
 }
 
 // with is a sorted list of places with one more; the list itself is not changed.
-func with(places []int, at int) []int {
+func insertIndex(places []int, at int) []int {
 	i, _ := slices.BinarySearch(places, at)
 	return slices.Insert(slices.Clone(places), i, at)
 }
--- a/internal/place/order/statuses_test.go
+++ b/internal/place/order/statuses_test.go
@@ -8,24 +8,24 @@
 	"drumstall.example/internal/backend"
 )
 
-func TestStatusesTellWhoHasAnItemInAnyState(t *testing.T) {
+func TestStatusesIndexItemsInAnyState(t *testing.T) {
 	s := NewStatuses([]Status{
 		{Items: map[string]string{"a": backend.Loaded}},
 		{Items: map[string]string{"b": backend.Loaded}},
 		{Items: map[string]string{"a": Reserved, "b": backend.Loading}},
 	})
 	for item, want := range map[string][]int{"a": {0, 2}, "b": {1, 2}, "c": nil} {
-		if got := s.Having(item); !slices.Equal(got, want) {
+		if got := s.WithItem(item); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, not %v", item, got, want)
 		}
 	}
-	if got := (Statuses{}).Having("a"); got != nil {
+	if got := (Statuses{}).WithItem("a"); got != nil {
 		t.Errorf("of no replicas: %v", got)
 	}
 }
 
 // An index that was taken over from the list before tells the same as one that is made anew.
-func TestTheIndexFollowsWhatIsReplaced(t *testing.T) {
+func TestReplacedUpdatesIndex(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	status := func() Status {
 		s := Status{Items: map[string]string{}}
@@ -44,10 +44,10 @@
 		next := s.Replaced(list, differ)
 		anew := NewStatuses(next.All)
 		for item := 'a'; item < 'g'; item++ {
-			if got, want := next.Having(string(item)), anew.Having(string(item)); !slices.Equal(got, want) {
+			if got, want := next.WithItem(string(item)), anew.WithItem(string(item)); !slices.Equal(got, want) {
 				t.Fatalf("round %d, %c: %v, not %v", round, item, got, want)
 			}
-			if got, want := s.Having(string(item)), before.Having(string(item)); !slices.Equal(got, want) {
+			if got, want := s.WithItem(string(item)), before.WithItem(string(item)); !slices.Equal(got, want) {
 				t.Fatalf("round %d, %c: what was handed out has changed from %v to %v", round, item, want, got)
 			}
 		}
--- a/internal/place/order/takeover_test.go
+++ b/internal/place/order/takeover_test.go
@@ -12,40 +12,40 @@
 )
 
 // reporting is a replica that says what it is told to say.
-type reporting struct {
+type fakeReplica struct {
 	backend.Client
 	busy  bool
 	items map[conf.Item]backend.ItemStatus
 }
 
-func (r *reporting) Report(_ context.Context, t backend.Target) (backend.Report, error) {
+func (r *fakeReplica) Report(_ context.Context, t backend.Target) (backend.Report, error) {
 	return backend.Report{ID: t.ID, Incarnation: t.ID, Model: true, CapacityMib: 100, Slots: 4, Busy: r.busy, Items: maps.Clone(r.items)}, nil
 }
 
-func (r *reporting) Traits() backend.Traits {
+func (r *fakeReplica) Traits() backend.Traits {
 	return backend.Traits{WaitsForRuns: true, TellsBusy: true, OneOrder: true, ReportLag: 100 * time.Millisecond}
 }
 
 // An owner is followed by another while the replica loads what the first one ordered:
 // the room for it is not free until a report says that nothing is being carried out.
-func TestRoomForALoadOfTheOwnerBeforeIsKept(t *testing.T) {
+func TestTakeoverKeepsMemoryOfPredecessorsLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		replica := &reporting{busy: true, items: map[conf.Item]backend.ItemStatus{}}
+		replica := &fakeReplica{busy: true, items: map[conf.Item]backend.ItemStatus{}}
 		cfg := conf.Empty()
-		ctl := looking(t, replica, &cfg)
+		ctl := newPollingController(t, replica, &cfg)
 		coming := conf.Item{Model: "m"}
-		ctl.book[coming] = &line{Line: Line{State: Reserved, SizeMib: 80}, ordered: ctl.d.Clock.Since(), inherited: true}
+		ctl.entries[coming] = &entry{Entry: Entry{State: Reserved, SizeMib: 80}, orderedAt: ctl.d.Clock.Since(), inherited: true}
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
-			ctl.look()
-			if mib, _ := ctl.there(); mib != 80 {
+			ctl.poll()
+			if mib, _ := ctl.currentUse(); mib != 80 {
 				t.Fatalf("the replica carries an order out, and %d MiB count as taken", mib)
 			}
 		}
 		replica.busy = false
 		time.Sleep(100 * time.Millisecond)
-		ctl.look()
-		if mib, _ := ctl.there(); mib != 0 {
+		ctl.poll()
+		if mib, _ := ctl.currentUse(); mib != 0 {
 			t.Errorf("nothing is carried out any more, and %d MiB count as taken", mib)
 		}
 	})
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -15,25 +15,25 @@
 
 // idle ranks the items that may go: loaded, nobody using or waiting for them,
 // not pinned by a claim; and sums up those that may but for being used.
-func (c *Controller) idle(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.Idle, used int) {
+func (c *Controller) idleItems(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.IdleItem, used int) {
 	now := c.d.Clock.Since()
 	others := c.d.Others()
-	facts := map[string]judge.Idle{}
-	for item, l := range c.book {
+	facts := map[string]judge.IdleItem{}
+	for item, l := range c.entries {
 		if (item.Adapter != "") != adapters || l.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
 			continue
 		}
-		if c.pinned(cfg, item, others) {
+		if c.pinnedByClaim(cfg, item, others) {
 			continue
 		}
 		waiting, pressed := c.d.Reports.Demand(item, now)
 		busy, kids := l.inflight > 0 || c.d.Reports.Inflight(c.listed.ID, item.String(), now) > 0 || waiting > 0, 0
 		// Why: a copy of what many press for, and what has only just come, are about to be used; to let go of them takes
 		// the store's time twice.
-		busy = busy || pressed >= pressedFew || l.awaited(now)
+		busy = busy || pressed >= minContendedRequests || l.awaitsFirstUse(now)
 		pen, stays := c.penaltyOf(cfg, item, others, now), false
 		if !adapters {
-			for other, o := range c.book {
+			for other, o := range c.entries {
 				if other.Model != item.Model || other.Adapter == "" {
 					continue
 				}
@@ -42,7 +42,7 @@
 				// Why: a model is in use as long as any adapter on it is, and moves only when it can go too.
 				waiting, _ := c.d.Reports.Demand(other, now)
 				busy = busy || waiting > 0 || o.State != backend.Loaded || o.inflight > 0
-				stays = stays || c.pinned(cfg, other, others)
+				stays = stays || c.pinnedByClaim(cfg, other, others)
 			}
 		}
 		size := l.SizeMib
@@ -56,7 +56,7 @@
 			used += size
 			continue
 		}
-		f := judge.Idle{Name: item.String(), SizeMib: size, Penalty: pen, IdleFor: now - l.lastUsed, Copies: copies(others, c.listed.ID, item), Adapters: kids}
+		f := judge.IdleItem{Name: item.String(), SizeMib: size, Penalty: pen, IdleFor: now - l.lastUsed, Copies: countCopies(others, c.listed.ID, item), Adapters: kids}
 		list = append(list, f)
 		facts[f.Name] = f
 	}
@@ -69,17 +69,17 @@
 
 const (
 	// pressedFew is how many answers of an item must have been held up lately for its copies to count as in use.
-	pressedFew = 4
+	minContendedRequests = 4
 	// awaitedFor is how long what was just loaded counts as in use before its first request.
-	awaitedFor = time.Second
+	firstUseGrace = time.Second
 )
 
 // awaited says that an item has only just been loaded, and that nobody has used it yet.
-func (l *line) awaited(now time.Duration) bool {
-	return l.loadedAt > 0 && l.lastUsed <= l.loadedAt && now-l.loadedAt < awaitedFor
+func (l *entry) awaitsFirstUse(now time.Duration) bool {
+	return l.loadedAt > 0 && l.lastUsed <= l.loadedAt && now-l.loadedAt < firstUseGrace
 }
 
-func copies(others Statuses, not string, item conf.Item) int {
+func countCopies(others Statuses, not string, item conf.Item) int {
 	n := 0
 	for range others.holders(item.String(), not) {
 		n++
@@ -91,17 +91,17 @@
 // requests times the time to serve one from the cheapest other holder, or,
 // where there is none, the time to load it again and serve it (ours).
 func (c *Controller) penaltyOf(cfg conf.Effective, item conf.Item, others Statuses, now time.Duration) float64 {
-	cheapest := Cheapest(others, c.listed.ID, item, c.d.Reports, now, cfg)
+	cheapest := CheapestServeTime(others, c.listed.ID, item, c.d.Reports, now, cfg)
 	if cheapest == 0 {
 		m := cfg.Models[item.Model]
 		cheapest = m.LoadFor + m.ServeFor
 	}
-	return penalty.Of(c.d.Requests(item.String()), cheapest)
+	return penalty.Of(c.d.PredictedRequests(item.String()), cheapest)
 }
 
 // Cheapest is the predicted time to serve from the cheapest holder other than
 // not, or 0 when there is none.
-func Cheapest(others Statuses, not string, item conf.Item, reports *report.Table, now time.Duration, cfg conf.Effective) time.Duration {
+func CheapestServeTime(others Statuses, not string, item conf.Item, reports *report.Table, now time.Duration, cfg conf.Effective) time.Duration {
 	var best time.Duration
 	for o := range others.holders(item.String(), not) {
 		serve := time.Duration(o.ServeMs) * time.Millisecond
@@ -117,7 +117,7 @@
 	return best
 }
 
-func (c *Controller) pinned(cfg conf.Effective, item conf.Item, others Statuses) bool {
+func (c *Controller) pinnedByClaim(cfg conf.Effective, item conf.Item, others Statuses) bool {
 	for _, want := range cfg.Claimed() {
 		if !item.Covers(want.Item) || !want.Group.Matches(labels.Set(c.listed.Labels)) {
 			continue
--- a/internal/place/order/victims_test.go
+++ b/internal/place/order/victims_test.go
@@ -12,7 +12,7 @@
 
 // idleNames is what may go from a replica that holds some models.
 func idleNames(ctl *Controller, cfg conf.Effective) []string {
-	order, _, _ := ctl.idle(cfg, conf.Item{Model: "wanted"}, false)
+	order, _, _ := ctl.idleItems(cfg, conf.Item{Model: "wanted"}, false)
 	var out []string
 	for _, v := range order {
 		out = append(out, v.Item)
@@ -23,23 +23,23 @@
 
 // A copy that has just come, or of a model that many press for, was once let go of
 // for a single request, before the first of those that it was loaded for had reached it.
-func TestWhatIsAwaitedOrPressedIsNotIdle(t *testing.T) {
+func TestFreshOrContendedItemIsNotIdle(t *testing.T) {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{"fresh": {}, "pressed": {}, "used": {}, "old": {}}
-	c := &clock{time.Minute}
+	c := &fakeClock{time.Minute}
 	reports := report.NewTable()
-	ctl := &Controller{d: Deps{Clock: c, Reports: reports, Others: func() Statuses { return Statuses{} }, Requests: func(string) float64 { return 0 }}, book: map[conf.Item]*line{}}
+	ctl := &Controller{d: Deps{Clock: c, Reports: reports, Others: func() Statuses { return Statuses{} }, PredictedRequests: func(string) float64 { return 0 }}, entries: map[conf.Item]*entry{}}
 	for name := range cfg.Models {
-		ctl.book[conf.Item{Model: name}] = &line{Line: Line{State: backend.Loaded, SizeMib: 10}, lastUsed: 10 * time.Second}
+		ctl.entries[conf.Item{Model: name}] = &entry{Entry: Entry{State: backend.Loaded, SizeMib: 10}, lastUsed: 10 * time.Second}
 	}
-	ctl.book[conf.Item{Model: "fresh"}].loadedAt = c.now - 200*time.Millisecond
-	used := ctl.book[conf.Item{Model: "used"}]
+	ctl.entries[conf.Item{Model: "fresh"}].loadedAt = c.now - 200*time.Millisecond
+	used := ctl.entries[conf.Item{Model: "used"}]
 	used.loadedAt, used.lastUsed = c.now-200*time.Millisecond, c.now-100*time.Millisecond
-	reports.Put(report.Report{Agent: "e", Boot: "b", Version: 1, Pressed: map[string]int{"pressed": pressedFew, "old": pressedFew - 1}}, c.now)
+	reports.Put(report.Report{Agent: "e", Boot: "b", Version: 1, Pressed: map[string]int{"pressed": minContendedRequests, "old": minContendedRequests - 1}}, c.now)
 	if got := idleNames(ctl, cfg); !slices.Equal(got, []string{"old", "used"}) {
 		t.Errorf("may go: %v, want old and used", got)
 	}
-	c.now += awaitedFor
+	c.now += firstUseGrace
 	if got := idleNames(ctl, cfg); !slices.Equal(got, []string{"fresh", "old", "used"}) {
 		t.Errorf("a second later: %v, want fresh, old and used", got)
 	}
--- a/internal/place/penalty/penalty.go
+++ b/internal/place/penalty/penalty.go
@@ -18,19 +18,19 @@
 }
 
 // Verdict is the outcome of the test.
-type Verdict struct {
+type Result struct {
 	Load    bool
 	Victims []Victim
 	Sum     float64 // the victims' penalties together
 	Freed   int
-	Why     string
+	Reason  string
 }
 
 // Test walks the victims in the order given, greedily, until need is freed,
 // leaves out those that turned out not to be needed, and compares. Without a
 // holder anywhere (alone) there is nothing to fall back on, so room is enough.
-func Test(need int, wanted float64, csf float64, alone bool, order []Victim) Verdict {
-	v := Verdict{}
+func Evaluate(need int, wanted float64, csf float64, alone bool, order []Victim) Result {
+	v := Result{}
 	if need > 0 {
 		for _, c := range order {
 			v.Victims = append(v.Victims, c)
@@ -39,7 +39,7 @@
 			}
 		}
 		if v.Freed < need {
-			return Verdict{Why: "idle items are too few to make room"}
+			return Result{Reason: "idle items are too few to make room"}
 		}
 		// Why: a greedy walk may have picked small ones before a large one that suffices.
 		kept := v.Victims[:0:0]
@@ -55,11 +55,11 @@
 	}
 	switch {
 	case alone:
-		v.Load, v.Why = true, "no holder and the victims make room"
+		v.Load, v.Reason = true, "no holder and the victims make room"
 	case csf*v.Sum < wanted:
-		v.Load, v.Why = true, "victims' penalty is below the wanted item's"
+		v.Load, v.Reason = true, "victims' penalty is below the wanted item's"
 	default:
-		v.Why = "victims' penalty is not below the wanted item's"
+		v.Reason = "victims' penalty is not below the wanted item's"
 	}
 	return v
 }
--- a/internal/place/penalty/penalty_test.go
+++ b/internal/place/penalty/penalty_test.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-func TestTheCsfTest(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	datadriven.RunTest(t, "testdata/csf", func(t *testing.T, d *datadriven.TestData) string {
 		need, csf, wanted := 0, 1.0, 0.0
 		d.ScanArgs(t, "need", &need)
@@ -27,8 +27,8 @@
 				order = append(order, v)
 			}
 		}
-		v := Test(need, wanted, csf, d.HasArg("alone"), order)
-		out := fmt.Sprintf("load=%v sum=%g freed=%d: %s\n", v.Load, v.Sum, v.Freed, v.Why)
+		v := Evaluate(need, wanted, csf, d.HasArg("alone"), order)
+		out := fmt.Sprintf("load=%v sum=%g freed=%d: %s\n", v.Load, v.Sum, v.Freed, v.Reason)
 		for _, x := range v.Victims {
 			out += x.Item + " goes\n"
 		}
--- a/internal/place/plan/ask_test.go
+++ b/internal/place/plan/ask_test.go
@@ -19,45 +19,45 @@
 
 // Candidates are asked with one message for each core that controls several of them,
 // and what each says is kept as that candidate's.
-func TestCandidatesOfOneCoreAreAskedAtOnce(t *testing.T) {
+func TestCandidatesOfOneControllerAreAskedInOneBatch(t *testing.T) {
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
 	var mu sync.Mutex
 	var batches, singles, ordered []string
-	answer := func(replica string) order.Considered {
-		return order.Considered{Why: replica, Taken: replica == "d" || replica == "e", Starts: 1, Sum: map[string]float64{"d": 2, "e": 1}[replica]}
+	answer := func(replica string) order.ConsiderResponse {
+		return order.ConsiderResponse{Why: replica, Accepted: replica == "d" || replica == "e", Starts: 1, VictimPenalty: map[string]float64{"d": 2, "e": 1}[replica]}
 	}
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(_ context.Context, controller string, q order.Consider) (order.Considered, error) {
+		Ask: func(_ context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 			mu.Lock()
 			defer mu.Unlock()
-			if q.Dry {
+			if q.DryRun {
 				singles = append(singles, controller+" "+q.Replica)
 			} else {
 				ordered = append(ordered, controller+" "+q.Replica)
 			}
 			return answer(q.Replica), nil
 		},
-		AskAll: func(_ context.Context, controller string, q order.ConsiderAll) []order.Considered {
+		AskAll: func(_ context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 			mu.Lock()
 			defer mu.Unlock()
-			var out []order.Considered
+			var out []order.ConsiderResponse
 			for _, r := range q.Replicas {
 				batches = append(batches, controller+" "+r)
 				out = append(out, answer(r))
 			}
 			return out
-		}}, items: map[conf.Item]*item{}}
+		}}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	var views []order.Status
-	d := Decision{Item: "m", claim: true}
+	d := Decision{Item: "m", isClaim: true}
 	for replica, controller := range map[string]string{"a": "core-1", "b": "core-2", "c": "core-1", "d": "core-3", "e": "core-2"} {
 		views = append(views, order.Status{Listed: inventory.Listed{ID: replica}, Controller: controller})
 	}
 	for _, replica := range []string{"a", "b", "c", "d", "e"} {
 		d.Candidates = append(d.Candidates, judge.Ranked{Name: replica})
 	}
-	p.decide(t.Context(), conf.Effective{}, d, order.NewStatuses(views))
+	p.executeDecision(t.Context(), conf.Effective{}, d, order.NewStatuses(views))
 	slices.Sort(batches)
 	if want := []string{"core-1 a", "core-1 c", "core-2 b", "core-2 e"}; !slices.Equal(batches, want) {
 		t.Errorf("asked at once: %v, want %v", batches, want)
@@ -70,10 +70,10 @@
 		t.Errorf("ordered: %v, want %v", ordered, want)
 	}
 	got := p.Explain(t.Context(), "m")
-	if len(got) != 1 || got[0].Taken != "e" {
+	if len(got) != 1 || got[0].AcceptedBy != "e" {
 		t.Fatalf("%+v", got)
 	}
-	for i, x := range got[0].Tried {
+	for i, x := range got[0].Answers {
 		if x.Replica != d.Candidates[i].Name || x.Answer.Why != x.Replica {
 			t.Errorf("%+v at the place of %s", x, d.Candidates[i].Name)
 		}
@@ -81,8 +81,8 @@
 }
 
 func TestABusyCoreAsksFewerCandidates(t *testing.T) {
-	for busy, want := range map[bool]int{false: tries, true: busyTries} {
-		asked := asking(t, func() bool { return busy }, func() (order.Considered, error) { return order.Considered{Why: "no room"}, nil })
+	for busy, want := range map[bool]int{false: maxCandidates, true: minCandidates} {
+		asked := newAskCounter(t, func() bool { return busy }, func() (order.ConsiderResponse, error) { return order.ConsiderResponse{Why: "no room"}, nil })
 		if got := asked(); got != want {
 			t.Errorf("busy %v: %d candidates were asked, not %d", busy, got, want)
 		}
@@ -90,22 +90,22 @@
 }
 
 // Cores that did not answer in time were asked about as many candidates as before, and were later still.
-func TestFewerCandidatesAreAskedWhileAnswersComeLate(t *testing.T) {
+func TestFewerCandidatesAreAskedWhileAnswersTimeOut(t *testing.T) {
 	silent := false
-	asked := asking(t, nil, func() (order.Considered, error) {
+	asked := newAskCounter(t, nil, func() (order.ConsiderResponse, error) {
 		if silent {
-			return order.Considered{}, context.DeadlineExceeded
+			return order.ConsiderResponse{}, context.DeadlineExceeded
 		}
-		return order.Considered{Why: "no room"}, nil
+		return order.ConsiderResponse{Why: "no room"}, nil
 	})
-	for _, want := range []int{tries, tries, tries / 2, busyTries, busyTries} {
+	for _, want := range []int{maxCandidates, maxCandidates, maxCandidates / 2, minCandidates, minCandidates} {
 		if got := asked(); got != want {
 			t.Errorf("%d candidates were asked, want %d", got, want)
 		}
 		silent = true
 	}
 	silent = false
-	for want := busyTries; want <= tries; want++ {
+	for want := minCandidates; want <= maxCandidates; want++ {
 		if got := asked(); got != want {
 			t.Errorf("answers come in time again: %d candidates were asked, want %d", got, want)
 		}
@@ -113,19 +113,19 @@
 }
 
 // asking has a planner make one decision at each call, and gives how many candidates it asked.
-func asking(t *testing.T, busy func() bool, answer func() (order.Considered, error)) func() int {
+func newAskCounter(t *testing.T, busy func() bool, answer func() (order.ConsiderResponse, error)) func() int {
 	t.Helper()
 	g := run.NewGroup(context.Background())
 	t.Cleanup(g.Stop)
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Busy: busy,
-		Ask: func(context.Context, string, order.Consider) (order.Considered, error) { return answer() }}, items: map[conf.Item]*item{}}
+		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) { return answer() }}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	d := Decision{Item: "m"}
-	for i := range 2 * tries {
+	for i := range 2 * maxCandidates {
 		d.Candidates = append(d.Candidates, judge.Ranked{Name: fmt.Sprint("r", i)})
 	}
 	return func() int {
-		p.decide(t.Context(), conf.Effective{}, d, order.Statuses{})
-		return len(p.Explain(t.Context(), "m")[0].Tried)
+		p.executeDecision(t.Context(), conf.Effective{}, d, order.Statuses{})
+		return len(p.Explain(t.Context(), "m")[0].Answers)
 	}
 }
--- a/internal/place/plan/claims.go
+++ b/internal/place/plan/claims.go
@@ -15,17 +15,17 @@
 )
 
 // claims prepares decisions about copies that claims want and that are missing.
-func (p *Planner) claims(cfg conf.Effective, views order.Statuses, now time.Duration) []Decision {
+func (p *Planner) claimDecisions(cfg conf.Effective, views order.Statuses, now time.Duration) []Decision {
 	var out []Decision
 	unmet := map[string]string{}
 	for _, want := range cfg.Claimed() {
-		if !p.holds(want.Item) {
+		if !p.ownsItem(want.Item) {
 			continue
 		}
 		have, ready := 0, 0
 		for _, v := range views.All {
 			s := v.Items[want.Item.String()]
-			if v.Dark || v.Listed.Leaving || !want.Group.Matches(labels.Set(v.Listed.Labels)) {
+			if v.Stale || v.Listed.Leaving || !want.Group.Matches(labels.Set(v.Listed.Labels)) {
 				continue
 			}
 			if s == backend.Loaded || s == backend.Loading || s == order.Reserved {
@@ -39,25 +39,25 @@
 		if ready < want.Copies {
 			unmet[at] = fmt.Sprintf("%d of %d copies are ready, %d on the way", ready, want.Copies, have-ready)
 		}
-		if have >= want.Copies || now-p.claimAt[want.Item] < claimAgain && p.claimAt[want.Item] != 0 {
+		if have >= want.Copies || now-p.claimDecidedAt[want.Item] < claimRetryInterval && p.claimDecidedAt[want.Item] != 0 {
 			continue
 		}
 		m := cfg.Models[want.Item.Model]
-		d := Decision{At: p.d.Clock.Wall(), Core: p.d.Self, Item: want.Item.String(), Cause: "claim " + want.Claim, Requests: p.Requests(want.Item.String()), Accuracy: 1, claim: true,
+		d := Decision{At: p.d.Clock.Wall(), Core: p.d.Self, Item: want.Item.String(), Cause: "claim " + want.Claim, Requests: p.PredictedRequests(want.Item.String()), Accuracy: 1, isClaim: true,
 			CheapestMs: (m.LoadFor + m.ServeFor).Milliseconds(), Csf: cfg.Limits.Csf}
 		d.Penalty = penalty.Of(d.Requests, m.LoadFor+m.ServeFor)
-		d.among = want.Group
+		d.selector = want.Group
 		out = append(out, d)
 	}
-	p.unmet = unmet
+	p.unmetClaims = unmet
 	return out
 }
 
 // Unmet lists claims whose copies are not all ready.
-func (p *Planner) Unmet(ctx context.Context) map[string]string {
+func (p *Planner) UnmetClaims(ctx context.Context) map[string]string {
 	out := map[string]string{}
 	_ = p.actor.Ask(ctx, func() {
-		maps.Copy(out, p.unmet)
+		maps.Copy(out, p.unmetClaims)
 	})
 	return out
 }
--- a/internal/place/plan/explain_test.go
+++ b/internal/place/plan/explain_test.go
@@ -16,35 +16,35 @@
 
 // Who asks why is told what the judges said of each candidate and of each item that
 // might have gone there, although decisions are kept without.
-func TestADecisionIsExplainedWithAllVerdicts(t *testing.T) {
+func TestExplainIncludesScoreBreakdowns(t *testing.T) {
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
 	weights := map[string]float64{"room": 1, "demand": 1}
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(context.Context, string, order.Consider) (order.Considered, error) {
-			return order.Considered{Why: "no room", IdleModels: []judge.Idle{{Name: "dear", SizeMib: 1, Penalty: 2}, {Name: "cheap", SizeMib: 1}}, IdleAdapters: []judge.Idle{{Name: "m/a", IdleFor: time.Hour}}}, nil
-		}}, items: map[conf.Item]*item{}}
+		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
+			return order.ConsiderResponse{Why: "no room", IdleModels: []judge.IdleItem{{Name: "dear", SizeMib: 1, Penalty: 2}, {Name: "cheap", SizeMib: 1}}, IdleAdapters: []judge.IdleItem{{Name: "m/a", IdleFor: time.Hour}}}, nil
+		}}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
-	facts := []judge.Replica{{Name: "a", Fits: true, FreeMib: 1, NeedMib: 2}, {Name: "b", Fits: true}}
-	p.decide(t.Context(), conf.Effective{Weights: weights}, Decision{Item: "m", Candidates: judge.RankLoad(weights, facts)}, order.Statuses{})
+	facts := []judge.Candidate{{Name: "a", Fits: true, FreeMib: 1, NeedMib: 2}, {Name: "b", Fits: true}}
+	p.executeDecision(t.Context(), conf.Effective{Weights: weights}, Decision{Item: "m", Candidates: judge.RankForLoad(weights, facts)}, order.Statuses{})
 	for range 2 {
 		got := p.Explain(t.Context(), "m")
-		if len(got) != 1 || len(got[0].Candidates) != 2 || len(got[0].Tried) != 2 {
+		if len(got) != 1 || len(got[0].Candidates) != 2 || len(got[0].Answers) != 2 {
 			t.Fatalf("%+v", got)
 		}
 		for _, c := range got[0].Candidates {
-			if len(c.Verdicts) == 0 || c.Verdicts[0].Reason == "" {
+			if len(c.Breakdown) == 0 || c.Breakdown[0].Reason == "" {
 				t.Errorf("candidate without verdicts: %+v", c)
 			}
 		}
-		for _, x := range got[0].Tried {
+		for _, x := range got[0].Answers {
 			idle := x.Answer.Idle
-			if len(idle) != 3 || idle[0].Name != "cheap" || idle[1].Name != "dear" || idle[2].Name != "m/a" || len(idle[2].Verdicts) == 0 {
+			if len(idle) != 3 || idle[0].Name != "cheap" || idle[1].Name != "dear" || idle[2].Name != "m/a" || len(idle[2].Breakdown) == 0 {
 				t.Errorf("what might have gone: %+v", idle)
 			}
 		}
 	}
-	if kept := p.log.At(0); kept.Candidates[0].Verdicts != nil || kept.Tried[0].Answer.Idle != nil {
+	if kept := p.decisionLog.At(0); kept.Candidates[0].Breakdown != nil || kept.Answers[0].Answer.Idle != nil {
 		t.Errorf("verdicts are kept that were only asked for: %+v", kept)
 	}
 }
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -12,43 +12,43 @@
 	"drumstall.example/internal/state"
 )
 
-type item struct {
-	series *demand.Series
-	seen   map[string]uint64
-	last   time.Duration // last decision
-	since  time.Duration // since when requests wait for it; below 0: none does
-	vain   time.Duration // since when nothing could be loaded for what will pass; 0 is not
-	passed time.Duration // when it was last loaded without the test
-	dirty  map[int64]bool
+type itemState struct {
+	series         *demand.Series
+	reporterTotals map[string]uint64
+	lastDecided    time.Duration // last decision
+	waitingSince   time.Duration // since when requests wait for it; below 0: none does
+	blockedSince   time.Duration // since when nothing could be loaded for what will pass; 0 is not
+	lastBypass     time.Duration // when it was last loaded without the test
+	dirtyHours     map[int64]bool
 }
 
-func (p *Planner) rule() demand.Rule {
+func (p *Planner) demandParams() demand.Params {
 	l := p.d.Conf().Limits
-	return demand.Rule{Day: int64(l.Epoch), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
+	return demand.Params{Day: int64(l.Epoch), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
 }
 
 // clock counts units of the length now in force.
-func (p *Planner) clock(cfg conf.Effective) *demand.Minutes {
-	if p.minutes == nil || p.unit != cfg.Limits.Unit {
-		p.unit = cfg.Limits.Unit
-		p.minutes = demand.NewMinutes(p.d.Clock.Wall(), p.d.Clock.Since(), p.unit)
+func (p *Planner) currentMinuteClock(cfg conf.Effective) *demand.MinuteClock {
+	if p.minuteClock == nil || p.minuteUnit != cfg.Limits.Unit {
+		p.minuteUnit = cfg.Limits.Unit
+		p.minuteClock = demand.NewMinuteClock(p.d.Clock.Wall(), p.d.Clock.Since(), p.minuteUnit)
 	}
-	return p.minutes
+	return p.minuteClock
 }
 
 // OnTake lays in the history of a slot that this core now holds.
-func (p *Planner) OnTake(slot int, epoch uint64, recs []state.Record) {
+func (p *Planner) OnSlotAcquired(slot int, epoch uint64, recs []state.Record) {
 	if slot == state.SlotOf(PaceKey) {
 		// Why: what the keeper before us granted is waited out from now on, not from the first question.
 		now := p.d.Clock.Since()
-		_ = p.paceActor.Tell(func() { p.keeperFor(p.d.Group.Context(), epoch, now) })
+		_ = p.paceActor.Tell(func() { p.ensureLimiter(p.d.Group.Context(), epoch, now) })
 	}
 	// Why: a full holding must not lose this; without its history the slot would never be planned for.
-	p.d.Group.Go(func(ctx context.Context) { _ = p.actor.Ask(ctx, func() { p.layIn(slot, epoch, recs) }) })
+	p.d.Group.Go(func(ctx context.Context) { _ = p.actor.Ask(ctx, func() { p.restoreHistory(slot, epoch, recs) }) })
 }
 
-func (p *Planner) layIn(slot int, epoch uint64, recs []state.Record) {
-	if epoch <= p.loaded[slot] {
+func (p *Planner) restoreHistory(slot int, epoch uint64, recs []state.Record) {
+	if epoch <= p.historyEpochs[slot] {
 		return
 	}
 	for it := range p.items {
@@ -58,8 +58,8 @@
 	}
 	newest := map[conf.Item]int64{}
 	for _, r := range recs {
-		it, ok := itemOf(r.Key)
-		if !ok || r.Gone {
+		it, ok := parseDemandKey(r.Key)
+		if !ok || r.Deleted {
 			continue
 		}
 		h, err := demand.UnpackHour(r.Value)
@@ -67,26 +67,26 @@
 			p.d.Log.Warn("an hour of demand cannot be read", "key", r.Key)
 			continue
 		}
-		i := p.item(it)
+		i := p.stateOf(it)
 		if i == nil {
 			continue
 		}
 		if h.Hour >= newest[it] {
 			newest[it] = h.Hour
-			i.seen = map[string]uint64{}
-			maps.Copy(i.seen, h.Seen)
+			i.reporterTotals = map[string]uint64{}
+			maps.Copy(i.reporterTotals, h.ReporterTotals)
 		}
-		h.Seen = nil
-		i.series.Lay(h)
+		h.ReporterTotals = nil
+		i.series.Restore(h)
 	}
-	p.loaded[slot] = epoch
+	p.historyEpochs[slot] = epoch
 	now := p.d.Clock.Since()
 	for _, r := range p.d.Reports.All() {
 		p.addDemand(r.Report, now, func(it conf.Item) bool { return state.SlotOf(DemandKey(it, 0)) == slot })
 	}
 }
 
-func itemOf(key string) (conf.Item, bool) {
+func parseDemandKey(key string) (conf.Item, bool) {
 	parts := strings.Split(key, "/")
 	if len(parts) != 4 || parts[0] != "demand" {
 		return conf.Item{}, false
@@ -94,21 +94,21 @@
 	return conf.Item{Model: parts[1], Adapter: parts[3]}, true
 }
 
-func (p *Planner) item(it conf.Item) *item {
+func (p *Planner) stateOf(it conf.Item) *itemState {
 	i := p.items[it]
 	if i == nil {
 		if len(p.items) >= maxItems {
 			return nil
 		}
-		i = &item{series: demand.NewSeries(), seen: map[string]uint64{}, since: -1, last: -1 << 62, passed: -1 << 62, dirty: map[int64]bool{}}
+		i = &itemState{series: demand.NewSeries(), reporterTotals: map[string]uint64{}, waitingSince: -1, lastDecided: -1 << 62, lastBypass: -1 << 62, dirtyHours: map[int64]bool{}}
 		p.items[it] = i
 	}
 	return i
 }
 
 // Report takes an edge's word.
-func (p *Planner) Report(ctx context.Context, r report.Report) (report.Outcome, error) {
-	outcomes, err := p.Reports(ctx, []report.Report{r})
+func (p *Planner) ApplyReport(ctx context.Context, r report.Report) (report.Outcome, error) {
+	outcomes, err := p.ApplyReports(ctx, []report.Report{r})
 	if err != nil {
 		return report.Kept, err
 	}
@@ -116,12 +116,12 @@
 }
 
 // Reports takes the words of several edges, and tells what became of each.
-func (p *Planner) Reports(ctx context.Context, all []report.Report) ([]report.Outcome, error) {
+func (p *Planner) ApplyReports(ctx context.Context, all []report.Report) ([]report.Outcome, error) {
 	outcomes := make([]report.Outcome, len(all))
 	err := p.actor.Ask(ctx, func() {
 		now := p.d.Clock.Since()
 		for i, r := range all {
-			outcomes[i] = p.takeReport(r, now)
+			outcomes[i] = p.applyReport(r, now)
 		}
 	})
 	return outcomes, err
@@ -129,14 +129,14 @@
 
 // takeReport takes an edge's word. Why: what only grows is read where it has changed; a
 // slot that this core takes later is given all of it then.
-func (p *Planner) takeReport(r report.Report, now time.Duration) report.Outcome {
+func (p *Planner) applyReport(r report.Report, now time.Duration) report.Outcome {
 	if outcome := p.d.Reports.Put(r, now); outcome != report.Kept {
 		return outcome
 	}
-	p.work.add(r, p.d.Reports.Of(r.Agent).Report, now)
+	p.work.addReport(r, p.d.Reports.Of(r.Agent).Report, now)
 	p.addDemand(r, now, func(conf.Item) bool { return true })
 	if !p.isBusy() && p.hasNewMiss(r) {
-		p.soon.Now()
+		p.replan.Now()
 	}
 	return report.Kept
 }
@@ -150,7 +150,7 @@
 func (p *Planner) hasNewMiss(r report.Report) bool {
 	for name := range r.Waiting {
 		it := conf.ParseItem(name)
-		if i := p.items[it]; (i == nil || i.since < 0) && p.holds(it) {
+		if i := p.items[it]; (i == nil || i.waitingSince < 0) && p.ownsItem(it) {
 			return true
 		}
 	}
@@ -161,32 +161,32 @@
 // core plans for and that are wanted.
 func (p *Planner) addDemand(r report.Report, now time.Duration, wanted func(conf.Item) bool) {
 	cfg := p.d.Conf()
-	minute, fresh := p.clock(cfg).Now(p.d.Clock.Wall(), now)
+	minute, fresh := p.currentMinuteClock(cfg).Now(p.d.Clock.Wall(), now)
 	from := r.Agent + "/" + r.Boot
 	for name, count := range r.Demand {
 		it := conf.ParseItem(name)
-		if _, known := cfg.Models[it.Model]; !known || !p.holds(it) || !wanted(it) {
+		if _, known := cfg.Models[it.Model]; !known || !p.ownsItem(it) || !wanted(it) {
 			continue
 		}
-		i := p.item(it)
+		i := p.stateOf(it)
 		if i == nil {
 			continue
 		}
 		// Why: reports carry running totals, so one lost or come twice changes nothing.
-		was, counted := i.seen[from]
+		was, counted := i.reporterTotals[from]
 		if count <= was && counted {
 			continue
 		}
-		i.seen[from] = count
+		i.reporterTotals[from] = count
 		if fresh {
 			i.series.Add(minute, uint32(min(count-was, 1<<31)))
-			i.dirty[minute/60] = true
+			i.dirtyHours[minute/60] = true
 		}
 	}
 }
 
 // keep writes hours that changed to the control state.
-func (p *Planner) keep(ctx context.Context) {
+func (p *Planner) persistDemand(ctx context.Context) {
 	type work struct {
 		it conf.Item
 		h  demand.Hour
@@ -200,23 +200,23 @@
 				alive[r.Agent+"/"+r.Boot] = true
 			}
 		}
-		p.work.forget(alive, now)
+		p.work.prune(alive, now)
 		for it, i := range p.items {
-			if !p.holds(it) {
+			if !p.ownsItem(it) {
 				continue
 			}
-			for k := range i.seen {
+			for k := range i.reporterTotals {
 				if !alive[k] {
-					delete(i.seen, k)
+					delete(i.reporterTotals, k)
 				}
 			}
-			for hour := range i.dirty {
+			for hour := range i.dirtyHours {
 				if h, found := i.series.Hour(hour); found {
-					h.Seen = maps.Clone(i.seen)
+					h.ReporterTotals = maps.Clone(i.reporterTotals)
 					todo = append(todo, work{it, h})
 				}
 			}
-			i.dirty = map[int64]bool{}
+			i.dirtyHours = map[int64]bool{}
 		}
 	})
 	for _, w := range todo {
@@ -227,7 +227,7 @@
 			p.d.Log.Info("demand not kept", "item", w.it.String(), "error", err)
 			_ = p.actor.Tell(func() {
 				if i := p.items[w.it]; i != nil {
-					i.dirty[w.h.Hour] = true
+					i.dirtyHours[w.h.Hour] = true
 				}
 			})
 		}
--- a/internal/place/plan/messages.go
+++ b/internal/place/plan/messages.go
@@ -24,67 +24,67 @@
 }
 
 // ExpectKey names what proxies are told about an item they hold requests for.
-func ExpectKey(item string) string { return "expect/" + item }
+func ExpectationKey(item string) string { return "expect/" + item }
 
 // Expect says when a replica should have the item, or that none will.
-type Expect struct {
-	Refused bool   `cbor:"1,keyasint"`
-	ReadyMs int    `cbor:"2,keyasint"`
-	RetryS  int    `cbor:"3,keyasint"`
-	Why     string `cbor:"4,keyasint"`
+type Expectation struct {
+	Refused     bool   `cbor:"1,keyasint"`
+	ReadyMs     int    `cbor:"2,keyasint"`
+	RetryAfterS int    `cbor:"3,keyasint"`
+	Reason      string `cbor:"4,keyasint"`
 	// Trying says that nothing could be loaded yet, and that it is tried again.
-	Trying bool `cbor:"5,keyasint,omitempty"`
+	Retrying bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Tried is one candidate that was asked, and what it said.
-type Tried struct {
-	Replica string           `json:"replica"`
-	Answer  order.Considered `json:"answer"`
+type CandidateAnswer struct {
+	Replica string                 `json:"replica"`
+	Answer  order.ConsiderResponse `json:"answer"`
 }
 
 // Decision is kept so that it can be explained.
 type Decision struct {
-	At         time.Time      `json:"at"`
-	Core       string         `json:"core"`
-	Item       string         `json:"item"`
-	Cause      string         `json:"cause"`
-	Requests   float64        `json:"requests"`
-	Accuracy   float64        `json:"accuracy"`
-	CheapestMs int64          `json:"cheapestMs"`
-	Penalty    float64        `json:"penalty"`
-	Csf        float64        `json:"csf"`
-	Alone      bool           `json:"alone"` // nobody holds it
-	Pass       bool           `json:"pass"`  // so it may go in without the test this time
-	Candidates []judge.Ranked `json:"candidates"`
-	Tried      []Tried        `json:"tried"`
-	Taken      string         `json:"taken"`
-	claim      bool           // it is about a claim's copy
-	waited     time.Duration  // for how long requests have waited for it
+	At         time.Time         `json:"at"`
+	Core       string            `json:"core"`
+	Item       string            `json:"item"`
+	Cause      string            `json:"cause"`
+	Requests   float64           `json:"requests"`
+	Accuracy   float64           `json:"accuracy"`
+	CheapestMs int64             `json:"cheapestMs"`
+	Penalty    float64           `json:"penalty"`
+	Csf        float64           `json:"csf"`
+	NoHolder   bool              `json:"alone"` // nobody holds it
+	BypassTest bool              `json:"pass"`  // so it may go in without the test this time
+	Candidates []judge.Ranked    `json:"candidates"`
+	Answers    []CandidateAnswer `json:"tried"`
+	AcceptedBy string            `json:"taken"`
+	isClaim    bool              // it is about a claim's copy
+	waitedFor  time.Duration     // for how long requests have waited for it
 	weights    map[string]float64
-	among      labels.Selector // the replicas that it may be loaded on
+	selector   labels.Selector // the replicas that it may be loaded on
 }
 
 // Shared is a core's predictions, told to the others.
-type Shared struct {
-	From string             `cbor:"1,keyasint"`
-	Next map[string]float64 `cbor:"2,keyasint"`
+type SharedPredictions struct {
+	From     string             `cbor:"1,keyasint"`
+	Requests map[string]float64 `cbor:"2,keyasint"`
 	// Keeps says that the sender grants the store's loads, and Use how much of the pace is used.
-	Keeps bool    `cbor:"3,keyasint,omitempty"`
-	Use   float64 `cbor:"4,keyasint,omitempty"`
+	GrantsLoads bool    `cbor:"3,keyasint,omitempty"`
+	PaceUse     float64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Granting asks for a load start.
-type Granting struct {
-	Who   string  `cbor:"1,keyasint"` // the replica and item it is for
-	Worth float64 `cbor:"2,keyasint"` // penalty of the miss
+type GrantRequest struct {
+	LoadID  string  `cbor:"1,keyasint"` // the replica and item it is for
+	Penalty float64 `cbor:"2,keyasint"` // penalty of the miss
 	// Start names the load start: who asks again under a name has not begun it.
-	Start string `cbor:"4,keyasint,omitempty"`
+	StartID string `cbor:"4,keyasint,omitempty"`
 	// Afloat asks for nothing: the load was ordered, and may start at any time or never.
-	Afloat bool `cbor:"3,keyasint,omitempty"`
+	Outstanding bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Granted is the answer.
-type Granted struct {
-	OK     bool `cbor:"1,keyasint"`
-	WaitMs int  `cbor:"2,keyasint"`
+type GrantResponse struct {
+	Granted bool `cbor:"1,keyasint"`
+	WaitMs  int  `cbor:"2,keyasint"`
 }
--- a/internal/place/plan/miss.go
+++ b/internal/place/plan/miss.go
@@ -16,26 +16,26 @@
 )
 
 // miss prepares a decision about an item that requests wait for.
-func (p *Planner) miss(cfg conf.Effective, it conf.Item, waiting int, pressed bool, wanted int, views order.Statuses, now time.Duration) (Decision, bool) {
+func (p *Planner) missDecision(cfg conf.Effective, it conf.Item, waiting int, pressed bool, wanted int, views order.Statuses, now time.Duration) (Decision, bool) {
 	m, known := cfg.Models[it.Model]
-	if !known || !p.holds(it) {
+	if !known || !p.ownsItem(it) {
 		return Decision{}, false
 	}
-	i := p.item(it)
-	if i == nil || now-i.last < p.d.Cadence.Again {
+	i := p.stateOf(it)
+	if i == nil || now-i.lastDecided < p.d.Cadence.Again {
 		return Decision{}, false
 	}
-	copies, coming := copiesOf(it, views)
+	copies, coming := countCopies(it, views)
 	// Why: many misses for one item make one load; the next is thought of when it is there, unless its work is more
 	// than all of them will bear.
 	if coming && copies >= wanted {
 		return Decision{}, false
 	}
-	minute, _ := p.clock(cfg).Now(p.d.Clock.Wall(), now)
-	rule := p.rule()
-	requests := i.series.Next(rule, minute, waiting)
+	minute, _ := p.currentMinuteClock(cfg).Now(p.d.Clock.Wall(), now)
+	rule := p.demandParams()
+	requests := i.series.PredictHorizon(rule, minute, waiting)
 	acc, _ := i.series.Accuracy(rule, minute)
-	cheapest := order.Cheapest(views, "", it, p.d.Reports, now, cfg)
+	cheapest := order.CheapestServeTime(views, "", it, p.d.Reports, now, cfg)
 	alone := cheapest == 0
 	// Why: where proxies go by what controllers tell, a request whose item is there waits no longer; a report that
 	// still counts it is from before.
@@ -48,26 +48,26 @@
 		cheapest = m.LoadFor + m.ServeFor
 	}
 	d := Decision{At: p.d.Clock.Wall(), Core: p.d.Self, Item: it.String(), Cause: fmt.Sprintf("%d requests wait", waiting), Requests: requests, Accuracy: acc,
-		CheapestMs: cheapest.Milliseconds(), Penalty: penalty.Of(requests, cheapest), Csf: cfg.Limits.Csf, Alone: first}
-	if i.since >= 0 {
-		d.waited = now - i.since
+		CheapestMs: cheapest.Milliseconds(), Penalty: penalty.Of(requests, cheapest), Csf: cfg.Limits.Csf, NoHolder: first}
+	if i.waitingSince >= 0 {
+		d.waitedFor = now - i.waitingSince
 	}
 	// Why: if every miss of an item nobody holds went in without the test, rare items would drive each other
 	// and the wanted ones out, faster than the store can bring them back (docs/measurements/replay.md).
 	// While the store has time to spare they cannot, and whoever asks would be turned away for nothing. A keeper
 	// that has not been heard of counts as busy.
-	spare := now-p.usedAt < useLife && p.use < cfg.Limits.PassSlack
-	d.Pass = first && (spare || now-i.passed >= cfg.Limits.PassEvery)
-	d.among = labels.Everything()
+	spare := now-p.paceUseAt < paceUseTTL && p.paceUse < cfg.Limits.PassSlack
+	d.BypassTest = first && (spare || now-i.lastBypass >= cfg.Limits.PassEvery)
+	d.selector = labels.Everything()
 	return d, true
 }
 
 // copiesOf counts the replicas that hold an item or will; coming says that one of them does not hold it yet.
-func copiesOf(it conf.Item, views order.Statuses) (copies int, coming bool) {
+func countCopies(it conf.Item, views order.Statuses) (copies int, coming bool) {
 	name := it.String()
-	for _, i := range views.Having(name) {
+	for _, i := range views.WithItem(name) {
 		v := &views.All[i]
-		if v.Dark || v.Listed.Leaving {
+		if v.Stale || v.Listed.Leaving {
 			continue
 		}
 		switch v.Items[name] {
@@ -81,31 +81,31 @@
 	return copies, coming
 }
 
-func (p *Planner) candidates(cfg conf.Effective, it conf.Item, m conf.Model, views order.Statuses, now time.Duration, in labels.Selector) []judge.Ranked {
+func (p *Planner) rankCandidates(cfg conf.Effective, it conf.Item, m conf.Model, views order.Statuses, now time.Duration, in labels.Selector) []judge.Ranked {
 	zones := map[string]int{}
 	name := it.String()
-	for _, i := range views.Having(name) {
+	for _, i := range views.WithItem(name) {
 		if v := &views.All[i]; v.Items[name] == backend.Loaded {
 			zones[v.Listed.Zone]++
 		}
 	}
-	var facts []judge.Replica
+	var facts []judge.Candidate
 	for _, v := range views.All {
-		if !v.Listed.Model || v.Dark || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !in.Matches(labels.Set(v.Listed.Labels)) {
+		if !v.Listed.Model || v.Stale || v.Items[name] != "" || !cfg.Allowed(it.Model, v.Listed.Labels) || !in.Matches(labels.Set(v.Listed.Labels)) {
 			continue
 		}
 		need := m.SizeMib
 		if v.Items[it.Model] != "" {
 			need = 0
 		}
-		facts = append(facts, judge.Replica{Name: v.Listed.ID, Inflight: p.d.Reports.InflightOn(v.Listed.ID, now), Slots: v.Slots,
-			ServeFor: time.Duration(v.ServeMs) * time.Millisecond, Leaving: v.Listed.Leaving, FreeMib: v.FreeMib, NeedMib: need,
+		facts = append(facts, judge.Candidate{Name: v.Listed.ID, Inflight: p.d.Reports.InflightOn(v.Listed.ID, now), Slots: v.Slots,
+			ServeTime: time.Duration(v.ServeMs) * time.Millisecond, Leaving: v.Listed.Leaving, FreeMib: v.FreeMib, NeedMib: need,
 			Fits: m.SizeMib <= v.CapacityMib && (it.Adapter == "" || v.AdapterPlaces > 0), AdFree: v.AdapterFree, Copies: zones[v.Listed.Zone]})
 	}
-	ranked := judge.RankLoad(cfg.Weights, facts)
+	ranked := judge.RankForLoad(cfg.Weights, facts)
 	// Why: a replica carries out one order at a time, and only the first candidates are asked.
-	before := pending(views)
-	slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return queuedFor(a, before) - queuedFor(b, before) })
+	before := pendingLoads(views)
+	slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return queuedLoads(a, before) - queuedLoads(b, before) })
 	if it.Adapter != "" {
 		// Why: an adapter goes in with one start of the store where its model is, and with two elsewhere; the store is
 		// what everybody waits for.
@@ -113,13 +113,13 @@
 		for _, v := range views.All {
 			has[v.Listed.ID] = v.Items[it.Model] == backend.Loaded
 		}
-		slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return starts(a, has) - starts(b, has) })
+		slices.SortStableFunc(ranked, func(a, b judge.Ranked) int { return adapterStarts(a, has) - adapterStarts(b, has) })
 	}
 	return ranked
 }
 
 // pending is how many loads of models each replica has before it.
-func pending(views order.Statuses) map[string]int {
+func pendingLoads(views order.Statuses) map[string]int {
 	out := map[string]int{}
 	for _, v := range views.All {
 		for item, state := range v.Items {
@@ -132,7 +132,7 @@
 }
 
 // queuedFor is how many loads a candidate has before it; a vetoed one comes last.
-func queuedFor(r judge.Ranked, pending map[string]int) int {
+func queuedLoads(r judge.Ranked, pending map[string]int) int {
 	if r.Vetoed {
 		return math.MaxInt32
 	}
@@ -140,7 +140,7 @@
 }
 
 // starts is how many loads an adapter takes on a replica; a vetoed one comes last.
-func starts(r judge.Ranked, has map[string]bool) int {
+func adapterStarts(r judge.Ranked, has map[string]bool) int {
 	switch {
 	case r.Vetoed:
 		return 3
--- a/internal/place/plan/miss_test.go
+++ b/internal/place/plan/miss_test.go
@@ -10,10 +10,10 @@
 )
 
 // A copy that is on its way counts as one, so that a further one has to pass the test.
-func TestCopiesOnTheirWayCount(t *testing.T) {
+func TestCountCopiesIncludesLoadingCopies(t *testing.T) {
 	it := conf.Item{Model: "m"}
 	view := func(id string, state string, dark, leaving bool) order.Status {
-		return order.Status{Listed: inventory.Listed{ID: id, Leaving: leaving}, Dark: dark, Items: map[string]string{"m": state}}
+		return order.Status{Listed: inventory.Listed{ID: id, Leaving: leaving}, Stale: dark, Items: map[string]string{"m": state}}
 	}
 	for name, c := range map[string]struct {
 		views  []order.Status
@@ -28,7 +28,7 @@
 		"dark or leaving": {[]order.Status{view("a", backend.Loaded, true, false), view("b", backend.Loading, false, true)}, 0, false},
 		"being unloaded":  {[]order.Status{view("a", backend.Unloading, false, false)}, 0, false},
 	} {
-		if copies, coming := copiesOf(it, order.NewStatuses(c.views)); copies != c.copies || coming != c.coming {
+		if copies, coming := countCopies(it, order.NewStatuses(c.views)); copies != c.copies || coming != c.coming {
 			t.Errorf("%s: %d, %v", name, copies, coming)
 		}
 	}
--- a/internal/place/plan/nudge_test.go
+++ b/internal/place/plan/nudge_test.go
@@ -18,11 +18,11 @@
 
 // A report calls for a look out of turn where an item begins to be waited for that
 // this core plans for; what waited before, and what others plan for, does not.
-func TestOnlyANewMissCallsForALook(t *testing.T) {
+func TestOnlyANewMissTriggersPlanning(t *testing.T) {
 	simstate.Play(t, vfs.NewMem(), func(t *testing.T, _ *run.Group, own *owner.Owner) {
-		p := &Planner{d: Deps{Owner: own}, items: map[conf.Item]*item{}, loaded: own.Held()}
+		p := &Planner{d: Deps{Owner: own}, items: map[conf.Item]*itemState{}, historyEpochs: own.Held()}
 		others := conf.Item{Model: "others"}
-		delete(p.loaded, state.SlotOf(DemandKey(others, 0)))
+		delete(p.historyEpochs, state.SlotOf(DemandKey(others, 0)))
 		ours := conf.Item{Model: "ours"}
 		waits := func(names ...string) report.Report {
 			r := report.Report{Waiting: map[string]int{}}
@@ -37,12 +37,12 @@
 		if !p.hasNewMiss(waits("others", "ours")) {
 			t.Error("no look for an item that was never asked for")
 		}
-		p.item(ours)
-		p.noteWaiting(map[conf.Item]int{ours: 1}, time.Second)
+		p.stateOf(ours)
+		p.updateWaiting(map[conf.Item]int{ours: 1}, time.Second)
 		if p.hasNewMiss(waits("ours")) {
 			t.Error("a look for what waited already")
 		}
-		p.noteWaiting(map[conf.Item]int{}, 2*time.Second)
+		p.updateWaiting(map[conf.Item]int{}, 2*time.Second)
 		if !p.hasNewMiss(waits("ours")) {
 			t.Error("no look for an item that is waited for again")
 		}
@@ -50,14 +50,14 @@
 }
 
 // A miss counts from its own beginning, also where nobody waited for anything in between.
-func TestAWaitThatHasEndedIsForgottenWhenNobodyWaits(t *testing.T) {
+func TestWaitingSinceIsResetWhenNoRequestsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		it := conf.Item{Model: "m"}
-		p := &Planner{d: Deps{Clock: simhost.NewClock(), Reports: report.NewTable(), Conf: conf.Empty}, items: map[conf.Item]*item{}}
-		p.item(it)
-		p.noteWaiting(map[conf.Item]int{it: 1}, time.Second)
+		p := &Planner{d: Deps{Clock: simhost.NewClock(), Reports: report.NewTable(), Conf: conf.Empty}, items: map[conf.Item]*itemState{}}
+		p.stateOf(it)
+		p.updateWaiting(map[conf.Item]int{it: 1}, time.Second)
 		p.onTick()
-		if since := p.items[it].since; since >= 0 {
+		if since := p.items[it].waitingSince; since >= 0 {
 			t.Errorf("waited for since %v, though nobody waits", since)
 		}
 	})
--- a/internal/place/plan/pacing_test.go
+++ b/internal/place/plan/pacing_test.go
@@ -23,44 +23,44 @@
 )
 
 // slowDisk takes a while for each sync.
-type slowDisk struct {
+type slowFS struct {
 	vfs.FS
-	sync time.Duration
+	syncTime time.Duration
 }
 
-func (d slowDisk) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
+func (d slowFS) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
 	f, err := d.FS.Create(name, category)
-	return slowFile{f, d.sync}, err
+	return slowFile{f, d.syncTime}, err
 }
 
 type slowFile struct {
 	vfs.File
-	sync time.Duration
+	syncTime time.Duration
 }
 
 func (f slowFile) Sync() error {
-	time.Sleep(f.sync)
+	time.Sleep(f.syncTime)
 	return f.File.Sync()
 }
 
 func (f slowFile) SyncData() error {
-	time.Sleep(f.sync)
+	time.Sleep(f.syncTime)
 	return f.File.SyncData()
 }
 
-func TestGrantsThatAreAskedForTogetherAreWrittenDownTogether(t *testing.T) {
+func TestConcurrentGrantsShareOneWrite(t *testing.T) {
 	const loads, diskTakes = 40, 50 * time.Millisecond
-	simstate.Play(t, slowDisk{vfs.NewMem(), diskTakes}, func(t *testing.T, g *run.Group, own *owner.Owner) {
+	simstate.Play(t, slowFS{vfs.NewMem(), diskTakes}, func(t *testing.T, g *run.Group, own *owner.Owner) {
 		cfg := conf.Empty()
 		cfg.Limits.PaceLoads = 2 * loads
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: bounds.DefaultCadence(), Owner: own,
 			Gossip: gossip.NewTable(), Reports: report.NewTable(), Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return order.Statuses{} },
-			Tell: func(context.Context, Shared) {}})
+			Tell: func(context.Context, SharedPredictions) {}})
 		time.Sleep(time.Second)
 		began := time.Now()
 		answers := run.Fan(g, loads, func(ctx context.Context, i int) bool {
-			got, err := p.Grant(ctx, Granting{Who: fmt.Sprint("load ", i), Worth: 1})
-			return err == nil && got.OK
+			got, err := p.Grant(ctx, GrantRequest{LoadID: fmt.Sprint("load ", i), Penalty: 1})
+			return err == nil && got.Granted
 		})
 		granted := 0
 		for range loads {
@@ -72,7 +72,7 @@
 			t.Errorf("%d of %d loads may start after %v, with a disk that takes %v", granted, loads, took, diskTakes)
 		}
 		rec, found, err := own.Get(t.Context(), PaceKey)
-		var kept Grants
+		var kept GrantRecord
 		if err != nil || !found || wire.Unpack(rec.Value, &kept) != nil || len(kept.AgesMs) != loads {
 			t.Errorf("%d grants are written down, %d were given: %v", len(kept.AgesMs), loads, err)
 		}
--- a/internal/place/plan/plan_test.go
+++ b/internal/place/plan/plan_test.go
@@ -23,22 +23,22 @@
 // Candidates are asked at once; when none answers, nothing is taken and nobody
 // is told that the item is refused (run under the race detector, it also shows
 // that those asked share no state).
-func TestSilentCandidatesDecideNothing(t *testing.T) {
+func TestNoRefusalWhenNoCandidateAnswers(t *testing.T) {
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(context.Context, string, order.Consider) (order.Considered, error) {
-			return order.Considered{}, errors.New("no answer")
-		}}, items: map[conf.Item]*item{}}
+		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
+			return order.ConsiderResponse{}, errors.New("no answer")
+		}}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
-	p.decide(t.Context(), conf.Effective{}, Decision{Item: "m", Alone: true, Candidates: []judge.Ranked{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}}, order.Statuses{})
+	p.executeDecision(t.Context(), conf.Effective{}, Decision{Item: "m", NoHolder: true, Candidates: []judge.Ranked{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}}, order.Statuses{})
 	// Why: telling of a refusal would need an owner, and there is none here to ask.
 	got := p.Explain(t.Context(), "m")
-	if len(got) != 1 || got[0].Taken != "" || len(got[0].Tried) != 4 {
+	if len(got) != 1 || got[0].AcceptedBy != "" || len(got[0].Answers) != 4 {
 		t.Fatalf("%+v", got)
 	}
-	for _, x := range got[0].Tried {
-		if !x.Answer.Silent {
+	for _, x := range got[0].Answers {
+		if !x.Answer.Unanswered {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -46,17 +46,17 @@
 
 // A core that has just started knows of no replica, or of none that answers; that is no
 // reason to have requests turned away (that would need an owner, and there is none here to ask).
-func TestAPlannerThatHasHeardOfNoReplicaRefusesNothing(t *testing.T) {
+func TestNoRefusalWhenNoReplicaIsReachable(t *testing.T) {
 	for name, views := range map[string][]order.Status{
 		"no word of any":       nil,
-		"none that answers":    {{Listed: inventory.Listed{ID: "a", Model: true}, Dark: true}},
+		"none that answers":    {{Listed: inventory.Listed{ID: "a", Model: true}, Stale: true}},
 		"only other services'": {{Listed: inventory.Listed{ID: "b"}}},
 	} {
 		g := run.NewGroup(context.Background())
-		p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, items: map[conf.Item]*item{}}
+		p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, items: map[conf.Item]*itemState{}}
 		p.actor = run.NewActor(g, 8, 0, nil)
-		p.decide(t.Context(), conf.Effective{}, Decision{Item: "m", Alone: true}, order.NewStatuses(views))
-		if got := p.Explain(t.Context(), "m"); len(got) != 1 || got[0].Taken != "" {
+		p.executeDecision(t.Context(), conf.Effective{}, Decision{Item: "m", NoHolder: true}, order.NewStatuses(views))
+		if got := p.Explain(t.Context(), "m"); len(got) != 1 || got[0].AcceptedBy != "" {
 			t.Errorf("%s: %+v", name, got)
 		}
 		g.Stop()
@@ -65,7 +65,7 @@
 
 // In a fleet of more replicas than are asked, those that have no load before
 // them are asked first; among those the judges decide, as before.
-func TestReplicasWithoutLoadsBeforeThemAreAskedFirst(t *testing.T) {
+func TestReplicasWithoutPendingLoadsAreAskedFirst(t *testing.T) {
 	view := func(id string, freeMib int, items map[string]string) order.Status {
 		return order.Status{Listed: inventory.Listed{ID: id, Model: true}, Slots: 12, CapacityMib: 200, FreeMib: freeMib, AdapterPlaces: 8, AdapterFree: 8, Items: items}
 	}
@@ -80,7 +80,7 @@
 	}
 	views[6].CapacityMib = 10
 	p := &Planner{d: Deps{Reports: report.NewTable()}}
-	got := p.candidates(conf.Effective{Weights: map[string]float64{"room": 1}}, conf.Item{Model: "m"}, conf.Model{SizeMib: 100}, order.NewStatuses(views), 0, labels.Everything())
+	got := p.rankCandidates(conf.Effective{Weights: map[string]float64{"room": 1}}, conf.Item{Model: "m"}, conf.Model{SizeMib: 100}, order.NewStatuses(views), 0, labels.Everything())
 	var names []string
 	for _, r := range got {
 		names = append(names, r.Name)
--- a/internal/place/plan/progress.go
+++ b/internal/place/plan/progress.go
@@ -7,44 +7,44 @@
 )
 
 // progressEvery is the time between two log lines about decisions.
-const progressEvery = 5 * time.Second
+const progressInterval = 5 * time.Second
 
 // Progress is what became of the items that requests wait for, in a span of time.
 type Progress struct {
-	Slots         int   `json:"slots"`         // of the control state that this core holds
-	Waiting       int   `json:"waiting"`       // items that requests wait for now and that this core decides about
-	LongestWaitMs int64 `json:"longestWaitMs"` // for how long requests have waited for one of them
-	UnderWay      int   `json:"underWay"`      // decisions that are being made now
-	Decisions     int   `json:"decisions"`
-	Taken         int   `json:"taken"`     // decisions that led to a load
-	LongestMs     int64 `json:"longestMs"` // what one of them took at most
+	Slots             int   `json:"slots"`         // of the control state that this core holds
+	Waiting           int   `json:"waiting"`       // items that requests wait for now and that this core decides about
+	LongestWaitMs     int64 `json:"longestWaitMs"` // for how long requests have waited for one of them
+	InProgress        int   `json:"underWay"`      // decisions that are being made now
+	Decisions         int   `json:"decisions"`
+	Accepted          int   `json:"taken"`     // decisions that led to a load
+	LongestDecisionMs int64 `json:"longestMs"` // what one of them took at most
 }
 
 // progress counts decisions; its methods may be called from anywhere.
-type progress struct {
-	mu   sync.Mutex
-	now  Progress // since the last line
-	last Progress // as the last line told
+type progressCounter struct {
+	mu      sync.Mutex
+	current Progress // since the last line
+	last    Progress // as the last line told
 }
 
 // decided notes a decision, and what it took.
-func (c *progress) decided(taken bool, took time.Duration) {
+func (c *progressCounter) recordDecision(taken bool, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now.Decisions++
-	c.now.LongestMs = max(c.now.LongestMs, took.Milliseconds())
+	c.current.Decisions++
+	c.current.LongestDecisionMs = max(c.current.LongestDecisionMs, took.Milliseconds())
 	if taken {
-		c.now.Taken++
+		c.current.Accepted++
 	}
 }
 
 // turn ends a span and begins the next; the ended one is given, with what holds at its end.
-func (c *progress) turn(slots, underWay, waiting int, longest time.Duration) Progress {
+func (c *progressCounter) rotate(slots, underWay, waiting int, longest time.Duration) Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ended := c.now
-	ended.Slots, ended.UnderWay, ended.Waiting, ended.LongestWaitMs = slots, underWay, waiting, longest.Milliseconds()
-	c.now, c.last = Progress{}, ended
+	ended := c.current
+	ended.Slots, ended.InProgress, ended.Waiting, ended.LongestWaitMs = slots, underWay, waiting, longest.Milliseconds()
+	c.current, c.last = Progress{}, ended
 	return ended
 }
 
@@ -56,25 +56,25 @@
 }
 
 // tellProgress logs what became of the items that requests wait for, if there were any.
-func (p *Planner) tellProgress(ctx context.Context) {
+func (p *Planner) logProgress(ctx context.Context) {
 	underWay, waiting, longest := 0, 0, time.Duration(0)
 	err := p.actor.Ask(ctx, func() {
 		now := p.d.Clock.Since()
-		underWay = len(p.underWay)
+		underWay = len(p.inProgress)
 		for it, i := range p.items {
-			if i.since >= 0 && p.holds(it) {
+			if i.waitingSince >= 0 && p.ownsItem(it) {
 				waiting++
-				longest = max(longest, now-i.since)
+				longest = max(longest, now-i.waitingSince)
 			}
 		}
 	})
 	if err != nil {
 		return
 	}
-	t := p.progress.turn(len(p.d.Owner.Held()), underWay, waiting, longest)
+	t := p.progress.rotate(len(p.d.Owner.Held()), underWay, waiting, longest)
 	if t.Waiting == 0 && t.Decisions == 0 {
 		return
 	}
-	p.d.Log.Info("decisions made", "forMs", progressEvery.Milliseconds(), "slots", t.Slots, "waiting", t.Waiting, "longestWaitMs", t.LongestWaitMs,
-		"underWay", t.UnderWay, "decisions", t.Decisions, "taken", t.Taken, "longestMs", t.LongestMs)
+	p.d.Log.Info("decisions made", "forMs", progressInterval.Milliseconds(), "slots", t.Slots, "waiting", t.Waiting, "longestWaitMs", t.LongestWaitMs,
+		"underWay", t.InProgress, "decisions", t.Decisions, "taken", t.Accepted, "longestMs", t.LongestDecisionMs)
 }
--- a/internal/place/plan/schedule_test.go
+++ b/internal/place/plan/schedule_test.go
@@ -24,7 +24,7 @@
 )
 
 // manyModels is a configuration of so many models, and replicas that hold none of them.
-func manyModels(models, replicas int) (conf.Effective, order.Statuses) {
+func configWithModels(models, replicas int) (conf.Effective, order.Statuses) {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{}
 	for i := range models {
@@ -38,26 +38,26 @@
 }
 
 // takenLoads is the loads that controllers have agreed to, by item, and the replicas they went to.
-type takenLoads struct {
+type acceptedLoads struct {
 	mu       sync.Mutex
 	items    map[string]bool
 	replicas map[string]int
 }
 
-func (l *takenLoads) add(q order.Consider) {
+func (l *acceptedLoads) add(q order.ConsiderRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.items[q.Item] = true
 	l.replicas[q.Replica]++
 }
 
-func (l *takenLoads) has(item string) bool {
+func (l *acceptedLoads) has(item string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.items[item]
 }
 
-func (l *takenLoads) most() (count, most int) {
+func (l *acceptedLoads) maxPerReplica() (count, most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, n := range l.replicas {
@@ -67,26 +67,26 @@
 }
 
 // planning plays a planner whose controllers take so long to answer.
-func planning(t *testing.T, models int, slow func(item string) time.Duration, play func(reports *report.Table, loads *takenLoads)) {
+func runPlanner(t *testing.T, models int, slow func(item string) time.Duration, play func(reports *report.Table, loads *acceptedLoads)) {
 	t.Helper()
 	simstate.Play(t, vfs.NewMem(), func(t *testing.T, g *run.Group, own *owner.Owner) {
-		cfg, views := manyModels(models, 32)
+		cfg, views := configWithModels(models, 32)
 		reports := report.NewTable()
-		loads := &takenLoads{items: map[string]bool{}, replicas: map[string]int{}}
+		loads := &acceptedLoads{items: map[string]bool{}, replicas: map[string]int{}}
 		cadence := bounds.DefaultCadence()
 		cadence.Plan, cadence.Again = 50*time.Millisecond, 10*time.Second
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: cadence, Owner: own,
 			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return views },
-			Tell: func(context.Context, Shared) {},
-			Ask: func(ctx context.Context, _ string, q order.Consider) (order.Considered, error) {
+			Tell: func(context.Context, SharedPredictions) {},
+			Ask: func(ctx context.Context, _ string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 				run.Wait(ctx, slow(q.Item))
-				if !q.Dry {
+				if !q.DryRun {
 					loads.add(q)
 				}
-				return order.Considered{Taken: true, Starts: 1, ReadyMs: 1000}, nil
+				return order.ConsiderResponse{Accepted: true, Starts: 1, ReadyMs: 1000}, nil
 			}})
 		for slot, epoch := range own.Held() {
-			p.OnTake(slot, epoch, nil)
+			p.OnSlotAcquired(slot, epoch, nil)
 		}
 		time.Sleep(time.Second)
 		play(reports, loads)
@@ -94,7 +94,7 @@
 }
 
 // misses is a report by which a request waits for each of some items.
-func misses(version uint64, items ...string) report.Report {
+func missReport(version uint64, items ...string) report.Report {
 	r := report.Report{Agent: "e", Boot: "b", Version: version, Waiting: map[string]int{}, Demand: map[string]uint64{}}
 	for _, item := range items {
 		r.Waiting[item], r.Demand[item] = 1, 1
@@ -102,35 +102,35 @@
 	return r
 }
 
-func TestDecisionsDoNotWaitForEachOther(t *testing.T) {
+func TestDecisionsRunConcurrently(t *testing.T) {
 	const models = 24
-	planning(t, models, func(string) time.Duration { return 200 * time.Millisecond }, func(reports *report.Table, loads *takenLoads) {
+	runPlanner(t, models, func(string) time.Duration { return 200 * time.Millisecond }, func(reports *report.Table, loads *acceptedLoads) {
 		var all []string
 		for i := range models {
 			all = append(all, fmt.Sprintf("m-%02d", i))
 		}
 		began := time.Now()
 		clk := simhost.NewClock()
-		reports.Put(misses(1, all...), clk.Since())
+		reports.Put(missReport(1, all...), clk.Since())
 		time.Sleep(1600 * time.Millisecond)
-		if count, _ := loads.most(); count < models {
+		if count, _ := loads.maxPerReplica(); count < models {
 			t.Errorf("%d of %d items that are missed are on their way after %v, with controllers that answer in 200 ms", count, models, time.Since(began))
 		}
 	})
 }
 
-func TestADecisionThatHangsHoldsUpNoOther(t *testing.T) {
+func TestASlowDecisionDoesNotBlockOthers(t *testing.T) {
 	slow := func(item string) time.Duration {
 		if item == "m-00" {
 			return time.Minute
 		}
 		return 10 * time.Millisecond
 	}
-	planning(t, 2, slow, func(reports *report.Table, loads *takenLoads) {
+	runPlanner(t, 2, slow, func(reports *report.Table, loads *acceptedLoads) {
 		clk := simhost.NewClock()
-		reports.Put(misses(1, "m-00"), clk.Since())
+		reports.Put(missReport(1, "m-00"), clk.Since())
 		time.Sleep(200 * time.Millisecond)
-		reports.Put(misses(2, "m-00", "m-01"), clk.Since())
+		reports.Put(missReport(2, "m-00", "m-01"), clk.Since())
 		time.Sleep(300 * time.Millisecond)
 		if !loads.has("m-01") {
 			t.Error("an item is not on its way 0.3 s after it was missed, while a decision about another waits for an answer")
@@ -138,16 +138,16 @@
 	})
 }
 
-func TestDecisionsSideBySideChooseDifferentReplicas(t *testing.T) {
-	planning(t, mostUnderWay, func(string) time.Duration { return 50 * time.Millisecond }, func(reports *report.Table, loads *takenLoads) {
+func TestConcurrentDecisionsChooseDifferentReplicas(t *testing.T) {
+	runPlanner(t, maxConcurrentDecisions, func(string) time.Duration { return 50 * time.Millisecond }, func(reports *report.Table, loads *acceptedLoads) {
 		var all []string
-		for i := range mostUnderWay {
+		for i := range maxConcurrentDecisions {
 			all = append(all, fmt.Sprintf("m-%02d", i))
 		}
-		reports.Put(misses(1, all...), simhost.NewClock().Since())
+		reports.Put(missReport(1, all...), simhost.NewClock().Since())
 		time.Sleep(time.Second)
-		if count, most := loads.most(); count != mostUnderWay || most > 1 {
-			t.Errorf("%d of %d items are on their way, %d of them at one replica", count, mostUnderWay, most)
+		if count, most := loads.maxPerReplica(); count != maxConcurrentDecisions || most > 1 {
+			t.Errorf("%d of %d items are on their way, %d of them at one replica", count, maxConcurrentDecisions, most)
 		}
 	})
 }
--- a/internal/place/plan/views.go
+++ b/internal/place/plan/views.go
@@ -14,42 +14,42 @@
 var replicaPrefix = order.Key("")
 
 // Views are all replicas' newest status, by name, decoded anew.
-func Views(t *gossip.Table) order.Statuses {
+func DecodeStatuses(t *gossip.Table) order.Statuses {
 	var out []order.Status
 	for _, e := range t.List(replicaPrefix) {
-		if n, ok := decodeView(e); ok {
+		if n, ok := decodeStatus(e); ok {
 			out = append(out, n)
 		}
 	}
-	slices.SortFunc(out, byID)
+	slices.SortFunc(out, compareIDs)
 	return order.NewStatuses(out)
 }
 
-func decodeView(e gossip.Entry) (order.Status, bool) {
+func decodeStatus(e gossip.Entry) (order.Status, bool) {
 	var n order.Status
 	return n, wire.Unpack(e.Value, &n) == nil
 }
 
-func byID(a, b order.Status) int { return strings.Compare(a.Listed.ID, b.Listed.ID) }
+func compareIDs(a, b order.Status) int { return strings.Compare(a.Listed.ID, b.Listed.ID) }
 
 // ViewCache keeps the replicas' status decoded: an entry is decoded when it has
 // changed, and the list is made anew when one has. Its methods may be called from anywhere.
-type ViewCache struct {
-	table   *gossip.Table
-	mu      sync.Mutex
-	changed map[string]bool // keys of the entries that are newer than what is decoded
-	keys    []string        // of the views, sorted
-	views   order.Statuses  // what is decoded, in the order of keys
+type StatusCache struct {
+	table    *gossip.Table
+	mu       sync.Mutex
+	changed  map[string]bool // keys of the entries that are newer than what is decoded
+	keys     []string        // of the views, sorted
+	statuses order.Statuses  // what is decoded, in the order of keys
 }
 
 // NewViewCache follows a table; it must be made before the table is in use.
-func NewViewCache(t *gossip.Table) *ViewCache {
-	c := &ViewCache{table: t, changed: map[string]bool{}, views: order.NewStatuses(nil)}
-	t.OnNew(c.note)
+func NewStatusCache(t *gossip.Table) *StatusCache {
+	c := &StatusCache{table: t, changed: map[string]bool{}, statuses: order.NewStatuses(nil)}
+	t.OnNew(c.markChanged)
 	return c
 }
 
-func (c *ViewCache) note(e gossip.Entry) {
+func (c *StatusCache) markChanged(e gossip.Entry) {
 	if !strings.HasPrefix(e.Key, replicaPrefix) {
 		return
 	}
@@ -59,17 +59,17 @@
 }
 
 // Views are all replicas' newest status. They are shared: nobody may change them.
-func (c *ViewCache) Views() order.Statuses {
+func (c *StatusCache) Statuses() order.Statuses {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.changed) == 0 {
-		return c.views
+		return c.statuses
 	}
-	list, same := slices.Clone(c.views.All), true
+	list, same := slices.Clone(c.statuses.All), true
 	var differ []int
 	for key := range c.changed {
 		at, known := slices.BinarySearch(c.keys, key)
-		n, there := c.read(key)
+		n, there := c.decodeCurrent(key)
 		switch {
 		case there && known:
 			list[at] = n
@@ -86,19 +86,19 @@
 	}
 	clear(c.changed)
 	if same {
-		c.views = c.views.Replaced(list, differ)
+		c.statuses = c.statuses.Replaced(list, differ)
 	} else {
-		c.views = order.NewStatuses(list)
+		c.statuses = order.NewStatuses(list)
 	}
-	return c.views
+	return c.statuses
 }
 
 // read decodes the entry of a key as the table has it now. Why: entries of one
 // key may be told of in another order than the table took them.
-func (c *ViewCache) read(key string) (n order.Status, there bool) {
+func (c *StatusCache) decodeCurrent(key string) (n order.Status, there bool) {
 	e, found := c.table.Get(key)
 	if !found {
 		return n, false
 	}
-	return decodeView(e)
+	return decodeStatus(e)
 }
--- a/internal/place/plan/views_test.go
+++ b/internal/place/plan/views_test.go
@@ -24,11 +24,11 @@
 
 // What is kept decoded is what the table says, through changes, removals and entries
 // that cannot be read; and a list that was handed out stays as it was.
-func TestCachedViewsAreTheTables(t *testing.T) {
+func TestStatusCacheMatchesTheTable(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		table := gossip.NewTable()
-		cache := NewViewCache(table)
+		cache := NewStatusCache(table)
 		for version := range uint64(100) {
 			id := fmt.Sprint("r", rnd.IntN(8))
 			e := replicaEntry(id, version+1, rnd.IntN(4))
@@ -40,10 +40,10 @@
 			case 2:
 				e.Key = "expect/" + id
 			}
-			before := cache.Views().All
+			before := cache.Statuses().All
 			kept := append([]order.Status(nil), before...)
 			table.Put(e)
-			if got, want := cache.Views().All, Views(table).All; len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
+			if got, want := cache.Statuses().All, DecodeStatuses(table).All; len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
 				t.Fatalf("seed %d, entry %d: got %+v, want %+v", seed, version, got, want)
 			}
 			if !reflect.DeepEqual(kept, append([]order.Status(nil), before...)) {
@@ -54,26 +54,26 @@
 }
 
 // Asking again without anything new costs nothing.
-func TestViewsAreNotMadeAnewWithoutNews(t *testing.T) {
+func TestStatusCacheDoesNotAllocateWithoutChanges(t *testing.T) {
 	table := gossip.NewTable()
-	cache := NewViewCache(table)
+	cache := NewStatusCache(table)
 	for i := range 140 {
 		table.Put(replicaEntry(fmt.Sprint("r", i), 1, 8))
 	}
-	cache.Views()
-	if n := testing.AllocsPerRun(100, func() { cache.Views() }); n > 0 {
+	cache.Statuses()
+	if n := testing.AllocsPerRun(100, func() { cache.Statuses() }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
 // One replica's status has changed since the last look, of 140.
-func BenchmarkViews(b *testing.B) {
+func BenchmarkStatuses(b *testing.B) {
 	for name, cached := range map[string]bool{"anew": false, "cached": true} {
 		b.Run(name, func(b *testing.B) {
 			table := gossip.NewTable()
-			views := func() order.Statuses { return Views(table) }
+			views := func() order.Statuses { return DecodeStatuses(table) }
 			if cached {
-				views = NewViewCache(table).Views
+				views = NewStatusCache(table).Statuses
 			}
 			for i := range 140 {
 				table.Put(replicaEntry(fmt.Sprint("r", i), 1, 8))
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -80,7 +80,7 @@
 	p, budgetKey, t := d.proxy, retryBudgetKey(d.call.Target), &d.call.Target
 	for {
 		d.attempts++
-		a := p.admission.Enter(ctx, *t, t.Route.Class, d.call.FirstByteDeadline)
+		a := p.admission.Acquire(ctx, *t, t.Route.Class, d.call.FirstByteDeadline)
 		if a.Replica == nil {
 			return nil, admissionRefusal(a, d.outcome)
 		}
@@ -104,16 +104,16 @@
 			d.delivered++
 		}
 		if failure == nil {
-			a.Replica.Live.First(time.Since(sentAt))
+			a.Replica.Live.ObserveFirstChunk(time.Since(sentAt))
 			a.Begun()
 			if t.Route.Streaming && t.Route.Target > 0 && time.Since(sentAt) > t.Route.Target/pressureDivisor {
-				p.routes.Press(t.Item)
+				p.routes.RecordPressure(t.Item)
 			}
 			p.recordLoad(a.Replica, reply.Load)
 			b := &activeReply{reply: reply, replica: a.Replica.Listed.ID, release: a.Done, log: p.log, item: t.Item.String(),
 				load: a.Replica.Load(), queuedFor: sentAt.Sub(d.startedAt), promptTokens: t.Prompt.Size(), firstByteAfter: time.Since(sentAt)}
 			if item := t.Item; t.Route.GapTarget > 0 && item.Model != "" {
-				b.gapLimit, b.reportPressure = t.Route.GapTarget/pressureDivisor, func() { p.routes.Press(item) }
+				b.gapLimit, b.reportPressure = t.Route.GapTarget/pressureDivisor, func() { p.routes.RecordPressure(item) }
 			}
 			return b, nil
 		}
@@ -127,7 +127,7 @@
 // recordLoad passes the load that a replica reported with a response to the routing table.
 func (p *Proxy) recordLoad(r *route.Replica, l attempt.Load) {
 	if l.Known {
-		p.routes.Heard(r, l.Running, l.Waiting)
+		p.routes.RecordLoad(r, l.Running, l.Waiting)
 	}
 }
 
@@ -140,14 +140,14 @@
 	case silent && isEarly:
 		// Recording the sample lets the estimate adapt, so that a replica that became slower is not treated as
 		// silent forever.
-		r.Live.First(time.Since(sentAt))
-		p.routes.Silent(r)
+		r.Live.ObserveFirstChunk(time.Since(sentAt))
+		p.routes.RecordSilence(r)
 	case f.Missing:
-		p.routes.Missing(r, t.Item)
+		p.routes.RecordMissing(r, t.Item)
 	case f.Said:
-		p.routes.Full(r)
+		p.routes.RecordOverload(r)
 	case silent, f.Refused:
-		p.routes.Refused(r)
+		p.routes.RecordConnectionRefused(r)
 	}
 	t.Avoid = r.Listed.ID
 	if f.Outcome == attempt.Unknown {
@@ -182,7 +182,7 @@
 	// would have to be cut off.
 	q.Whole = c.Target.Route.Service != "" && c.Target.Route.Repeatable && !c.Target.Route.Streaming
 	q.CanRetry = c.Target.Route.Repeatable && d.attempts < c.Target.Route.Attempts
-	q.OnData = func() { d.proxy.routes.HeardFrom(r) }
+	q.OnData = func() { d.proxy.routes.RecordChunk(r) }
 	if firstByteDeadline.Before(c.FirstByteDeadline) {
 		// Giving up when no other replica can respond would only lose the request's place in the replica's queue.
 		q.Only = func() bool { return d.proxy.routes.Serves(c.Target, id) && !d.canFailOver(r) }
@@ -203,7 +203,7 @@
 // and reserves a retry for it. Silence alone is no reason to end a response.
 func (d *dispatch) canFailOver(r *route.Replica) bool {
 	t := d.call.Target
-	if d.attempts >= t.Route.Attempts || !d.proxy.routes.Others(t, r.Listed.ID) {
+	if d.attempts >= t.Route.Attempts || !d.proxy.routes.HasAlternative(t, r.Listed.ID) {
 		return false
 	}
 	if d.retryReserved.Load() {
@@ -224,7 +224,7 @@
 // that only the replica's usual latency, and no other limit, calls for a deadline this soon.
 func (d *dispatch) firstByteDeadline(r *route.Replica, now time.Time) (by time.Time, isEarly bool) {
 	p, t, deadline := d.proxy, d.call.Target, d.call.FirstByteDeadline
-	urgent := p.routes.Now().Conf.Classes[t.Route.Class].Urgent || t.Route.Target > 0
+	urgent := p.routes.Current().Conf.Classes[t.Route.Class].Urgent || t.Route.Target > 0
 	if !t.Route.Repeatable || d.attempts >= t.Route.Attempts || !urgent {
 		return deadline, false
 	}
@@ -233,13 +233,13 @@
 	// The first reliable sign that a replica hangs is a silence longer than its recent ones. The attempt is given
 	// up for that only if another replica could respond and a retry is reserved: if another request took the last
 	// retry in the meantime, this one would get no response at all.
-	patience := r.Live.Patience()
+	patience := r.Live.FirstChunkTimeout()
 	if t.Route.Streaming {
 		patience = max(patience, t.Route.Target)
 	} else if half := t.Route.Target / 2; patience > 0 && half > patience {
 		patience = half
 	}
-	if patience > 0 && now.Add(patience).Before(by) && p.routes.Others(t, r.Listed.ID) && p.budget.Reserve(retryBudgetKey(t)) {
+	if patience > 0 && now.Add(patience).Before(by) && p.routes.HasAlternative(t, r.Listed.ID) && p.budget.Reserve(retryBudgetKey(t)) {
 		return now.Add(patience), true
 	}
 	return by, false
--- a/internal/proxy/dispatch_test.go
+++ b/internal/proxy/dispatch_test.go
@@ -25,12 +25,12 @@
 		g := run.NewGroup(t.Context())
 		defer g.Stop()
 		table := gossip.NewTable()
-		routes := route.NewKeeper(route.Deps{Group: g, Gossip: table, Clock: tick.Machine(), Zone: func() string { return "a" },
-			HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 64 }})
+		routes := route.NewRouter(route.Deps{Group: g, Gossip: table, Clock: tick.Machine(), Zone: func() string { return "a" },
+			SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 64 }})
 		serial := uint64(0)
 		announce := func(id string, dark bool) {
 			serial++
-			n := order.Status{Listed: inventory.Listed{ID: id, Model: true, Slots: 12}, Slots: 12, Dark: dark, Items: map[string]string{"m": backend.Loaded}}
+			n := order.Status{Listed: inventory.Listed{ID: id, Model: true, Slots: 12}, Slots: 12, Stale: dark, Items: map[string]string{"m": backend.Loaded}}
 			table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: serial}, Value: wire.Pack(n)})
 			time.Sleep(time.Second)
 		}
@@ -39,7 +39,7 @@
 		announce("r1", false)
 		now := time.Now()
 		d := &dispatch{proxy: p, attempts: 1, call: Call{Target: target, FirstByteDeadline: now.Add(2 * time.Second)}}
-		q := d.attemptRequest(routes.Now().Replicas["r1"], now.Add(time.Second))
+		q := d.attemptRequest(routes.Current().Replicas["r1"], now.Add(time.Second))
 		expectOnly := func(when string, want bool) {
 			if q.Only() != want {
 				t.Errorf("%s: only replica: %v", when, !want)
@@ -55,7 +55,7 @@
 		expectOnly("the other is unreachable", true)
 		announce("r1", true)
 		expectOnly("it is unreachable itself", false)
-		if q := d.attemptRequest(routes.Now().Replicas["r1"], d.call.FirstByteDeadline); q.Only != nil {
+		if q := d.attemptRequest(routes.Current().Replicas["r1"], d.call.FirstByteDeadline); q.Only != nil {
 			t.Error("Only is set although the attempt has the whole time until the deadline")
 		}
 	})
--- a/internal/proxy/failover_test.go
+++ b/internal/proxy/failover_test.go
@@ -69,8 +69,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := &replicaPair{t: t, group: run.NewGroup(t.Context()), table: gossip.NewTable(),
 			fabric: simnet.New(1, func(string, string) time.Duration { return time.Millisecond })}
-		routes := route.NewKeeper(route.Deps{Group: p.group, Gossip: p.table, Clock: simhost.NewClock(), Zone: func() string { return "a" },
-			HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
+		routes := route.NewRouter(route.Deps{Group: p.group, Gossip: p.table, Clock: simhost.NewClock(), Zone: func() string { return "a" },
+			SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
 		p.proxy = &Proxy{routes: routes, budget: attempt.NewBudget(1), log: ring.New(io.Discard, 10).Logger(), demand: map[string]uint64{},
 			sender: attempt.NewSender(p.fabric.Host("10.0.0.9"), attempt.Native{}, time.Minute)}
 		p.proxy.edgeCount.Store(1)
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithTimeout(ctx, feedTimeout)
 	defer cancel()
 	f := &p.feed
-	snap := p.routes.Now()
+	snap := p.routes.Current()
 	up := feed.Up{Boot: p.boot, AgentBoot: f.agentBoot, Cursor: f.cursor, Confirmed: p.confirmed.Load(), Conf: snap.Stamp}
 	fresh, cursor, _ := p.gossip.After(f.gossipCursor)
 	for _, e := range fresh {
@@ -100,7 +100,7 @@
 	for _, e := range down.Entries {
 		p.gossip.Put(e)
 	}
-	if !p.routes.Deaf() {
+	if !p.routes.Isolated() {
 		p.isolatedAt.Store(0)
 	}
 	p.updateEdgeCount(down.Edges, askedAt)
@@ -110,7 +110,7 @@
 	}
 	p.agentSeenAt.Store(int64(askedAt))
 	p.contact.Told(askedAt, touch.Word(down.HeardMs+1))
-	if !p.confirmed.Load() && isTableCurrent(down, p.routes.Now()) {
+	if !p.confirmed.Load() && isTableCurrent(down, p.routes.Current()) {
 		p.confirmed.Store(true)
 	}
 	p.paceExchanges(ctx, p.env.Clock.Since())
@@ -177,10 +177,10 @@
 
 // buildReport returns this proxy's periodic report to the controllers.
 func (p *Proxy) buildReport() report.Report {
-	snap := p.routes.Now()
+	snap := p.routes.Current()
 	tenants, version := p.tenantReport()
 	return report.Report{Boot: p.boot, Version: p.reports.Add(1), Conf: snap.Serial, Demand: p.demandCounts(), Inflight: p.routes.Inflight(),
-		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressed(), WorkMs: p.routes.Work(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
+		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
 		Tenants: tenants, TenantsVersion: version}
 }
 
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -56,7 +56,7 @@
 		return nil, nil, (&Refusal{Reason: TooLarge, Detail: detail, Outcome: attempt.NotRun}).goaError()
 	}
 	if target.Route.Kind == "model" {
-		target.Prompt = route.ReadPrompt(target.Item.String(), raw)
+		target.Prompt = route.PromptFromBody(target.Item.String(), raw)
 	}
 	call := Call{Target: target, Identity: identity, Deadline: startedAt.Add(target.Route.Deadline), ContentType: "application/json", Body: raw}
 	if q.DeadlineMs != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -95,7 +95,7 @@
 	group            *run.Group
 	rootGroup        *run.Group // runs the servers; parent of group
 	gossip           *gossip.Table
-	routes           *route.Keeper
+	routes           *route.Router
 	admission        *admission.Controller
 	sender           *attempt.Sender
 	budget           *attempt.Budget
@@ -148,8 +148,8 @@
 	p.agentSeenAt.Store(-1 << 62)
 	p.agentFirstSeenAt.Store(-1 << 62)
 	p.peers.Store(&[]string{})
-	p.routes = route.NewKeeper(route.Deps{Group: p.group, Gossip: p.gossip, Clock: env.Clock, Replicas: p.replicas, Zone: func() string { return s.Zone },
-		HeardFor: p.contact.For, Edges: func() int { return int(p.edgeCount.Load()) }, Ask: s.Cadence.ProxiesAsk, Log: p.log, Deaf: s.Bounds.Drain - isolationMargin})
+	p.routes = route.NewRouter(route.Deps{Group: p.group, Gossip: p.gossip, Clock: env.Clock, Replicas: p.replicas, Zone: func() string { return s.Zone },
+		SinceContact: p.contact.For, Edges: func() int { return int(p.edgeCount.Load()) }, PollReplicas: s.Cadence.ProxiesAsk, Log: p.log, Deaf: s.Bounds.Drain - isolationMargin})
 	p.watch.Start(p.group, s.Cadence.List, func() bool { return p.sinceAgentSeen() > agentTimeout })
 	misses := run.NewActor(p.group, 4, 0, nil)
 	p.urgentReport = run.NewNudge(misses, p.sendUrgentReport)
@@ -286,7 +286,7 @@
 // ActiveConfig returns the serial of the configuration that requests are served by, and
 // whether requests are served at all.
 func (p *Proxy) ActiveConfig() (uint64, bool) {
-	return p.routes.Now().Serial, p.confirmed.Load()
+	return p.routes.Current().Serial, p.confirmed.Load()
 }
 
 // sinceAgentSeen returns the time since the last successful exchange with the agent.
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -90,24 +90,24 @@
 }
 
 // Conf returns the active configuration.
-func (p *Proxy) Conf() conf.Effective { return p.routes.Now().Conf }
+func (p *Proxy) Conf() conf.Effective { return p.routes.Current().Conf }
 
 // AcceptsConnections reports whether this proxy should be given new connections.
 func (p *Proxy) AcceptsConnections() bool {
-	return p.confirmed.Load() && !p.draining.Load() && !p.routes.Deaf()
+	return p.confirmed.Load() && !p.draining.Load() && !p.routes.Isolated()
 }
 
 // awaitContact reports whether this proxy may send to replicas. A machine that has just resumed is isolated for a
 // moment only, so pending requests wait instead of being refused; after isolationWait (one second) none waits any more.
 func (p *Proxy) awaitContact(ctx context.Context) bool {
-	if !p.routes.Deaf() {
+	if !p.routes.Isolated() {
 		return true
 	}
 	defer p.readyWaiters.Add(-1)
 	if p.readyWaiters.Add(1) > maxReadyWaiters {
 		return false
 	}
-	for p.routes.Deaf() {
+	for p.routes.Isolated() {
 		now := p.env.Clock.Since()
 		p.isolatedAt.CompareAndSwap(0, int64(now))
 		if now-time.Duration(p.isolatedAt.Load()) > isolationWait || !run.Wait(ctx, pollInterval) {
@@ -119,7 +119,7 @@
 
 // Resolve picks the service of a request and checks the model and adapter that it names.
 func (p *Proxy) Resolve(r conf.Route, item conf.Item) (route.Target, *Refusal) {
-	cfg := p.routes.Now().Conf
+	cfg := p.routes.Current().Conf
 	t := route.Target{Route: cfg.Resolve(r, rand.Float64())}
 	unknown := func(what string) (route.Target, *Refusal) {
 		return t, &Refusal{Reason: UnknownTarget, Detail: what, Outcome: attempt.NotRun}
@@ -199,7 +199,7 @@
 	if extra := p.settings.Bounds.Retry.Extra; extra > 0 {
 		return extra / float64(p.edgeCount.Load())
 	}
-	return float64(p.routes.Now().Conf.Limits.RetryAllowance) / float64(p.edgeCount.Load())
+	return float64(p.routes.Current().Conf.Limits.RetryAllowance) / float64(p.edgeCount.Load())
 }
 
 // admissionRefusal is the refusal of a request that reply no replica.
@@ -209,5 +209,5 @@
 		reason = DeadlineExceeded
 	}
 	// An earlier attempt of the same request may have run, so the outcome so far is reported.
-	return &Refusal{Reason: reason, Detail: a.Why, Outcome: outcome, RetryAfter: time.Duration(a.RetryS) * time.Second}
+	return &Refusal{Reason: reason, Detail: a.Explanation, Outcome: outcome, RetryAfter: time.Duration(a.RetryS) * time.Second}
 }
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -28,14 +28,14 @@
 		return f.latest, f.version
 	}
 	f.updatedAt = now
-	stats := p.routes.Tenants()
+	stats := p.routes.StatsByTenant()
 	if len(stats) == 0 && len(f.latest) == 0 {
 		return nil, f.version
 	}
 	f.version++
 	f.latest = make(map[string]report.Tenant, len(stats))
 	for name, t := range stats {
-		f.latest[name] = report.Tenant{Share: t.Share, Kept: t.Kept, Evicted: t.Evicted, Tokens: t.Tokens, Warm: t.Warm, Bulk: t.IsBulk}
+		f.latest[name] = report.Tenant{Share: t.Share, Kept: t.Prefixes, Evicted: t.Evicted, Tokens: t.Tokens, Warm: t.Warm, Bulk: t.IsBulk}
 	}
 	return f.latest, f.version
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -24,27 +24,27 @@
 
 // Waiter is a request that waits.
 type Waiter struct {
-	Target   route.Target
-	Class    string
-	Deadline time.Time
-	Since    time.Time
-	state    atomic.Int32
-	Answer   chan Answer // one place
+	Target     route.Target
+	Class      string
+	Deadline   time.Time
+	EnqueuedAt time.Time
+	state      atomic.Int32
+	Answer     chan Answer // one place
 }
 
 // Answer ends the wait: a replica, or the reason why there will be none.
 type Answer struct {
-	Replica *route.Replica
-	Begun   func() // the first piece of the answer has come
-	Done    func()
-	Why     string
-	Late    bool
-	RetryS  int
+	Replica     *route.Replica
+	Begun       func() // the first piece of the answer has come
+	Done        func()
+	Explanation string
+	Late        bool
+	RetryS      int
 }
 
 // NewWaiter is a request that waits until the deadline.
 func NewWaiter(target route.Target, class string, now, deadline time.Time) *Waiter {
-	return &Waiter{Target: target, Class: class, Since: now, Deadline: deadline, Answer: make(chan Answer, 1)}
+	return &Waiter{Target: target, Class: class, EnqueuedAt: now, Deadline: deadline, Answer: make(chan Answer, 1)}
 }
 
 // Claim takes the waiter for an attempt.
@@ -54,7 +54,7 @@
 func (w *Waiter) Withdraw() bool { return w.state.CompareAndSwap(waiting, withdrawn) }
 
 // Waits says whether the waiter still waits.
-func (w *Waiter) Waits() bool { return w.state.Load() == waiting }
+func (w *Waiter) IsWaiting() bool { return w.state.Load() == waiting }
 
 // Lane is the waiters of one class that need the same.
 type Lane struct {
@@ -65,13 +65,13 @@
 
 // Class is the queue of one class of clients.
 type Class struct {
-	Name  string
-	Conf  conf.Class
-	Of    *Tenant
-	lanes map[string]*Lane
-	turn  []string
-	size  int
-	spent float64 // attempts so far over weight, for a fair share
+	Name           string
+	Conf           conf.Class
+	Of             *Tenant
+	lanes          map[string]*Lane
+	laneOrder      []string
+	size           int
+	weightedServed float64 // attempts so far over weight, for a fair share
 }
 
 // Queue is all requests that wait at a proxy, by class; one actor owns it.
@@ -88,26 +88,26 @@
 func (q *Queue) Class(name string, c conf.Class) *Class {
 	cl := q.classes[name]
 	if cl == nil {
-		cl = &Class{Name: name, lanes: map[string]*Lane{}, spent: q.least()}
+		cl = &Class{Name: name, lanes: map[string]*Lane{}, weightedServed: q.minWeightedServed()}
 		q.classes[name] = cl
 	}
-	cl.Conf, cl.Of = c, q.tenant(c)
+	cl.Conf, cl.Of = c, q.tenantOf(c)
 	return cl
 }
 
 // least is where a class that was away starts, so that it cannot claim the past.
-func (q *Queue) least() float64 {
+func (q *Queue) minWeightedServed() float64 {
 	low, any := 0.0, false
 	for _, c := range q.classes {
-		if c.size > 0 && (!any || c.spent < low) {
-			low, any = c.spent, true
+		if c.size > 0 && (!any || c.weightedServed < low) {
+			low, any = c.weightedServed, true
 		}
 	}
 	return low
 }
 
 // Put adds a waiter; false when the class has no place left.
-func (q *Queue) Put(c *Class, w *Waiter) bool {
+func (q *Queue) Push(c *Class, w *Waiter) bool {
 	if c.size >= c.Conf.Queue {
 		c.sweep()
 		if c.size >= c.Conf.Queue {
@@ -115,15 +115,15 @@
 		}
 	}
 	if c.size == 0 {
-		c.spent = max(c.spent, q.least())
+		c.weightedServed = max(c.weightedServed, q.minWeightedServed())
 	}
-	q.welcome(c.Of)
+	q.catchUp(c.Of)
 	key := w.Target.Lane()
 	l := c.lanes[key]
 	if l == nil {
 		l = &Lane{Key: key}
 		c.lanes[key] = l
-		c.turn = append(c.turn, key)
+		c.laneOrder = append(c.laneOrder, key)
 	}
 	l.Waiters.PushBack(w)
 	c.size++
@@ -132,11 +132,11 @@
 
 // sweep lets go of waiters that no longer wait.
 func (c *Class) sweep() {
-	kept := c.turn[:0]
-	for _, key := range c.turn {
+	kept := c.laneOrder[:0]
+	for _, key := range c.laneOrder {
 		l := c.lanes[key]
 		for n := l.Waiters.Len(); n > 0; n-- {
-			if w := l.Waiters.PopFront(); w.Waits() {
+			if w := l.Waiters.PopFront(); w.IsWaiting() {
 				l.Waiters.PushBack(w)
 			} else {
 				c.size--
@@ -148,7 +148,7 @@
 		}
 		kept = append(kept, key)
 	}
-	c.turn = kept
+	c.laneOrder = kept
 }
 
 // Sweep lets go of all waiters that no longer wait, and of empty classes.
@@ -163,10 +163,10 @@
 }
 
 // Known says whether there are classes that a sweep may let go of.
-func (q *Queue) Known() bool { return len(q.classes) > 0 }
+func (q *Queue) HasClasses() bool { return len(q.classes) > 0 }
 
 // Holds says whether there are waiters, whether they still wait or not.
-func (q *Queue) Holds() bool {
+func (q *Queue) HasWaiters() bool {
 	for _, c := range q.classes {
 		if c.size > 0 {
 			return true
@@ -186,7 +186,7 @@
 	}
 	slices.SortFunc(out, func(a, b *Class) int {
 		if a.Of != b.Of {
-			return cmp.Or(cmp.Compare(a.Of.spent, b.Of.spent), cmp.Compare(a.Of.Name, b.Of.Name))
+			return cmp.Or(cmp.Compare(a.Of.weightedServed, b.Of.weightedServed), cmp.Compare(a.Of.Name, b.Of.Name))
 		}
 		if a.Conf.Urgent != b.Conf.Urgent {
 			if a.Conf.Urgent {
@@ -194,22 +194,22 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(a.Conf.Rank, b.Conf.Rank), cmp.Compare(a.spent, b.spent), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.Conf.Rank, b.Conf.Rank), cmp.Compare(a.weightedServed, b.weightedServed), cmp.Compare(a.Name, b.Name))
 	})
 	return out
 }
 
 // Lanes calls f with each lane in turn until it says stop; the turn goes on
 // behind the lane that was served.
-func (c *Class) Lanes(f func(l *Lane) (served, stop bool)) {
-	for i := 0; i < len(c.turn); i++ {
-		l := c.lanes[c.turn[i]]
+func (c *Class) EachLane(f func(l *Lane) (served, stop bool)) {
+	for i := 0; i < len(c.laneOrder); i++ {
+		l := c.lanes[c.laneOrder[i]]
 		if c.front(l) == nil {
 			continue
 		}
 		served, stop := f(l)
 		if served {
-			c.turn = append(c.turn[i+1:], c.turn[:i+1]...)
+			c.laneOrder = append(c.laneOrder[i+1:], c.laneOrder[:i+1]...)
 			return
 		}
 		if stop {
@@ -221,8 +221,8 @@
 // Pop takes the front waiter of a lane and counts it as served.
 func (c *Class) Pop(l *Lane) *Waiter {
 	c.size--
-	c.spent += 1 / float64(max(c.Conf.Weight, 1))
-	c.Of.spent += 1 / float64(max(c.Of.share, 1))
+	c.weightedServed += 1 / float64(max(c.Conf.Weight, 1))
+	c.Of.weightedServed += 1 / float64(max(c.Of.share, 1))
 	return l.Waiters.PopFront()
 }
 
@@ -232,7 +232,7 @@
 	for _, c := range q.classes {
 		for key, l := range c.lanes {
 			for i := range l.Waiters.Len() {
-				if w := l.Waiters.At(i); w.Waits() && w.Target.Route.Kind == "model" {
+				if w := l.Waiters.At(i); w.IsWaiting() && w.Target.Route.Kind == "model" {
 					out[key]++
 				}
 			}
@@ -245,7 +245,7 @@
 // first that does; nil when there is none.
 func (c *Class) front(l *Lane) *Waiter {
 	for l.Waiters.Len() > 0 {
-		if w := l.Waiters.Front(); w.Waits() {
+		if w := l.Waiters.Front(); w.IsWaiting() {
 			return w
 		}
 		l.Waiters.PopFront()
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -10,12 +10,12 @@
 	"drumstall.example/internal/route"
 )
 
-func put(t *testing.T, q *Queue, class string, c conf.Class, model string, n int) {
+func pushWaiters(t *testing.T, q *Queue, class string, c conf.Class, model string, n int) {
 	t.Helper()
 	now := time.Now()
 	for range n {
 		target := route.Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: model}}
-		if !q.Put(q.Class(class, c), NewWaiter(target, class, now, now.Add(time.Minute))) {
+		if !q.Push(q.Class(class, c), NewWaiter(target, class, now, now.Add(time.Minute))) {
 			t.Fatalf("%s has no place", class)
 		}
 	}
@@ -27,7 +27,7 @@
 	for range n {
 		for _, c := range q.Order() {
 			before := len(out)
-			c.Lanes(func(l *Lane) (bool, bool) {
+			c.EachLane(func(l *Lane) (bool, bool) {
 				out = append(out, c.Pop(l).Class+" "+l.Key)
 				return true, false
 			})
@@ -39,7 +39,7 @@
 	return out
 }
 
-func count(served []string, prefix string) int {
+func countPrefix(served []string, prefix string) int {
 	n := 0
 	for _, s := range served {
 		if strings.HasPrefix(s, prefix) {
@@ -51,27 +51,27 @@
 
 // Urgent ones go first however long others have waited; the others share by
 // weight, and within a class the items take turns.
-func TestWhoseTurnItIs(t *testing.T) {
+func TestServiceOrder(t *testing.T) {
 	q := New()
-	put(t, q, "batch", conf.Class{Weight: 1, Queue: 100}, "a", 50)
-	put(t, q, "desk", conf.Class{Weight: 4, Queue: 100}, "a", 40)
-	put(t, q, "desk", conf.Class{Weight: 4, Queue: 100}, "b", 40)
-	if got := serve(q, 50); count(got, "desk") != 40 || count(got, "desk a") != 20 {
-		t.Errorf("of 50 served %d were of the class with four fifths of the weight, %d of them of the first of its two items", count(got, "desk"), count(got, "desk a"))
+	pushWaiters(t, q, "batch", conf.Class{Weight: 1, Queue: 100}, "a", 50)
+	pushWaiters(t, q, "desk", conf.Class{Weight: 4, Queue: 100}, "a", 40)
+	pushWaiters(t, q, "desk", conf.Class{Weight: 4, Queue: 100}, "b", 40)
+	if got := serve(q, 50); countPrefix(got, "desk") != 40 || countPrefix(got, "desk a") != 20 {
+		t.Errorf("of 50 served %d were of the class with four fifths of the weight, %d of them of the first of its two items", countPrefix(got, "desk"), countPrefix(got, "desk a"))
 	}
-	put(t, q, "roadside", conf.Class{Urgent: true, Weight: 1, Queue: 100}, "a", 5)
-	if got := serve(q, 6); count(got[:5], "roadside") != 5 || count(got[5:], "roadside") != 0 {
+	pushWaiters(t, q, "roadside", conf.Class{Urgent: true, Weight: 1, Queue: 100}, "a", 5)
+	if got := serve(q, 6); countPrefix(got[:5], "roadside") != 5 || countPrefix(got[5:], "roadside") != 0 {
 		t.Errorf("urgent ones were not served first: %v", got)
 	}
 	// A class that was away does not claim what it missed.
-	put(t, q, "staff", conf.Class{Weight: 4, Queue: 100}, "a", 40)
-	if got := serve(q, 18); count(got, "staff") > 9 || count(got, "staff") < 7 {
-		t.Errorf("a class that comes late got %d of 18: %v", count(got, "staff"), got)
+	pushWaiters(t, q, "staff", conf.Class{Weight: 4, Queue: 100}, "a", 40)
+	if got := serve(q, 18); countPrefix(got, "staff") > 9 || countPrefix(got, "staff") < 7 {
+		t.Errorf("a class that comes late got %d of 18: %v", countPrefix(got, "staff"), got)
 	}
 }
 
 // A queue is bounded; what has been withdrawn makes place and is never sent.
-func TestPlacesAreBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	q := New()
 	c := q.Class("desk", conf.Class{Weight: 1, Queue: 3})
 	var all []*Waiter
@@ -79,7 +79,7 @@
 	try := func() bool {
 		x := NewWaiter(route.Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: fmt.Sprint(len(all))}}, "desk", now, now)
 		all = append(all, x)
-		return q.Put(c, x)
+		return q.Push(c, x)
 	}
 	for i := range 4 {
 		if try() != (i < 3) {
--- a/internal/queue/tenant.go
+++ b/internal/queue/tenant.go
@@ -9,10 +9,10 @@
 // Tenant is the turn of one tenant among those with requests that wait. Without
 // tenants there is one for all.
 type Tenant struct {
-	Name  string
-	Out   atomic.Int64 // its requests that are out now
-	share int
-	spent float64 // requests served so far over the share
+	Name           string
+	Inflight       atomic.Int64 // its requests that are out now
+	share          int
+	weightedServed float64 // requests served so far over the share
 }
 
 // SetShares gives tenants their shares; none is to do without tenants.
@@ -24,7 +24,7 @@
 }
 
 // tenant is that of a class.
-func (q *Queue) tenant(c conf.Class) *Tenant {
+func (q *Queue) tenantOf(c conf.Class) *Tenant {
 	name := ""
 	if len(q.shares) > 0 {
 		if name = c.Tenant; name == "" {
@@ -41,18 +41,18 @@
 
 // welcome lets a tenant that was away start with the others, so that it cannot
 // claim the past.
-func (q *Queue) welcome(t *Tenant) {
+func (q *Queue) catchUp(t *Tenant) {
 	low, others := 0.0, false
 	for _, c := range q.classes {
 		switch {
 		case c.size == 0:
 		case c.Of == t:
 			return
-		case !others || c.Of.spent < low:
-			low, others = c.Of.spent, true
+		case !others || c.Of.weightedServed < low:
+			low, others = c.Of.weightedServed, true
 		}
 	}
-	t.spent = max(t.spent, low)
+	t.weightedServed = max(t.weightedServed, low)
 }
 
 // sweepTenants forgets tenants without any request, waiting or out.
@@ -62,7 +62,7 @@
 		used[c.Of] = true
 	}
 	for name, t := range q.tenants {
-		if !used[t] && t.Out.Load() == 0 {
+		if !used[t] && t.Inflight.Load() == 0 {
 			delete(q.tenants, name)
 		}
 	}
@@ -70,7 +70,7 @@
 
 // OthersPart is the part of what is kept for urgent requests that is other
 // tenants' than this one's.
-func (q *Queue) OthersPart(t *Tenant) float64 {
+func (q *Queue) OthersFraction(t *Tenant) float64 {
 	sum := 0
 	for _, share := range q.shares {
 		sum += share
--- a/internal/queue/tenant_test.go
+++ b/internal/queue/tenant_test.go
@@ -13,7 +13,7 @@
 
 // Places go to tenants by share first, whatever their classes say of themselves,
 // and within a tenant by urgency as ever.
-func TestTenantsTakeTurnsByShare(t *testing.T) {
+func TestTenantsAreServedByShare(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		shares   map[string]int
@@ -31,39 +31,39 @@
 	} {
 		q := New()
 		q.SetShares(c.shares)
-		put(t, q, "ours", c.ours, "m", 40)
-		put(t, q, "theirs", c.theirs, "m", 40)
-		if got := count(serve(q, 40), "ours"); got < c.wantOurs-1 || got > c.wantOurs+1 {
+		pushWaiters(t, q, "ours", c.ours, "m", 40)
+		pushWaiters(t, q, "theirs", c.theirs, "m", 40)
+		if got := countPrefix(serve(q, 40), "ours"); got < c.wantOurs-1 || got > c.wantOurs+1 {
 			t.Errorf("%s: %d of 40 are ours, want %d", c.name, got, c.wantOurs)
 		}
 	}
 }
 
-func TestWithinATenantUrgentOnesGoFirst(t *testing.T) {
+func TestUrgentClassesGoFirstWithinTenant(t *testing.T) {
 	q := New()
 	q.SetShares(map[string]int{"ours": 1, "other": 1})
-	put(t, q, "night", conf.Class{Tenant: "ours", Rank: 5, Weight: 9, Queue: 1000}, "m", 40)
-	put(t, q, "counter", conf.Class{Tenant: "ours", Weight: 1, Queue: 1000}, "m", 5)
-	put(t, q, "plates", classOf("ours", true, 1), "m", 5)
-	put(t, q, "bulk", classOf("other", true, 1), "m", 40)
+	pushWaiters(t, q, "night", conf.Class{Tenant: "ours", Rank: 5, Weight: 9, Queue: 1000}, "m", 40)
+	pushWaiters(t, q, "counter", conf.Class{Tenant: "ours", Weight: 1, Queue: 1000}, "m", 5)
+	pushWaiters(t, q, "plates", classOf("ours", true, 1), "m", 5)
+	pushWaiters(t, q, "bulk", classOf("other", true, 1), "m", 40)
 	got := serve(q, 20)
-	if count(got, "plates") != 5 || count(got, "counter") < 4 || count(got, "night") > 1 || count(got, "bulk") != 10 {
+	if countPrefix(got, "plates") != 5 || countPrefix(got, "counter") < 4 || countPrefix(got, "night") > 1 || countPrefix(got, "bulk") != 10 {
 		t.Errorf("served %v", got)
 	}
 	// And the night's work is not starved when that is done.
-	if got = serve(q, 20); count(got, "night") < 9 {
+	if got = serve(q, 20); countPrefix(got, "night") < 9 {
 		t.Errorf("served %v", got)
 	}
 }
 
-func TestATenantThatComesLateIsServedAtOnceAndClaimsNothing(t *testing.T) {
+func TestReturningTenantIsServedAtOnceWithoutCredit(t *testing.T) {
 	q := New()
 	q.SetShares(map[string]int{"ours": 1, "other": 1})
-	put(t, q, "bulk", classOf("other", true, 1000), "m", 500)
+	pushWaiters(t, q, "bulk", classOf("other", true, 1000), "m", 500)
 	serve(q, 300)
-	put(t, q, "counter", classOf("ours", false, 1), "m", 50)
+	pushWaiters(t, q, "counter", classOf("ours", false, 1), "m", 50)
 	got := serve(q, 20)
-	if count(got[:2], "counter") != 1 || count(got, "counter") != 10 {
+	if countPrefix(got[:2], "counter") != 1 || countPrefix(got, "counter") != 10 {
 		t.Errorf("served %v", got)
 	}
 	// It leaves and comes back: what it did not use is gone.
@@ -71,22 +71,22 @@
 		serve(q, 1)
 	}
 	serve(q, 100)
-	put(t, q, "counter", classOf("ours", false, 1), "m", 50)
-	if got = serve(q, 20); count(got, "counter") != 10 {
+	pushWaiters(t, q, "counter", classOf("ours", false, 1), "m", 50)
+	if got = serve(q, 20); countPrefix(got, "counter") != 10 {
 		t.Errorf("after a pause: %v", got)
 	}
 }
 
-func TestWhatWaitsForNothingFreeHoldsUpNobody(t *testing.T) {
+func TestBlockedLaneDoesNotBlockOthers(t *testing.T) {
 	q := New()
 	q.SetShares(map[string]int{"ours": 1, "other": 1})
-	put(t, q, "ours", classOf("ours", false, 1), "cold", 40)
-	put(t, q, "theirs", classOf("other", false, 1), "m", 40)
+	pushWaiters(t, q, "ours", classOf("ours", false, 1), "cold", 40)
+	pushWaiters(t, q, "theirs", classOf("other", false, 1), "m", 40)
 	served := 0
 	for range 40 {
 		for _, c := range q.Order() {
 			done := false
-			c.Lanes(func(l *Lane) (bool, bool) {
+			c.EachLane(func(l *Lane) (bool, bool) {
 				if l.Key == "cold" {
 					return false, false
 				}
@@ -105,22 +105,22 @@
 	}
 }
 
-func TestTenantsAreForgotten(t *testing.T) {
+func TestIdleTenantsAreRemoved(t *testing.T) {
 	q := New()
 	q.SetShares(map[string]int{"ours": 1, "other": 3})
-	put(t, q, "ours", classOf("ours", false, 1), "m", 1)
-	put(t, q, "theirs", classOf("other", false, 1), "m", 1)
+	pushWaiters(t, q, "ours", classOf("ours", false, 1), "m", 1)
+	pushWaiters(t, q, "theirs", classOf("other", false, 1), "m", 1)
 	of := q.Class("ours", classOf("ours", false, 1)).Of
-	if got := q.OthersPart(of); got != 0.75 {
+	if got := q.OthersFraction(of); got != 0.75 {
 		t.Errorf("the others' part is %v", got)
 	}
-	of.Out.Add(1)
+	of.Inflight.Add(1)
 	serve(q, 2)
 	q.Sweep()
 	if len(q.tenants) != 1 || q.tenants["ours"] != of {
 		t.Errorf("kept %v, want the one with a request out", q.tenants)
 	}
-	of.Out.Add(-1)
+	of.Inflight.Add(-1)
 	q.Sweep()
 	if len(q.tenants) != 0 {
 		t.Errorf("kept %v", q.tenants)
--- a/internal/replay/load.go
+++ b/internal/replay/load.go
@@ -17,14 +17,14 @@
 	wanted := penalty.Of(r.requests(q.item)+1, r.cost(q.item, -1))
 	last, passed := r.passed[q.item]
 	pass := alone && r.c.PassMin >= 0 && (!passed || r.now-last >= int64(r.c.PassMin)*60_000 || r.use() < r.c.Slack)
-	best, victims := -1, penalty.Verdict{}
-	for n, c := range judge.Load(r.c.Weights, facts) {
+	best, victims := -1, penalty.Result{}
+	for n, c := range judge.RankForLoadWithBreakdown(r.c.Weights, facts) {
 		if n >= r.c.Ask {
 			break
 		}
 		i := number(c.Name)
 		p := r.reps[i]
-		v := penalty.Test(p.used+size-capMib, wanted, r.c.Csf, pass || r.c.Policy != Paper, r.idle(i))
+		v := penalty.Evaluate(p.used+size-capMib, wanted, r.c.Csf, pass || r.c.Policy != Paper, r.idle(i))
 		if v.Load && (best < 0 || v.Sum < victims.Sum) {
 			best, victims = i, v
 		}
@@ -43,14 +43,14 @@
 }
 
 // candidates are the replicas that could load the item of a request.
-func (r *run) candidates(q request) []judge.Replica {
-	var facts []judge.Replica
+func (r *run) candidates(q request) []judge.Candidate {
+	var facts []judge.Candidate
 	for i, p := range r.reps {
 		if p.items[q.item] != nil || r.c.Policy == Always && i != q.home {
 			continue
 		}
-		facts = append(facts, judge.Replica{
-			Name: fmt.Sprintf("%03d", i), Inflight: len(p.busy), Slots: r.w.d.Replica.Slots, ServeFor: time.Duration(r.serveMs()) * time.Millisecond,
+		facts = append(facts, judge.Candidate{
+			Name: fmt.Sprintf("%03d", i), Inflight: len(p.busy), Slots: r.w.d.Replica.Slots, ServeTime: time.Duration(r.serveMs()) * time.Millisecond,
 			Fits: true, FreeMib: r.w.d.Replica.CapacityMib - p.used, NeedMib: r.w.size[q.item], AdFree: 1,
 		})
 	}
@@ -58,7 +58,7 @@
 }
 
 // put loads an item on a replica in place of the victims.
-func (r *run) put(on, item int, victims penalty.Verdict) {
+func (r *run) put(on, item int, victims penalty.Result) {
 	p := r.reps[on]
 	for _, x := range victims.Victims {
 		it := number(x.Item)
@@ -93,7 +93,7 @@
 	n := r.w.d.PaceLoads
 	at := r.now
 	if len(r.grants) >= n {
-		at = max(at, r.grants[len(r.grants)-n]+(pace.Window+pace.GrantLife).Milliseconds())
+		at = max(at, r.grants[len(r.grants)-n]+(pace.Window+pace.GrantTTL).Milliseconds())
 	}
 	r.grants = append(r.grants, at)
 	if len(r.grants) > 40*n {
@@ -108,7 +108,7 @@
 	for i := len(r.grants) - 1; i >= 0 && r.grants[i] > r.now-30_000; i-- {
 		n++
 	}
-	return float64(n) / (float64(r.w.d.PaceLoads) * 30 / (pace.Window + pace.GrantLife).Seconds())
+	return float64(n) / (float64(r.w.d.PaceLoads) * 30 / (pace.Window + pace.GrantTTL).Seconds())
 }
 
 // loadFor is how long reading an item takes.
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -47,7 +47,7 @@
 	c      Case
 	reps   []*replica
 	series []*demand.Series
-	rule   demand.Rule
+	rule   demand.Params
 	next   map[int]float64 // predictions of this minute
 	nextAt int64           // that minute
 	grants []int64         // when the store started its loads
@@ -58,7 +58,7 @@
 
 // Run replays the world under a case; the first seven days only make history.
 func (w *World) Run(c Case) Result {
-	r := &run{w: w, c: c, rule: demand.Rule{DayWeights: c.DayWeights, WarmupMinutes: 30, HorizonMinutes: 60}, next: map[int]float64{}, passed: map[int]int64{}}
+	r := &run{w: w, c: c, rule: demand.Params{DayWeights: c.DayWeights, WarmupMinutes: 30, HorizonMinutes: 60}, next: map[int]float64{}, passed: map[int]int64{}}
 	r.res.Case = c
 	for range w.d.Models {
 		r.reps = append(r.reps, &replica{items: map[int]*held{}})
--- a/internal/replay/value.go
+++ b/internal/replay/value.go
@@ -17,7 +17,7 @@
 	}
 	n, found := r.next[item]
 	if !found {
-		n = r.series[item].Next(r.rule, r.nextAt, 0)
+		n = r.series[item].PredictHorizon(r.rule, r.nextAt, 0)
 		r.next[item] = n
 	}
 	return n
@@ -60,8 +60,8 @@
 		}
 		return out
 	}
-	var facts []judge.Idle
-	by := map[string]judge.Idle{}
+	var facts []judge.IdleItem
+	by := map[string]judge.IdleItem{}
 	for _, it := range ids {
 		copies := 0
 		for j, o := range r.reps {
@@ -69,12 +69,12 @@
 				copies++
 			}
 		}
-		f := judge.Idle{Name: fmt.Sprintf("%03d", it), SizeMib: r.w.size[it], Penalty: penalty.Of(r.requests(it), r.cost(it, i)),
+		f := judge.IdleItem{Name: fmt.Sprintf("%03d", it), SizeMib: r.w.size[it], Penalty: penalty.Of(r.requests(it), r.cost(it, i)),
 			IdleFor: time.Duration(r.now-p.items[it].lastUsed) * time.Millisecond, Copies: copies}
 		facts, by[f.Name] = append(facts, f), f
 	}
 	var out []penalty.Victim
-	for _, x := range judge.Victims(r.c.Weights, facts) {
+	for _, x := range judge.RankVictimsWithBreakdown(r.c.Weights, facts) {
 		out = append(out, penalty.Victim{Item: x.Name, Size: by[x.Name].SizeMib, Penalty: by[x.Name].Penalty})
 	}
 	return out
