--- a/internal/route/bulk_test.go
+++ b/internal/route/bulk_test.go
@@ -11,77 +11,81 @@
 )
 
 // bulkOf knows the tenants ours and other, with one share each.
-func bulkOf() *bulk {
-	b := newBulk(nil)
-	b.divide(map[string]int{"ours": 1, "other": 1})
+func newTwoTenantDetector() *bulkDetector {
+	b := newBulkDetector(nil)
+	b.setShares(map[string]int{"ours": 1, "other": 1})
 	return b
 }
 
-func TestWhatCountsAsBulk(t *testing.T) {
+func TestBulkDetection(t *testing.T) {
 	const room = 1000.0 // of all caches; half of it is a tenant's share
 	ours, counter, night, other := party{Tenant: "ours"}, party{Tenant: "ours", Rank: 1}, party{Tenant: "ours", Rank: 6}, party{Tenant: "other", Rank: 1}
-	both := func(b *bulk) {
-		b.told(ours, 0, 0)
-		b.told(other, 0, 0)
+	both := func(b *bulkDetector) {
+		b.markPresent(ours, 0, 0)
+		b.markPresent(other, 0, 0)
 	}
 	for _, c := range []struct {
 		name string
-		do   func(b *bulk)
+		do   func(b *bulkDetector)
 		at   time.Duration
 		want []party
 	}{
-		{"nobody sends anything", func(*bulk) {}, 0, nil},
-		{"a tenant alone may fill the caches", func(b *bulk) { b.told(other, 0, 0); b.sent(other, 999, room, 0) }, 0, nil},
-		{"even alone, more than all caches is bulk", func(b *bulk) { b.told(other, 0, 0); b.sent(other, 1001, room, 0) }, 0, []party{wholeTenant("other")}},
-		{"beside a quiet one it has what that leaves", func(b *bulk) { both(b); b.sent(ours, 100, room, 0); b.sent(other, 899, room, 0) }, 0, nil},
-		{"and no more", func(b *bulk) { both(b); b.sent(ours, 100, room, 0); b.sent(other, 901, room, 0) }, 0, []party{wholeTenant("other")}},
-		{"its share is never less than half", func(b *bulk) { both(b); b.sent(ours, 499, room, 0); b.sent(other, 499, room, 0) }, 0, nil},
-		{"who is there no more leaves its share", func(b *bulk) {
+		{"nobody sends anything", func(*bulkDetector) {}, 0, nil},
+		{"a tenant alone may fill the caches", func(b *bulkDetector) { b.markPresent(other, 0, 0); b.addTokens(other, 999, room, 0) }, 0, nil},
+		{"even alone, more than all caches is bulk", func(b *bulkDetector) { b.markPresent(other, 0, 0); b.addTokens(other, 1001, room, 0) }, 0, []party{wholeTenant("other")}},
+		{"beside a quiet one it has what that leaves", func(b *bulkDetector) { both(b); b.addTokens(ours, 100, room, 0); b.addTokens(other, 899, room, 0) }, 0, nil},
+		{"and no more", func(b *bulkDetector) { both(b); b.addTokens(ours, 100, room, 0); b.addTokens(other, 901, room, 0) }, 0, []party{wholeTenant("other")}},
+		{"its share is never less than half", func(b *bulkDetector) { both(b); b.addTokens(ours, 499, room, 0); b.addTokens(other, 499, room, 0) }, 0, nil},
+		{"who is there no more leaves its share", func(b *bulkDetector) {
 			both(b)
-			b.told(other, presentFor, 0)
-			b.sent(ours, 700, room, 0)
-			b.sent(other, 999, room, presentFor)
-		}, presentFor, nil},
-		{"it goes on a little below", func(b *bulk) { both(b); b.sent(other, 1001, room, 0) }, turnover / 2, []party{wholeTenant("other")}},
-		{"and is over well below", func(b *bulk) { both(b); b.sent(other, 1001, room, 0) }, turnover, nil},
-		{"a tenant that vanishes in its run", func(b *bulk) { both(b); b.sent(other, 1e9, room, 0) }, presentFor, nil},
-		{"a tenant that is configured no more", func(b *bulk) {
+			b.markPresent(other, presenceTTL, 0)
+			b.addTokens(ours, 700, room, 0)
+			b.addTokens(other, 999, room, presenceTTL)
+		}, presenceTTL, nil},
+		{"it goes on a little below", func(b *bulkDetector) { both(b); b.addTokens(other, 1001, room, 0) }, cacheTurnover / 2, []party{wholeTenant("other")}},
+		{"and is over well below", func(b *bulkDetector) { both(b); b.addTokens(other, 1001, room, 0) }, cacheTurnover, nil},
+		{"a tenant that vanishes in its run", func(b *bulkDetector) { both(b); b.addTokens(other, 1e9, room, 0) }, presenceTTL, nil},
+		{"a tenant that is configured no more", func(b *bulkDetector) {
 			both(b)
-			b.sent(other, 1e6, room, 0)
-			b.divide(map[string]int{"ours": 1})
+			b.addTokens(other, 1e6, room, 0)
+			b.setShares(map[string]int{"ours": 1})
 		}, 0, nil},
-		{"the night's work beside urgent work of the same tenant", func(b *bulk) {
-			b.told(ours, 0, 0)
-			b.told(night, 0, 0)
-			b.told(other, 0, 0)
-			b.sent(ours, 100, room, 0)
-			b.sent(other, 600, room, 0)
-			b.sent(night, 450, room, 0)
+		{"the night's work beside urgent work of the same tenant", func(b *bulkDetector) {
+			b.markPresent(ours, 0, 0)
+			b.markPresent(night, 0, 0)
+			b.markPresent(other, 0, 0)
+			b.addTokens(ours, 100, room, 0)
+			b.addTokens(other, 600, room, 0)
+			b.addTokens(night, 450, room, 0)
 		}, 0, []party{wholeTenant("ours"), night}},
-		{"urgent work yields to nobody within its tenant", func(b *bulk) {
-			b.told(ours, 0, 0)
-			b.told(night, 0, 0)
-			b.sent(ours, 1001, room, 0)
-			b.sent(night, 1, room, 0)
+		{"urgent work yields to nobody within its tenant", func(b *bulkDetector) {
+			b.markPresent(ours, 0, 0)
+			b.markPresent(night, 0, 0)
+			b.addTokens(ours, 1001, room, 0)
+			b.addTokens(night, 1, room, 0)
 		}, 0, []party{wholeTenant("ours"), night}},
-		{"counters beside urgent work that sends as much", func(b *bulk) {
-			b.told(ours, 0, 0)
-			b.told(counter, 0, 0)
-			b.told(night, 0, 0)
-			b.sent(ours, 800, room, 0)
-			b.sent(counter, 900, room, 0)
-			b.sent(night, 4000, room, 0)
+		{"counters beside urgent work that sends as much", func(b *bulkDetector) {
+			b.markPresent(ours, 0, 0)
+			b.markPresent(counter, 0, 0)
+			b.markPresent(night, 0, 0)
+			b.addTokens(ours, 800, room, 0)
+			b.addTokens(counter, 900, room, 0)
+			b.addTokens(night, 4000, room, 0)
 		}, 0, []party{wholeTenant("ours"), night}},
-		{"the night's work alone", func(b *bulk) { b.told(night, 0, 0); b.told(other, 0, 0); b.sent(night, 450, room, 0) }, 0, nil},
+		{"the night's work alone", func(b *bulkDetector) {
+			b.markPresent(night, 0, 0)
+			b.markPresent(other, 0, 0)
+			b.addTokens(night, 450, room, 0)
+		}, 0, nil},
 	} {
-		b := bulkOf()
+		b := newTwoTenantDetector()
 		c.do(b)
-		b.review(room, c.at)
-		if len(b.bulky) != len(c.want) {
-			t.Errorf("%s: %v, want %v", c.name, b.bulky, c.want)
+		b.reassessAll(room, c.at)
+		if len(b.bulkParties) != len(c.want) {
+			t.Errorf("%s: %v, want %v", c.name, b.bulkParties, c.want)
 		}
 		for _, p := range c.want {
-			if !b.bulky[p] {
+			if !b.bulkParties[p] {
 				t.Errorf("%s: %v is none", c.name, p)
 			}
 		}
@@ -97,19 +101,19 @@
 		for i := range 1 + rnd.IntN(5) {
 			shares[fmt.Sprint("t", i)] = 1 + rnd.IntN(6)
 		}
-		b := newBulk(nil)
-		b.divide(shares)
+		b := newBulkDetector(nil)
+		b.setShares(shares)
 		sum := 0
 		for tenant, share := range shares {
 			sum += share
 			for rank := range 1 + rnd.IntN(3) {
-				b.told(party{Tenant: tenant, Rank: rank}, 0, 0)
+				b.markPresent(party{Tenant: tenant, Rank: rank}, 0, 0)
 				if rank > 0 && rnd.IntN(3) == 0 {
-					b.bulky[party{Tenant: tenant, Rank: rank}] = true
+					b.bulkParties[party{Tenant: tenant, Rank: rank}] = true
 				}
 			}
 			if rnd.IntN(2) == 0 {
-				b.bulky[wholeTenant(tenant)] = true
+				b.bulkParties[wholeTenant(tenant)] = true
 			}
 		}
 		ids := make([]string, 2+rnd.IntN(12))
@@ -121,7 +125,7 @@
 			needed += max(1, len(ids)*share/sum)
 		}
 		has := map[string]string{}
-		for tenant, home := range homes(shares, ids) {
+		for tenant, home := range assignReplicas(shares, ids) {
 			for _, id := range home {
 				if other := has[id]; other != "" && needed <= len(ids) && len(shares) > 1 {
 					t.Fatalf("seed %d: %s is of %s and of %s", seed, id, tenant, other)
@@ -132,16 +136,16 @@
 		for tenant, share := range shares {
 			for rank := range conf.Ranks {
 				by := party{Tenant: tenant, Rank: rank}
-				got := b.among(by, ids, 0)
-				whole, own := b.bulky[wholeTenant(tenant)] && len(shares) > 1, b.bulky[by]
-				if got.only != nil && len(got.only) == 0 || got.only != nil && !whole && !own || got.only == nil && whole {
-					t.Fatalf("seed %d: %v of %v among %v: %+v", seed, by, b.bulky, ids, got)
+				got := b.divideReplicas(by, ids, 0)
+				whole, own := b.bulkParties[wholeTenant(tenant)] && len(shares) > 1, b.bulkParties[by]
+				if got.allowed != nil && len(got.allowed) == 0 || got.allowed != nil && !whole && !own || got.allowed == nil && whole {
+					t.Fatalf("seed %d: %v of %v among %v: %+v", seed, by, b.bulkParties, ids, got)
 				}
-				if whole && len(got.only) > max(1, len(ids)*share/sum) {
-					t.Fatalf("seed %d: %v has %d of %d replicas for %d of %d", seed, by, len(got.only), len(ids), share, sum)
+				if whole && len(got.allowed) > max(1, len(ids)*share/sum) {
+					t.Fatalf("seed %d: %v has %d of %d replicas for %d of %d", seed, by, len(got.allowed), len(ids), share, sum)
 				}
 				rnd.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-				if again := b.among(by, ids, 0); fmt.Sprint(again) != fmt.Sprint(got) {
+				if again := b.divideReplicas(by, ids, 0); fmt.Sprint(again) != fmt.Sprint(got) {
 					t.Fatalf("seed %d: another proxy divides otherwise: %+v, %+v", seed, got, again)
 				}
 			}
@@ -149,21 +153,21 @@
 	}
 }
 
-func TestUrgentWorkAndItsOwnTenantsBulkGoApart(t *testing.T) {
-	b := bulkOf()
+func TestBulkIsSeparatedFromUrgentRequestsOfTheSameTenant(t *testing.T) {
+	b := newTwoTenantDetector()
 	ids := []string{"r1", "r2", "r3", "r4", "r5", "r6"}
 	urgent, night := party{Tenant: "ours"}, party{Tenant: "ours", Rank: 6}
-	b.told(urgent, 0, 0)
-	b.told(night, 0, 0)
-	b.bulky[night] = true
-	u, n := b.among(urgent, ids, 0), b.among(night, ids, 0)
-	if len(n.only) != 3 || u.only != nil || fmt.Sprint(u.avoid) != fmt.Sprint(n.only) {
+	b.markPresent(urgent, 0, 0)
+	b.markPresent(night, 0, 0)
+	b.bulkParties[night] = true
+	u, n := b.divideReplicas(urgent, ids, 0), b.divideReplicas(night, ids, 0)
+	if len(n.allowed) != 3 || u.allowed != nil || fmt.Sprint(u.avoid) != fmt.Sprint(n.allowed) {
 		t.Errorf("urgent %+v, night %+v", u, n)
 	}
-	if first := inOrderOf("ours", ids)[0]; n.only[first] || u.verdict(first) != 1 {
+	if first := rankedFor("ours", ids)[0]; n.allowed[first] || u.shareScore(first) != 1 {
 		t.Errorf("the night's work has %s, the tenant's first", first)
 	}
-	if !slices.Equal(inOrderOf("ours", ids), inOrderOf("ours", []string{"r6", "r5", "r4", "r3", "r2", "r1"})) {
+	if !slices.Equal(rankedFor("ours", ids), rankedFor("ours", []string{"r6", "r5", "r4", "r3", "r2", "r1"})) {
 		t.Error("the order of a tenant's replicas depends on who asks")
 	}
 }
--- a/internal/route/draft.go
+++ b/internal/route/draft.go
@@ -10,26 +10,26 @@
 // copyOnWrite is a map that belongs to the table before, too, until it is changed.
 type copyOnWrite[V any] struct {
 	entries map[string]V
-	own     bool
+	owned   bool
 }
 
 func (s *copyOnWrite[V]) set(key string, v V) {
-	s.copy()
+	s.ensureOwned()
 	s.entries[key] = v
 }
 
 func (s *copyOnWrite[V]) drop(key string) {
 	if _, found := s.entries[key]; found {
-		s.copy()
+		s.ensureOwned()
 		delete(s.entries, key)
 	}
 }
 
-func (s *copyOnWrite[V]) copy() {
-	if s.own {
+func (s *copyOnWrite[V]) ensureOwned() {
+	if s.owned {
 		return
 	}
-	if s.entries, s.own = maps.Clone(s.entries), true; s.entries == nil {
+	if s.entries, s.owned = maps.Clone(s.entries), true; s.entries == nil {
 		s.entries = map[string]V{}
 	}
 }
@@ -41,7 +41,7 @@
 }
 
 // able are the replicas that are worth a look for a request.
-func (x index) able(t Target, item string) []string {
+func (x index) replicasFor(t Target, item string) []string {
 	if t.Route.Kind == "model" {
 		holders, _ := x.holders.Get(item)
 		return holders
@@ -50,35 +50,35 @@
 }
 
 // indexing is an index while it is changed; no list is changed in its place.
-type indexing struct {
+type indexDraft struct {
 	holders  sharded.Draft[[]string]
 	services []string
 }
 
 // moved brings the index up to date with a row that takes the place of another;
 // either may be nil.
-func (x *indexing) moved(id string, before, after *Replica) {
-	for item := range before.models() {
-		if !after.models()[item] {
-			x.letGo(id, item)
+func (x *indexDraft) update(id string, before, after *Replica) {
+	for item := range before.modelItems() {
+		if !after.modelItems()[item] {
+			x.removeHolder(id, item)
 		}
 	}
-	for item := range after.models() {
-		if !before.models()[item] {
-			x.holders.Set(item, with(x.of(item), id))
+	for item := range after.modelItems() {
+		if !before.modelItems()[item] {
+			x.holders.Set(item, withID(x.holdersOf(item), id))
 		}
 	}
 	switch was, is := before.isService(), after.isService(); {
 	case was && !is:
-		x.services = without(x.services, id)
+		x.services = withoutID(x.services, id)
 	case is && !was:
-		x.services = with(x.services, id)
+		x.services = withID(x.services, id)
 	}
 }
 
 // letGo notes that a replica holds an item no more.
-func (x *indexing) letGo(id, item string) {
-	if left := without(x.of(item), id); len(left) > 0 {
+func (x *indexDraft) removeHolder(id, item string) {
+	if left := withoutID(x.holdersOf(item), id); len(left) > 0 {
 		x.holders.Set(item, left)
 	} else {
 		x.holders.Drop(item)
@@ -86,13 +86,13 @@
 }
 
 // of is the replicas that are ready for an item.
-func (x *indexing) of(item string) []string {
+func (x *indexDraft) holdersOf(item string) []string {
 	holders, _ := x.holders.Get(item)
 	return holders
 }
 
 // models are the items that a replica of models is ready for.
-func (r *Replica) models() map[string]bool {
+func (r *Replica) modelItems() map[string]bool {
 	if r == nil || !r.Listed.Model {
 		return nil
 	}
@@ -102,7 +102,7 @@
 func (r *Replica) isService() bool { return r != nil && !r.Listed.Model }
 
 // with is a new sorted list that has id, too.
-func with(sorted []string, id string) []string {
+func withID(sorted []string, id string) []string {
 	at, found := slices.BinarySearch(sorted, id)
 	if found {
 		return sorted
@@ -111,7 +111,7 @@
 }
 
 // without is a new sorted list that lacks id.
-func without(sorted []string, id string) []string {
+func withoutID(sorted []string, id string) []string {
 	at, found := slices.BinarySearch(sorted, id)
 	if !found {
 		return sorted
--- a/internal/route/look.go
+++ b/internal/route/look.go
@@ -11,18 +11,18 @@
 )
 
 type report struct {
-	v     backend.Report
-	at    time.Duration
-	mine  int64 // our requests on it when it was asked
-	other int   // those of others then
-	was   int   // those of others at the look before
-	known bool
-	luck  float64 // drawn for this report
+	status         backend.Report
+	requestedAt    time.Duration
+	ownInflight    int64 // our requests on it when it was asked
+	othersInflight int   // those of others then
+	previousOthers int   // those of others at the look before
+	valid          bool
+	draw           float64 // drawn for this report
 }
 
 // look asks replicas how they are; the table so goes on without controllers.
-func (k *Keeper) look(ctx context.Context, which func(*Replica) bool) {
-	s := k.Now()
+func (k *Router) poll(ctx context.Context, which func(*Replica) bool) {
+	s := k.Current()
 	ids := make([]string, 0, len(s.Replicas))
 	for id, r := range s.Replicas {
 		if which(r) {
@@ -38,37 +38,37 @@
 	}
 	asked := k.clock.Since()
 	ch := run.Fan(k.group, len(ids), func(ctx context.Context, i int) answer {
-		ctx, cancel := context.WithTimeout(ctx, lookFor)
+		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		r := s.Replicas[ids[i]]
 		mine := r.Live.Inflight.Load()
-		v, err := k.d.Replicas.Report(ctx, r.Listed.Target())
-		return answer{ids[i], report{v: v, at: asked, mine: mine, known: err == nil}}
+		v, err := k.deps.Replicas.Report(ctx, r.Listed.Target())
+		return answer{ids[i], report{status: v, requestedAt: asked, ownInflight: mine, valid: err == nil}}
 	})
 	var got []answer
 	for range ids {
 		a := <-ch
-		if !a.r.known {
+		if !a.r.valid {
 			if a.id == "" { // this proxy is stopping
 				continue
 			}
 			// Why: one that does not say how it is may be dark; whoever has a choice goes elsewhere until it does.
-			s.Replicas[a.id].Live.silent.Store(int64(asked))
+			s.Replicas[a.id].Live.silentAt.Store(int64(asked))
 			continue
 		}
 		got = append(got, a)
-		if a.r.v.Leaving {
+		if a.r.status.Leaving {
 			inventory.Mark(k.gossip, a.id)
 		}
 	}
 	_ = k.actor.Tell(func() {
 		for _, a := range got {
-			a.r.other, a.r.was = max(0, a.r.v.Inflight-int(a.r.mine)), k.heard[a.id].other
-			a.r.luck = rand.Float64()
-			if a.r.v.Inflight >= a.r.v.Slots {
-				k.full[a.r.v.Model] = a.r.at
+			a.r.othersInflight, a.r.previousOthers = max(0, a.r.status.Inflight-int(a.r.ownInflight)), k.reports[a.id].othersInflight
+			a.r.draw = rand.Float64()
+			if a.r.status.Inflight >= a.r.status.Slots {
+				k.lastFull[a.r.status.Model] = a.r.requestedAt
 			}
-			k.heard[a.id] = a.r
+			k.reports[a.id] = a.r
 		}
 		k.renew()
 	})
--- a/internal/route/memory.go
+++ b/internal/route/memory.go
@@ -8,21 +8,23 @@
 
 // memory knows which prefixes this proxy has sent where. Without tenants it
 // forgets the older half at once when it is full; with tenants each keeps its share.
-type memory struct {
-	mu     sync.Mutex
-	gen    [2]map[uint64]spots
-	shared *sharedcache.Cache[uint64, spots] // nil without tenants
-	reads  map[string]Reads                  // by tenant
+type prefixMemory struct {
+	mu          sync.Mutex
+	generations [2]map[uint64]warmReplicas
+	shared      *sharedcache.Cache[uint64, warmReplicas] // nil without tenants
+	reads       map[string]Reads                         // by tenant
 }
 
 // Reads counts the tokens of a tenant's prompts, and how many of them were to be
 // warm where they were sent.
 type Reads struct{ Tokens, Warm uint64 }
 
-func newMemory() *memory { return &memory{gen: [2]map[uint64]spots{{}, {}}} }
+func newPrefixMemory() *prefixMemory {
+	return &prefixMemory{generations: [2]map[uint64]warmReplicas{{}, {}}}
+}
 
 // divide shares the memory between tenants from now on; without any it is everybody's.
-func (m *memory) divide(shares map[string]int) {
+func (m *prefixMemory) setShares(shares map[string]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(shares) == 0 {
@@ -31,7 +33,7 @@
 	}
 	if m.shared == nil {
 		// Why: what was remembered before is still looked up until as much has come anew.
-		m.shared, m.reads = sharedcache.New[uint64, spots](2*remembered, nil), map[string]Reads{}
+		m.shared, m.reads = sharedcache.New[uint64, warmReplicas](2*generationSize, nil), map[string]Reads{}
 	}
 	m.shared.SetShares(shares)
 	for tenant := range m.reads {
@@ -42,26 +44,26 @@
 }
 
 // spots are the replicas where a prefix is warm.
-func (m *memory) spots(digest uint64) (spots, bool) {
+func (m *prefixMemory) replicasWarm(digest uint64) (warmReplicas, bool) {
 	if m.shared != nil {
 		if s, found := m.shared.Peek(digest); found {
 			return s, true
 		}
 	}
-	if s, found := m.gen[0][digest]; found {
+	if s, found := m.generations[0][digest]; found {
 		return s, true
 	}
-	s, found := m.gen[1][digest]
+	s, found := m.generations[1][digest]
 	return s, found
 }
 
 // warm is, for each replica where any of the prompt is warm, how much of it.
-func (m *memory) warm(p Prompt) map[string]float64 {
+func (m *prefixMemory) warmFractions(p Prompt) map[string]float64 {
 	out := map[string]float64{}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i, d := range p.digests {
-		s, found := m.spots(d)
+		s, found := m.replicasWarm(d)
 		if !found {
 			break
 		}
@@ -75,40 +77,40 @@
 }
 
 // sent remembers that a prompt is warm on a replica from now on.
-func (m *memory) sent(p Prompt, id string, by sharedcache.Owner) {
+func (m *prefixMemory) add(p Prompt, id string, by sharedcache.Owner) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.shared != nil {
-		m.sentBy(p, id, by)
+		m.addShared(p, id, by)
 		return
 	}
 	for _, d := range p.digests {
 		// Why: two generations bound the memory and forget the oldest half at once.
-		if len(m.gen[0]) >= remembered {
-			m.gen[1], m.gen[0] = m.gen[0], map[uint64]spots{}
+		if len(m.generations[0]) >= generationSize {
+			m.generations[1], m.generations[0] = m.generations[0], map[uint64]warmReplicas{}
 		}
-		s, found := m.gen[0][d]
+		s, found := m.generations[0][d]
 		if !found {
-			s = m.gen[1][d]
+			s = m.generations[1][d]
 		}
-		m.gen[0][d] = s.with(id)
+		m.generations[0][d] = s.with(id)
 	}
 }
 
 // sentBy is sent among tenants. Why: the beginning of a prompt is put last, as
 // the latest used; what comes behind it is worth nothing without it.
-func (m *memory) sentBy(p Prompt, id string, by sharedcache.Owner) {
+func (m *prefixMemory) addShared(p Prompt, id string, by sharedcache.Owner) {
 	for i := len(p.digests) - 1; i >= 0; i-- {
-		s, _ := m.spots(p.digests[i])
+		s, _ := m.replicasWarm(p.digests[i])
 		m.shared.Put(p.digests[i], by, 1, s.with(id))
 	}
-	if m.shared.Len() >= remembered {
-		m.gen = [2]map[uint64]spots{{}, {}}
+	if m.shared.Len() >= generationSize {
+		m.generations = [2]map[uint64]warmReplicas{{}, {}}
 	}
 }
 
 // read counts a prompt that is sent where so much of it is warm.
-func (m *memory) read(tenant string, p Prompt, warm float64) {
+func (m *prefixMemory) countRead(tenant string, p Prompt, warm float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.reads == nil {
@@ -121,7 +123,7 @@
 }
 
 // figures are what each tenant has here.
-func (m *memory) figures() ([]sharedcache.Usage, map[string]Reads) {
+func (m *prefixMemory) stats() ([]sharedcache.Usage, map[string]Reads) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.shared == nil {
--- a/internal/route/memory_test.go
+++ b/internal/route/memory_test.go
@@ -17,27 +17,27 @@
 }
 
 // bulkRun sends many long prompts, each of its own.
-func bulkRun(m *memory, prompts int, by sharedcache.Owner) {
+func addDistinctPrompts(m *prefixMemory, prompts int, by sharedcache.Owner) {
 	for i := range prompts {
-		m.sent(ReadPrompt("m", body(uint64(1_000_000+i), 4096)), "r-9", by)
+		m.add(PromptFromBody("m", body(uint64(1_000_000+i), 4096)), "r-9", by)
 	}
 }
 
-func TestABulkRunDoesNotMakeUsForgetWhereOthersAreWarm(t *testing.T) {
+func TestBulkOfOneTenantDoesNotEvictPrefixesOfAnother(t *testing.T) {
 	ours, theirs := sharedcache.Owner{Tenant: "transport"}, sharedcache.Owner{Tenant: "archive", Rank: 1}
 	for _, c := range []struct {
 		shares map[string]int
 		keeps  bool
 	}{{map[string]int{"transport": 1, "archive": 1}, true}, {nil, false}} {
-		m := newMemory()
-		m.divide(c.shares)
+		m := newPrefixMemory()
+		m.setShares(c.shares)
 		for i := range uint64(1000) {
-			m.sent(ReadPrompt("m", body(i, 4096)), "r-1", ours)
+			m.add(PromptFromBody("m", body(i, 4096)), "r-1", ours)
 		}
-		bulkRun(m, 20_000, theirs)
+		addDistinctPrompts(m, 20_000, theirs)
 		known := 0
 		for i := range uint64(1000) {
-			if m.warm(ReadPrompt("m", body(i, 4096)))["r-1"] == 1 {
+			if m.warmFractions(PromptFromBody("m", body(i, 4096)))["r-1"] == 1 {
 				known++
 			}
 		}
@@ -48,57 +48,57 @@
 	}
 }
 
-func TestWhatWasRememberedBeforeThereWereTenantsStays(t *testing.T) {
-	m := newMemory()
-	p := ReadPrompt("m", body(7, 2048))
-	m.sent(p, "r-1", sharedcache.Owner{})
-	m.divide(map[string]int{"transport": 1})
-	if got := m.warm(p)["r-1"]; got != 1 {
+func TestPrefixesSurviveEnablingAndDisablingTenants(t *testing.T) {
+	m := newPrefixMemory()
+	p := PromptFromBody("m", body(7, 2048))
+	m.add(p, "r-1", sharedcache.Owner{})
+	m.setShares(map[string]int{"transport": 1})
+	if got := m.warmFractions(p)["r-1"]; got != 1 {
 		t.Errorf("%v of it is warm after tenants came", got)
 	}
-	m.sent(p, "r-2", sharedcache.Owner{Tenant: "transport"})
-	if got := m.warm(p); got["r-1"] != 1 || got["r-2"] != 1 {
+	m.add(p, "r-2", sharedcache.Owner{Tenant: "transport"})
+	if got := m.warmFractions(p); got["r-1"] != 1 || got["r-2"] != 1 {
 		t.Errorf("warm %v", got)
 	}
-	bulkRun(m, 10_000, sharedcache.Owner{Tenant: "transport"})
-	if len(m.gen[0])+len(m.gen[1]) > 0 {
+	addDistinctPrompts(m, 10_000, sharedcache.Owner{Tenant: "transport"})
+	if len(m.generations[0])+len(m.generations[1]) > 0 {
 		t.Error("what was remembered before is kept for ever")
 	}
-	m.divide(nil)
-	m.sent(p, "r-3", sharedcache.Owner{})
-	if got := m.warm(p)["r-3"]; got != 1 {
+	m.setShares(nil)
+	m.add(p, "r-3", sharedcache.Owner{})
+	if got := m.warmFractions(p)["r-3"]; got != 1 {
 		t.Errorf("%v of it is warm after tenants went", got)
 	}
 }
 
-func TestTheMemoryIsBoundedWithTenants(t *testing.T) {
-	m := newMemory()
-	m.divide(map[string]int{"a": 1, "b": 5})
+func TestPrefixMemoryIsBoundedWithTenants(t *testing.T) {
+	m := newPrefixMemory()
+	m.setShares(map[string]int{"a": 1, "b": 5})
 	for _, tenant := range []string{"a", "b", "a"} {
-		bulkRun(m, 20_000, sharedcache.Owner{Tenant: tenant})
+		addDistinctPrompts(m, 20_000, sharedcache.Owner{Tenant: tenant})
 	}
-	if n := m.shared.Len(); n != 2*remembered {
-		t.Errorf("%d prefixes, want %d", n, 2*remembered)
+	if n := m.shared.Len(); n != 2*generationSize {
+		t.Errorf("%d prefixes, want %d", n, 2*generationSize)
 	}
 }
 
-func TestWhatWasWarmIsCountedByTenant(t *testing.T) {
-	m := newMemory()
-	p := PromptOf("m", []Part{{"a", 100}, {"b", 300}})
-	m.read("a", p, 0.25)
-	if _, reads := m.figures(); reads != nil {
+func TestWarmTokensAreCountedByTenant(t *testing.T) {
+	m := newPrefixMemory()
+	p := PromptFromParts("m", []Part{{"a", 100}, {"b", 300}})
+	m.countRead("a", p, 0.25)
+	if _, reads := m.stats(); reads != nil {
 		t.Errorf("counted without tenants: %v", reads)
 	}
-	m.divide(map[string]int{"a": 1, "b": 1})
-	m.read("a", p, 0.25)
-	m.read("a", p, 1)
-	m.read("b", ReadPrompt("m", body(1, 400)), 0)
-	_, reads := m.figures()
+	m.setShares(map[string]int{"a": 1, "b": 1})
+	m.countRead("a", p, 0.25)
+	m.countRead("a", p, 1)
+	m.countRead("b", PromptFromBody("m", body(1, 400)), 0)
+	_, reads := m.stats()
 	if reads["a"] != (Reads{Tokens: 800, Warm: 500}) || reads["b"] != (Reads{Tokens: 100}) {
 		t.Errorf("%v", reads)
 	}
-	m.divide(map[string]int{"a": 1})
-	if _, reads = m.figures(); len(reads) != 1 {
+	m.setShares(map[string]int{"a": 1})
+	if _, reads = m.stats(); len(reads) != 1 {
 		t.Errorf("a tenant that is gone is still counted: %v", reads)
 	}
 }
@@ -111,7 +111,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			m := newMemory()
+			m := newPrefixMemory()
 			shares := map[string]int{}
 			owners := []sharedcache.Owner{{}}
 			for i := range tenants {
@@ -121,25 +121,25 @@
 			if tenants > 0 {
 				owners = owners[1:]
 			}
-			m.divide(shares)
-			bulkRun(m, 30_000, owners[0])
+			m.setShares(shares)
+			addDistinctPrompts(m, 30_000, owners[0])
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			entries := len(m.gen[0]) + len(m.gen[1])
+			entries := len(m.generations[0]) + len(m.generations[1])
 			if m.shared != nil {
 				entries = m.shared.Len()
 			}
 			prompts := make([]Prompt, 512)
 			for i := range prompts {
-				prompts[i] = ReadPrompt("m", body(uint64(i), 4096))
+				prompts[i] = PromptFromBody("m", body(uint64(i), 4096))
 			}
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
 				n++
 				p := prompts[n%len(prompts)]
-				m.warm(p)
-				m.sent(p, "r-1", owners[n%len(owners)])
+				m.warmFractions(p)
+				m.add(p, "r-1", owners[n%len(owners)])
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(entries), "B/entry")
 			runtime.KeepAlive(m)
--- a/internal/route/predict.go
+++ b/internal/route/predict.go
@@ -9,23 +9,23 @@
 
 const (
 	// readPace is how long one token of a prompt takes to be read, until it has been seen.
-	readPace = time.Millisecond / 30
+	defaultPrefillPace = time.Millisecond / 30
 	// quietLoad is up to how many requests on a replica a first event tells how fast prompts are read.
-	quietLoad = 2
+	maxLearnLoad = 2
 	// longPrompt is from how many tokens on it does.
-	longPrompt = 300
+	minLearnTokens = 300
 	// heldUp is how much a prompt that is read counts for each request that waits for its next event meanwhile.
-	heldUp = 0.3
+	prefillInterference = 0.3
 	// perRequest is what each running request adds to the wait.
-	perRequest = 2 * time.Millisecond
+	waitPerRequest = 2 * time.Millisecond
 )
 
 // Predictor learns how fast the replicas read prompts.
 type Predictor struct {
-	mu    sync.Mutex
-	pace  time.Duration // per token
-	mean  float64       // tokens of a prompt, on average
-	known bool
+	mu            sync.Mutex
+	pace          time.Duration // per token
+	averageTokens float64       // tokens of a prompt, on average
+	known         bool
 }
 
 // Pace is how long one token of a prompt takes to be read.
@@ -33,9 +33,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.known {
-		return readPace, p.mean
+		return defaultPrefillPace, p.averageTokens
 	}
-	return p.pace, p.mean
+	return p.pace, p.averageTokens
 }
 
 // Learn takes the time to a first event, and the tokens that were read for it,
@@ -43,8 +43,8 @@
 func (p *Predictor) Learn(tokens, load int, first time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mean += (float64(tokens) - p.mean) / 16
-	if tokens < longPrompt || load > quietLoad {
+	p.averageTokens += (float64(tokens) - p.averageTokens) / 16
+	if tokens < minLearnTokens || load > maxLearnLoad {
 		return
 	}
 	seen := first / time.Duration(tokens)
@@ -61,17 +61,17 @@
 
 // backlogPart of the pause that should not occur is how long the prompts that a
 // replica still has to read may take before it gets another from here.
-const backlogPart = 0.45
+const maxBacklogFraction = 0.45
 
 // wordFresh is how long what an answer said of prompts that wait is taken as the present.
-const wordFresh = 150 * time.Millisecond
+const loadHintFresh = 150 * time.Millisecond
 
 // swamped says that one more prompt would make the running answers of a replica
 // pause for too long. Why: a replica reads prompts between the tokens of other
 // answers, and what is read together stops those.
-func (k *Keeper) swamped(r *Replica, uncached int, gap time.Duration, now time.Duration) bool {
-	ahead := float64(r.Live.unread.tokens.Load())
-	if w := r.Live.load.Load(); w != nil && now-w.at < wordFresh {
+func (k *Router) prefillBacklogged(r *Replica, uncached int, gap time.Duration, now time.Duration) bool {
+	ahead := float64(r.Live.pendingPrefill.tokens.Load())
+	if w := r.Live.lastHint.Load(); w != nil && now-w.at < loadHintFresh {
 		_, mean := k.predictor.Pace()
 		ahead += float64(w.waiting) * mean
 	}
@@ -79,25 +79,25 @@
 		return false
 	}
 	pace, _ := k.predictor.Pace()
-	return (ahead+float64(uncached))*float64(pace) > backlogPart*float64(gap)
+	return (ahead+float64(uncached))*float64(pace) > maxBacklogFraction*float64(gap)
 }
 
 // unread counts the prompt tokens that a replica has been sent and has not answered.
-type unread struct{ tokens atomic.Int64 }
+type pendingPrefill struct{ tokens atomic.Int64 }
 
 // wait predicts how long the first event of a prompt takes on a replica, and
 // adds what its reading holds up there.
-func (k *Keeper) wait(r *Replica, uncached int, now time.Duration) time.Duration {
+func (k *Router) predictWait(r *Replica, uncached int, now time.Duration) time.Duration {
 	pace, mean := k.predictor.Pace()
-	ahead := float64(r.Live.unread.tokens.Load()) + float64(r.Live.othersWaiting(now))*mean
-	own := float64(uncached) * (1 + heldUp*float64(r.Load()))
-	return time.Duration(math.Round((ahead+own)*float64(pace))) + time.Duration(r.Load())*perRequest
+	ahead := float64(r.Live.pendingPrefill.tokens.Load()) + float64(r.Live.hintedWaiting(now))*mean
+	own := float64(uncached) * (1 + prefillInterference*float64(r.Load()))
+	return time.Duration(math.Round((ahead+own)*float64(pace))) + time.Duration(r.Load())*waitPerRequest
 }
 
 // othersWaiting is how many requests of others wait to be read, as an answer has told lately.
-func (l *Live) othersWaiting(now time.Duration) int {
-	w := l.load.Load()
-	if w == nil || now-w.at > wordLasts {
+func (l *Live) hintedWaiting(now time.Duration) int {
+	w := l.lastHint.Load()
+	if w == nil || now-w.at > loadHintTTL {
 		return 0
 	}
 	return w.waiting
--- a/internal/route/reading_test.go
+++ b/internal/route/reading_test.go
@@ -12,25 +12,25 @@
 )
 
 // slowClock is that of a machine on which everything takes its time: each look at it is a step later.
-type slowClock struct{ handClock }
+type steppingClock struct{ manualClock }
 
-const slowStep = 20 * time.Millisecond
+const clockStep = 20 * time.Millisecond
 
-func (c *slowClock) Since() time.Duration {
-	c.now += slowStep
+func (c *steppingClock) Since() time.Duration {
+	c.now += clockStep
 	return c.now
 }
 
-func TestAKeeperRestsBetweenConfigurationsAndThenReadsTheNewest(t *testing.T) {
-	clock, table := &slowClock{handClock{time.Hour}}, gossip.NewTable()
-	k := NewKeeper(Deps{Group: stoppedGroup(), Gossip: table, Clock: clock, Zone: func() string { return "z" }, HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
+func TestRouterRestsBetweenConfigurationsThenAppliesTheNewest(t *testing.T) {
+	clock, table := &steppingClock{manualClock{time.Hour}}, gossip.NewTable()
+	k := NewRouter(Deps{Group: stoppedGroup(), Gossip: table, Clock: clock, Zone: func() string { return "z" }, SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
 	come := func(version uint64) {
 		table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: version}, Value: conf.Kept{Serial: version, Objects: map[string][]byte{}}.Pack()})
 		k.renew()
 	}
 	inForce := func(when string, want uint64) {
 		t.Helper()
-		if got := k.Now().Serial; got != want {
+		if got := k.Current().Serial; got != want {
 			t.Errorf("%s: %d is in force, want %d", when, got, want)
 		}
 	}
@@ -40,7 +40,7 @@
 	inForce("while the keeper rests", 1)
 	come(3)
 	inForce("while the keeper rests", 1)
-	clock.now += time.Duration(conf.ReadingRest().Times) * slowStep
+	clock.now += time.Duration(conf.ReadingRest().Times) * clockStep
 	k.renew()
 	inForce("after the rest", 3)
 	clock.now += time.Second
@@ -49,8 +49,8 @@
 }
 
 // On a machine so slow that reading takes a second, what has come must not wait for many more.
-func TestAKeeperOnASlowMachineRestsNoLongerThanTheBound(t *testing.T) {
-	r := NewKeeper(Deps{Group: stoppedGroup(), Gossip: gossip.NewTable(), Clock: &handClock{}, Zone: func() string { return "z" }}).reading
+func TestConfigurationRestIsBoundedOnSlowMachine(t *testing.T) {
+	r := NewRouter(Deps{Group: stoppedGroup(), Gossip: gossip.NewTable(), Clock: &manualClock{}, Zone: func() string { return "z" }}).confRest
 	r.Worked(0, time.Second)
 	if left := r.Left(time.Second); left != conf.ReadingRest().Most {
 		t.Errorf("a rest of %v after reading for a second", left)
--- a/internal/route/renew_bench_test.go
+++ b/internal/route/renew_bench_test.go
@@ -21,37 +21,37 @@
 	return wire.Pack(n)
 }
 
-func benchWorld(replicas int) *world {
-	w := newWorld(nil, 1, false)
+func newBenchFixture(replicas int) *fixture {
+	w := newFixture(nil, 1, false)
 	for i := range replicas {
 		w.gossip.Put(gossip.Entry{Key: order.Key(fmt.Sprint("r", i)), Stamp: w.stamp(), Value: benchStatus(i, 0)})
 	}
-	w.k.renew()
+	w.router.renew()
 	return w
 }
 
 func BenchmarkRenew(b *testing.B) {
 	for _, replicas := range []int{150, 600} {
 		b.Run(fmt.Sprintf("news of one of %d", replicas), func(b *testing.B) {
-			w := benchWorld(replicas)
+			w := newBenchFixture(replicas)
 			for i := 0; b.Loop(); i++ {
 				w.gossip.Put(gossip.Entry{Key: order.Key("r1"), Stamp: w.stamp(), Value: benchStatus(1, i)})
-				w.k.renew()
+				w.router.renew()
 			}
 		})
 		b.Run(fmt.Sprintf("a load at one of %d", replicas), func(b *testing.B) {
-			w := benchWorld(replicas)
+			w := newBenchFixture(replicas)
 			states := []string{backend.Loading, backend.Loaded}
 			for i := 0; b.Loop(); i++ {
 				n := order.Status{Listed: inventory.Listed{ID: "r1", Model: true, Zone: "z1"}, Slots: 8, Items: map[string]string{"model-1": states[i%2]}}
 				w.gossip.Put(gossip.Entry{Key: order.Key("r1"), Stamp: w.stamp(), Value: wire.Pack(n)})
-				w.k.renew()
+				w.router.renew()
 			}
 		})
 		b.Run(fmt.Sprintf("an interval at %d", replicas), func(b *testing.B) {
-			w := benchWorld(replicas)
+			w := newBenchFixture(replicas)
 			for b.Loop() {
-				w.k.renew()
+				w.router.renew()
 			}
 		})
 	}
@@ -60,10 +60,10 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, replicas := range []int{150, 600} {
 		b.Run(fmt.Sprintf("of %d", replicas), func(b *testing.B) {
-			w := benchWorld(replicas)
+			w := newBenchFixture(replicas)
 			target := Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "model-1"}}
 			for b.Loop() {
-				w.k.Choose(target)
+				w.router.Choose(target)
 			}
 		})
 	}
--- a/internal/route/renew_reference_test.go
+++ b/internal/route/renew_reference_test.go
@@ -17,49 +17,49 @@
 )
 
 // tableMadeAnew is the reference: it looks at all news and makes every row each time.
-type tableMadeAnew struct {
-	world *world
-	conf  conf.Effective
-	at    state.Stamp
-	first map[string]seenEntry
+type referenceTable struct {
+	fixture   *fixture
+	conf      conf.Effective
+	confStamp state.Stamp
+	entries   map[string]firstSeen
 }
 
 // seenEntry is when an entry was first seen in its present form.
-type seenEntry struct {
+type firstSeen struct {
 	stamp state.Stamp
 	at    time.Duration
 }
 
 // plainRow is a row with all that requests go by written out.
-type plainRow struct {
-	Listed          inventory.Listed
-	Slots           int
-	Elsewhere, Room int
-	ServeFor        time.Duration
-	Ready           string
-	Heard           time.Duration
-	Told            bool
+type expectedRow struct {
+	Listed                        inventory.Listed
+	Slots                         int
+	OthersInflight, InflightLimit int
+	ServiceTime                   time.Duration
+	Ready                         string
+	ReportedAt                    time.Duration
+	ViaController                 bool
 }
 
-type plainTable struct {
-	Rows   map[string]plainRow
-	Expect map[string]plan.Expect
-	Coming map[string]time.Duration
-	Acked  map[string]state.Stamp
-	Stamp  state.Stamp
+type expectedTable struct {
+	Rows        map[string]expectedRow
+	Predictions map[string]plan.Expectation
+	ReadyAt     map[string]time.Duration
+	Acked       map[string]state.Stamp
+	Stamp       state.Stamp
 }
 
-func emptyTable() plainTable {
-	return plainTable{Rows: map[string]plainRow{}, Expect: map[string]plan.Expect{}, Coming: map[string]time.Duration{}, Acked: map[string]state.Stamp{}}
+func emptyTable() expectedTable {
+	return expectedTable{Rows: map[string]expectedRow{}, Predictions: map[string]plan.Expectation{}, ReadyAt: map[string]time.Duration{}, Acked: map[string]state.Stamp{}}
 }
 
-func readyItems(ready map[string]bool) string {
+func joinReadyItems(ready map[string]bool) string {
 	return strings.Join(slices.Sorted(maps.Keys(ready)), " ")
 }
 
-func (m *tableMadeAnew) make() plainTable {
-	w, out, now := m.world, emptyTable(), m.world.clock.now
-	if e, found := w.gossip.Get(conf.Key); found && e.Stamp.Newer(m.at) {
+func (m *referenceTable) build() expectedTable {
+	w, out, now := m.fixture, emptyTable(), m.fixture.clock.now
+	if e, found := w.gossip.Get(conf.Key); found && e.Stamp.Newer(m.confStamp) {
 		kept, err := conf.Unpack(e.Value)
 		if err != nil {
 			w.t.Fatal(err)
@@ -67,17 +67,17 @@
 		if m.conf, err = conf.Effect(kept); err != nil {
 			w.t.Fatal(err)
 		}
-		m.at = e.Stamp
+		m.confStamp = e.Stamp
 	}
-	out.Stamp = m.at
-	before := m.first
-	m.first = map[string]seenEntry{}
+	out.Stamp = m.confStamp
+	before := m.entries
+	m.entries = map[string]firstSeen{}
 	seen := func(e gossip.Entry) time.Duration {
 		s, found := before[e.Key]
 		if !found || s.stamp != e.Stamp {
-			s = seenEntry{e.Stamp, now}
+			s = firstSeen{e.Stamp, now}
 		}
-		m.first[e.Key] = s
+		m.entries[e.Key] = s
 		return s.at
 	}
 	for _, e := range w.gossip.List(replicaPrefix) {
@@ -86,20 +86,20 @@
 		if wire.Unpack(e.Value, &n) == nil {
 			row := m.row(n, now)
 			out.Rows[row.Listed.ID], out.Acked[row.Listed.ID] = row, e.Stamp
-			addComing(out.Coming, n, row.Listed.Leaving, at)
+			addReadyAt(out.ReadyAt, n, row.Listed.Leaving, at)
 		}
 	}
-	for _, e := range w.gossip.List(expectPrefix) {
-		var x plan.Expect
-		if at := seen(e); now-at < expectLasts && wire.Unpack(e.Value, &x) == nil {
-			out.Expect[e.Key[len(expectPrefix):]] = x
+	for _, e := range w.gossip.List(predictionPrefix) {
+		var x plan.Expectation
+		if at := seen(e); now-at < predictionTTL && wire.Unpack(e.Value, &x) == nil {
+			out.Predictions[e.Key[len(predictionPrefix):]] = x
 		}
 	}
 	return out
 }
 
-func addComing(coming map[string]time.Duration, n order.Status, leaving bool, at time.Duration) {
-	if n.Dark || leaving {
+func addReadyAt(coming map[string]time.Duration, n order.Status, leaving bool, at time.Duration) {
+	if n.Stale || leaving {
 		return
 	}
 	for item, st := range n.Items {
@@ -113,31 +113,31 @@
 	}
 }
 
-func (m *tableMadeAnew) row(n order.Status, now time.Duration) plainRow {
-	k := m.world.k
-	r := plainRow{Listed: n.Listed, Slots: n.Slots, Heard: never, ServeFor: time.Duration(n.ServeMs) * time.Millisecond}
+func (m *referenceTable) row(n order.Status, now time.Duration) expectedRow {
+	k := m.fixture.router
+	r := expectedRow{Listed: n.Listed, Slots: n.Slots, ReportedAt: never, ServiceTime: time.Duration(n.ServeMs) * time.Millisecond}
 	r.Listed.Leaving = n.Listed.Leaving || m.conf.Drained(n.Listed.Labels, n.Listed.Zone)
 	ready := map[string]bool{}
-	if h := k.heard[n.Listed.ID]; h.known {
-		r.Heard, r.Slots, r.ServeFor, r.Elsewhere, r.Room = h.at, h.v.Slots, h.v.ServeFor, h.other, int(h.mine)
-		if free := h.v.Slots - max(h.other, h.was) - int(h.mine); free > 0 {
-			r.Room += part(free, h.v.Slots, max(1, m.world.edges), now-k.full[h.v.Model], h.luck)
+	if h := k.reports[n.Listed.ID]; h.valid {
+		r.ReportedAt, r.Slots, r.ServiceTime, r.OthersInflight, r.InflightLimit = h.requestedAt, h.status.Slots, h.status.ServeFor, h.othersInflight, int(h.ownInflight)
+		if free := h.status.Slots - max(h.othersInflight, h.previousOthers) - int(h.ownInflight); free > 0 {
+			r.InflightLimit += quotaOfFree(free, h.status.Slots, max(1, m.fixture.edges), now-k.lastFull[h.status.Model], h.draw)
 		}
-		r.Listed.Leaving = r.Listed.Leaving || h.v.Leaving
-		for item, l := range h.v.Items {
-			if st := n.Items[item.String()]; l.State == backend.Loaded && st != order.Leaving && st != backend.Unloading {
+		r.Listed.Leaving = r.Listed.Leaving || h.status.Leaving
+		for item, l := range h.status.Items {
+			if st := n.Items[item.String()]; l.State == backend.Loaded && st != order.Withdrawn && st != backend.Unloading {
 				ready[item.String()] = true
 			}
 		}
 	}
-	if !k.d.Ask {
-		r.Told = true
-		if !n.Dark {
-			r.Heard, r.Slots = now, max(n.Slots, n.Listed.Slots)
+	if !k.deps.PollReplicas {
+		r.ViaController = true
+		if !n.Stale {
+			r.ReportedAt, r.Slots = now, max(n.Slots, n.Listed.Slots)
 			if live := k.lives[n.Listed.ID]; live != nil {
-				r.Elsewhere = live.others(now)
+				r.OthersInflight = live.hintedOthers(now)
 			}
-			r.Room = max(0, r.Slots-r.Elsewhere)
+			r.InflightLimit = max(0, r.Slots-r.OthersInflight)
 			for item, st := range n.Items {
 				if st == backend.Loaded {
 					ready[item] = true
@@ -145,19 +145,19 @@
 			}
 		}
 	}
-	r.Ready = readyItems(ready)
+	r.Ready = joinReadyItems(ready)
 	return r
 }
 
 // plain is the keeper's table in the same form.
-func (w *world) plain() plainTable {
-	s, out := w.k.Now(), emptyTable()
+func (w *fixture) actual() expectedTable {
+	s, out := w.router.Current(), emptyTable()
 	for id, r := range s.Replicas {
-		out.Rows[id] = plainRow{Listed: r.Listed, Slots: r.Slots, Elsewhere: r.elsewhere(), Room: r.mayHave(), ServeFor: r.ServeFor, Ready: readyItems(r.Ready),
-			Heard: w.k.heardAt(r), Told: r.Told}
+		out.Rows[id] = expectedRow{Listed: r.Listed, Slots: r.Slots, OthersInflight: r.othersInflight(), InflightLimit: r.inflightLimit(), ServiceTime: r.ServiceTime, Ready: joinReadyItems(r.Ready),
+			ReportedAt: w.router.lastReportAt(r), ViaController: r.Told}
 	}
-	maps.Insert(out.Expect, s.Expect.All())
-	maps.Copy(out.Coming, s.Coming)
+	maps.Insert(out.Predictions, s.Expect.All())
+	maps.Copy(out.ReadyAt, s.Coming)
 	maps.Copy(out.Acked, s.Acked)
 	out.Stamp = s.Stamp
 	return out
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -22,37 +22,37 @@
 )
 
 const (
-	interval     = 100 * time.Millisecond
-	lookInterval = 500 * time.Millisecond
-	lookFor      = 450 * time.Millisecond
+	renewInterval = 100 * time.Millisecond
+	pollInterval  = 500 * time.Millisecond
+	pollTimeout   = 450 * time.Millisecond
 	// dark is how old a replica's own report may be while it is still routed to.
-	dark = 2 * time.Second
+	maxReportAge = 2 * time.Second
 	// deaf is how long this proxy may hear nothing that could tell of a leaving
 	// replica before it sends nothing any more.
-	deaf = 2500 * time.Millisecond
+	defaultIsolationLimit = 2500 * time.Millisecond
 	// crowded is how long after a replica was full it is taken for granted that many want their places.
-	crowded = 5 * time.Second
+	contentionWindow = 5 * time.Second
 	// fewToo of its places is what a replica may be sent too many at once.
-	fewToo = 4
+	overcommitDivisor = 4
 	// patient times what a first piece may well take is longer than chance makes it.
-	patient = 3
+	firstChunkTimeoutFactor = 3
 	// leastPatience is what a machine may well stand still for by itself.
-	leastPatience = 40 * time.Millisecond
+	minFirstChunkTimeout = 40 * time.Millisecond
 )
 
 // Replica is one row of the table. It stays the same until what is told of its
 // replica changes, or the configuration.
 type Replica struct {
-	Listed   inventory.Listed
-	Slots    int
-	elsewher int // requests of other edges on it, as of its report
-	room     int // requests we may have on it until its next report
-	ServeFor time.Duration
-	Ready    map[string]bool
-	heard    time.Duration
-	Told     bool // what is known of it comes from its controller and its answers, not from reports to us
-	Dark     bool // its controller says that it does not answer
-	Live     *Live
+	Listed         inventory.Listed
+	Slots          int
+	reportedOthers int // requests of other edges on it, as of its report
+	quota          int // requests we may have on it until its next report
+	ServiceTime    time.Duration
+	Ready          map[string]bool
+	reportedAt     time.Duration
+	Told           bool // what is known of it comes from its controller and its answers, not from reports to us
+	Unreachable    bool // its controller says that it does not answer
+	Live           *Live
 	// cacheTokens is what it keeps of prompts where tenants share that and it evicts by last use alone; else 0.
 	cacheTokens int
 }
@@ -63,44 +63,44 @@
 	Serial   uint64
 	Stamp    state.Stamp
 	Replicas map[string]*Replica
-	Expect   sharded.Map[plan.Expect] // of items that nobody holds: planners' words
-	Coming   map[string]time.Duration // items on their way: when they should be there, on our clock
+	Expect   sharded.Map[plan.Expectation] // of items that nobody holds: planners' words
+	Coming   map[string]time.Duration      // items on their way: when they should be there, on our clock
 	Acked    map[string]state.Stamp
 	Version  uint64 // rises when the configuration or what is told of a replica changes
 	index    index
 }
 
 // Keeper keeps the table.
-type Keeper struct {
-	d        Deps
-	gossip   *gossip.Table
-	clock    tick.Clock
-	group    *run.Group
-	actor    *run.Actor
-	snap     atomic.Pointer[Snapshot]
-	lives    map[string]*Live
-	heard    map[string]report
-	told     map[string]*told // of each replica's entry, by its key
-	bringing map[string]*told // those of told to which something is on its way
-	cursor   uint64           // how far the news has been followed
-	confNews bool             // a configuration has come that was not read yet
-	reading  rest.Rest        // of configurations
-	expects  expects
-	renewed  atomic.Int64           // when the table was brought up to date last, on our clock
-	gone     map[string]struct{}    // replicas that have left the table, of which something is kept
-	full     map[bool]time.Duration // when a replica was last seen full: of models, of services
-	fresh    *run.Nudge
-	onNew    atomic.Pointer[func()]
-	warmth   *memory
-	bulk     *bulk
+type Router struct {
+	deps             Deps
+	gossip           *gossip.Table
+	clock            tick.Clock
+	group            *run.Group
+	actor            *run.Actor
+	current          atomic.Pointer[Snapshot]
+	lives            map[string]*Live
+	reports          map[string]report
+	entries          map[string]*entry // of each replica's entry, by its key
+	loadingEntries   map[string]*entry // those of told to which something is on its way
+	cursor           uint64            // how far the news has been followed
+	confPending      bool              // a configuration has come that was not read yet
+	confRest         rest.Rest         // of configurations
+	predictionExpiry predictionExpiry
+	renewedAt        atomic.Int64           // when the table was brought up to date last, on our clock
+	departed         map[string]struct{}    // replicas that have left the table, of which something is kept
+	lastFull         map[bool]time.Duration // when a replica was last seen full: of models, of services
+	renewSoon        *run.Nudge
+	onTable          atomic.Pointer[func()]
+	prefixes         *prefixMemory
+	bulk             *bulkDetector
 	// cacheRoom is what all replicas' caches hold of this proxy's prompts, in tokens, where they evict by last use alone.
-	cacheRoom atomic.Int64
+	cacheCapacity atomic.Int64
 
 	predictor Predictor
 
-	pressMu  sync.Mutex
-	pressing map[string]pressing
-	work     map[string]time.Duration // of each model: replicas' time to read its prompts, so far
+	pressureMu sync.Mutex
+	pressure   map[string]pressureCount
+	work       map[string]time.Duration // of each model: replicas' time to read its prompts, so far
 }
 
 // Deps is what a keeper needs from the rest of the proxy.
@@ -111,11 +111,11 @@
 	Replicas backend.Client
 	Zone     func() string
 	// HeardFor is how long ago anyone was heard who would know of leaving replicas.
-	HeardFor func() time.Duration
+	SinceContact func() time.Duration
 	// Edges is how many share the replicas.
 	Edges func() int
 	// Ask says that this proxy asks replicas for their reports itself.
-	Ask bool
+	PollReplicas bool
 	// Log is told what is decided seldom; nil is nobody.
 	Log *slog.Logger
 	// Deaf is how long nobody may be heard before nothing is sent any more; 0 is the default.
@@ -123,35 +123,37 @@
 }
 
 // NewKeeper keeps a table fresh.
-func NewKeeper(d Deps) *Keeper {
+func NewRouter(d Deps) *Router {
 	if d.Deaf == 0 {
-		d.Deaf = deaf
+		d.Deaf = defaultIsolationLimit
 	}
-	k := &Keeper{d: d, gossip: d.Gossip, clock: d.Clock, group: d.Group, lives: map[string]*Live{}, heard: map[string]report{},
-		told: map[string]*told{}, bringing: map[string]*told{}, reading: conf.ReadingRest(),
-		gone:   map[string]struct{}{},
-		full:   map[bool]time.Duration{true: -1 << 61, false: -1 << 61},
-		warmth: newMemory(), bulk: newBulk(d.Log), pressing: map[string]pressing{}, work: map[string]time.Duration{}}
-	k.snap.Store(&Snapshot{Conf: conf.Empty()})
-	k.actor = run.NewActor(d.Group, 256, interval, k.renew)
+	k := &Router{deps: d, gossip: d.Gossip, clock: d.Clock, group: d.Group, lives: map[string]*Live{}, reports: map[string]report{},
+		entries: map[string]*entry{}, loadingEntries: map[string]*entry{}, confRest: conf.ReadingRest(),
+		departed: map[string]struct{}{},
+		lastFull: map[bool]time.Duration{true: -1 << 61, false: -1 << 61},
+		prefixes: newPrefixMemory(), bulk: newBulkDetector(d.Log), pressure: map[string]pressureCount{}, work: map[string]time.Duration{}}
+	k.current.Store(&Snapshot{Conf: conf.Empty()})
+	k.actor = run.NewActor(d.Group, 256, renewInterval, k.renew)
 	// Why: a configuration and a withdrawn item are in force at once, not at the next interval; news that comes
 	// together makes one table.
-	k.fresh = run.NewNudge(k.actor, k.renew)
-	d.Gossip.OnNew(func(gossip.Entry) { k.fresh.Now() })
-	if !d.Ask {
+	k.renewSoon = run.NewNudge(k.actor, k.renew)
+	d.Gossip.OnNew(func(gossip.Entry) { k.renewSoon.Now() })
+	if !d.PollReplicas {
 		return k
 	}
-	d.Group.Every(lookInterval, func(ctx context.Context) { k.look(ctx, func(*Replica) bool { return true }) })
+	d.Group.Every(pollInterval, func(ctx context.Context) { k.poll(ctx, func(*Replica) bool { return true }) })
 	// Why: a replica just learned of is of no use until it has been looked at, nor is one whose room we have used up.
-	d.Group.Every(interval, func(ctx context.Context) { k.look(ctx, func(r *Replica) bool { return r.Live.look.Swap(false) }) })
+	d.Group.Every(renewInterval, func(ctx context.Context) {
+		k.poll(ctx, func(r *Replica) bool { return r.Live.wantsReport.Swap(false) })
+	})
 	return k
 }
 
 // OnTable names what is called after each new table.
-func (k *Keeper) OnTable(f func()) { k.onNew.Store(&f) }
+func (k *Router) OnTable(f func()) { k.onTable.Store(&f) }
 
 // Now is the table as it is.
-func (k *Keeper) Now() *Snapshot { return k.snap.Load() }
+func (k *Router) Current() *Snapshot { return k.current.Load() }
 
 // Target is what a request needs.
 type Target struct {
@@ -176,13 +178,13 @@
 }
 
 // Sendable says whether a request may go to a replica at this very moment.
-func (k *Keeper) Sendable(id string) bool {
+func (k *Router) Sendable(id string) bool {
 	// Why: a mark may have come since the table was made, and a proxy that hears nobody cannot know of marks.
-	return !inventory.Marked(k.gossip, id) && !k.Deaf()
+	return !inventory.Marked(k.gossip, id) && !k.Isolated()
 }
 
 // Since is the clock that Coming is told by.
-func (k *Keeper) Since() time.Duration { return k.clock.Since() }
+func (k *Router) MonotonicNow() time.Duration { return k.clock.Since() }
 
 // Deaf says that nobody is heard who would tell of leaving replicas.
-func (k *Keeper) Deaf() bool { return k.d.HeardFor() >= k.d.Deaf }
+func (k *Router) Isolated() bool { return k.deps.SinceContact() >= k.deps.Deaf }
--- a/internal/route/steer.go
+++ b/internal/route/steer.go
@@ -11,45 +11,45 @@
 
 const (
 	// warmEnough is the part of a prompt that is warm at a replica from which on it pushes out little there.
-	warmEnough = 0.5
+	minWarmFraction = 0.5
 	// nightPart of a tenant's replicas is where its less urgent bulk goes.
-	nightPart = 2
+	bulkReplicaDivisor = 2
 	// placesPart of a replica's places, times the others' part of the shares, is what a tenant leaves free there
 	// that has its own share of them.
-	placesPart = 4
+	reservedSlotDivisor = 4
 )
 
 // steering says where a request may push out what others keep warm. The zero
 // value leaves every replica open.
 type steering struct {
-	isOn  bool
-	only  map[string]bool // replicas that its new prompts may go to; nil is any
-	avoid map[string]bool // replicas that others' bulk goes to
+	enabled bool
+	allowed map[string]bool // replicas that its new prompts may go to; nil is any
+	avoid   map[string]bool // replicas that others' bulk goes to
 
-	tenant string
-	others float64 // part of the shares that is other tenants' who are present; 0 is nobody
-	edges  int
+	tenant         string
+	othersFraction float64 // part of the shares that is other tenants' who are present; 0 is nobody
+	edges          int
 }
 
 // crowds says whether a request would take a place that is kept free for other
 // tenants. Why: a tenant that waits for places everywhere would find one somewhere, and hardly ever where
 // its prompts are warm.
-func (s steering) crowds(r *Replica) bool {
-	if s.others == 0 {
+func (s steering) needsReservedSlot(r *Replica) bool {
+	if s.othersFraction == 0 {
 		return false
 	}
-	kept := int(math.Ceil(float64(r.Slots/placesPart) * s.others))
+	kept := int(math.Ceil(float64(r.Slots/reservedSlotDivisor) * s.othersFraction))
 	if kept == 0 || r.Load() < r.Slots-kept {
 		return false
 	}
-	return float64(r.Live.ofTenant(s.tenant)*s.edges) >= float64(r.Slots)*(1-s.others)
+	return float64(r.Live.inflightOfTenant(s.tenant)*s.edges) >= float64(r.Slots)*(1-s.othersFraction)
 }
 
-func (s steering) allows(id string) bool { return s.only == nil || s.only[id] }
+func (s steering) allows(id string) bool { return s.allowed == nil || s.allowed[id] }
 
 // verdict is what the judge "share" goes by.
-func (s steering) verdict(id string) float64 {
-	if !s.isOn || s.avoid[id] {
+func (s steering) shareScore(id string) float64 {
+	if !s.enabled || s.avoid[id] {
 		return 0
 	}
 	return 1
@@ -57,28 +57,28 @@
 
 // steer says where a request may go among the replicas that hold what it needs. It
 // is off without tenants.
-func (k *Keeper) steer(t Target, s *Snapshot, able []string, now time.Duration) steering {
+func (k *Router) steer(t Target, s *Snapshot, able []string, now time.Duration) steering {
 	if !s.Conf.HasTenants() {
 		return steering{}
 	}
-	by := k.owner(t)
+	by := k.ownerOf(t)
 	b := k.bulk
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := k.steerBulk(t, s, able, by, now)
-	out.tenant, out.edges = by.Tenant, max(1, k.d.Edges())
+	out.tenant, out.edges = by.Tenant, max(1, k.deps.Edges())
 	present := b.present(now)
 	if sum := b.presentShares(now); sum > 0 && present[by.Tenant] < sum {
-		out.others = 1 - float64(b.shares[by.Tenant])/float64(sum+b.shares[by.Tenant]-present[by.Tenant])
+		out.othersFraction = 1 - float64(b.shares[by.Tenant])/float64(sum+b.shares[by.Tenant]-present[by.Tenant])
 	}
 	return out
 }
 
 // steerBulk says where a prompt may push out what others keep warm. It is off where no
 // replica's cache is known or all divide theirs, and while nobody sends bulk.
-func (k *Keeper) steerBulk(t Target, s *Snapshot, able []string, by party, now time.Duration) steering {
+func (k *Router) steerBulk(t Target, s *Snapshot, able []string, by party, now time.Duration) steering {
 	b := k.bulk
-	if len(b.bulky) == 0 || t.Route.Kind != "model" || len(able) < 2 {
+	if len(b.bulkParties) == 0 || t.Route.Kind != "model" || len(able) < 2 {
 		return steering{}
 	}
 	steered := make([]string, 0, len(able))
@@ -90,22 +90,22 @@
 	if len(steered) < 2 {
 		return steering{}
 	}
-	out := b.among(by, steered, now)
+	out := b.divideReplicas(by, steered, now)
 	// Why: a request that has failed on a replica must not find the next one closed to it.
 	if t.Avoid != "" {
-		out.only = nil
+		out.allowed = nil
 	}
-	if out.only == nil {
+	if out.allowed == nil {
 		return out
 	}
 	for _, id := range able {
 		if r := s.Replicas[id]; r.cacheTokens == 0 {
-			out.only[id] = true
+			out.allowed[id] = true
 		}
 	}
-	for id, warm := range k.warmth.warm(t.Prompt) {
-		if warm >= warmEnough {
-			out.only[id] = true
+	for id, warm := range k.prefixes.warmFractions(t.Prompt) {
+		if warm >= minWarmFraction {
+			out.allowed[id] = true
 		}
 	}
 	return out
@@ -113,16 +113,16 @@
 
 // among divides replicas between the tenants that are present and, within the
 // tenant, between what is urgent and its own bulk.
-func (b *bulk) among(by party, ids []string, now time.Duration) steering {
-	out := steering{isOn: true, avoid: map[string]bool{}}
+func (b *bulkDetector) divideReplicas(by party, ids []string, now time.Duration) steering {
+	out := steering{enabled: true, avoid: map[string]bool{}}
 	present := b.present(now)
 	if len(present) > 1 {
-		for tenant, home := range homes(present, ids) {
+		for tenant, home := range assignReplicas(present, ids) {
 			switch {
-			case !b.bulky[wholeTenant(tenant)]:
+			case !b.bulkParties[wholeTenant(tenant)]:
 				continue
 			case tenant == by.Tenant:
-				out.only = setOf(home)
+				out.allowed = setOf(home)
 				continue
 			}
 			for _, id := range home {
@@ -130,15 +130,15 @@
 			}
 		}
 	}
-	mine := b.open(by.Tenant, ids, out)
+	mine := b.openReplicas(by.Tenant, ids, out)
 	if len(mine) < 2 {
 		return out
 	}
-	night := mine[part1(len(mine)-len(mine)/nightPart, len(mine)):]
+	night := mine[clampCount(len(mine)-len(mine)/bulkReplicaDivisor, len(mine)):]
 	switch {
-	case b.bulky[by]:
-		out.only = setOf(night)
-	case b.isAnyBulky(by):
+	case b.bulkParties[by]:
+		out.allowed = setOf(night)
+	case b.hasLessUrgentBulk(by):
 		for _, id := range night {
 			out.avoid[id] = true
 		}
@@ -147,10 +147,10 @@
 }
 
 // open are the replicas that a tenant's new prompts go to, in the tenant's own order.
-func (b *bulk) open(tenant string, ids []string, s steering) []string {
+func (b *bulkDetector) openReplicas(tenant string, ids []string, s steering) []string {
 	var out []string
-	for _, id := range inOrderOf(tenant, ids) {
-		if s.allows(id) && (s.only != nil || !s.avoid[id]) {
+	for _, id := range rankedFor(tenant, ids) {
+		if s.allows(id) && (s.allowed != nil || !s.avoid[id]) {
 			out = append(out, id)
 		}
 	}
@@ -158,8 +158,8 @@
 }
 
 // isAnyBulky says whether a less urgent step of the same tenant sends bulk.
-func (b *bulk) isAnyBulky(by party) bool {
-	for p := range b.bulky {
+func (b *bulkDetector) hasLessUrgentBulk(by party) bool {
+	for p := range b.bulkParties {
 		if p.Tenant == by.Tenant && p.Rank > by.Rank {
 			return true
 		}
@@ -170,31 +170,31 @@
 // homes gives each tenant as many replicas as its share is, at least one, and no
 // replica to two tenants while there are enough. Why: that is settled by who is present, not by who sends bulk,
 // since all proxies see that alike.
-func homes(present map[string]int, ids []string) map[string][]string {
+func assignReplicas(present map[string]int, ids []string) map[string][]string {
 	sum := 0
 	for _, share := range present {
 		sum += share
 	}
 	out, left := map[string][]string{}, ids
 	for _, tenant := range slices.Sorted(maps.Keys(present)) {
-		n := part1(len(ids)*present[tenant]/sum, len(ids))
+		n := clampCount(len(ids)*present[tenant]/sum, len(ids))
 		if len(left) < n {
-			out[tenant] = inOrderOf(tenant, ids)[:n]
+			out[tenant] = rankedFor(tenant, ids)[:n]
 			continue
 		}
-		mine := inOrderOf(tenant, left)
+		mine := rankedFor(tenant, left)
 		out[tenant], left = mine[:n], mine[n:]
 	}
 	return out
 }
 
 // inOrderOf are replicas in the order in which a tenant's bulk takes them, alike at every proxy.
-func inOrderOf(tenant string, ids []string) []string {
+func rankedFor(tenant string, ids []string) []string {
 	return share.Ranked([]byte(tenant), ids)
 }
 
 // part1 is a part of n things that leaves at least one on either side.
-func part1(part, n int) int { return max(1, min(part, n-1)) }
+func clampCount(part, n int) int { return max(1, min(part, n-1)) }
 
 func setOf(ids []string) map[string]bool {
 	out := make(map[string]bool, len(ids))
--- a/internal/route/steer_test.go
+++ b/internal/route/steer_test.go
@@ -17,9 +17,9 @@
 )
 
 // sharedWorld is a keeper with four replicas of one model, renewed by hand.
-type sharedWorld struct {
-	*Keeper
-	clock  *handClock
+type tenantFixture struct {
+	*Router
+	clock  *manualClock
 	gossip *gossip.Table
 	serial uint64
 }
@@ -34,18 +34,18 @@
 		"models":{"m":{"sizeMib":1,"service":"gpu"}}}`
 )
 
-func newShared(t *testing.T, doc string) *sharedWorld {
+func newTenantFixture(t *testing.T, doc string) *tenantFixture {
 	t.Helper()
-	return newSharedOf(t, doc, 4)
+	return newTenantFixtureOf(t, doc, 4)
 }
 
-func newSharedOf(t *testing.T, doc string, replicas int) *sharedWorld {
+func newTenantFixtureOf(t *testing.T, doc string, replicas int) *tenantFixture {
 	t.Helper()
-	s := &sharedWorld{clock: &handClock{now: time.Hour}, gossip: gossip.NewTable()}
+	s := &tenantFixture{clock: &manualClock{now: time.Hour}, gossip: gossip.NewTable()}
 	stopped := run.NewGroup(context.Background())
 	stopped.Stop()
-	s.Keeper = NewKeeper(Deps{Group: stopped, Gossip: s.gossip, Clock: s.clock, Zone: func() string { return "z1" },
-		HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
+	s.Router = NewRouter(Deps{Group: stopped, Gossip: s.gossip, Clock: s.clock, Zone: func() string { return "z1" },
+		SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
 	for i := range replicas {
 		id := fmt.Sprint("r", i)
 		n := order.Status{Listed: inventory.Listed{ID: id, Zone: "z1", Model: true, Slots: 1000, Labels: map[string]string{"pool": "main"}}, Slots: 1000,
@@ -56,7 +56,7 @@
 	return s
 }
 
-func (s *sharedWorld) configure(t *testing.T, doc string) {
+func (s *tenantFixture) configure(t *testing.T, doc string) {
 	t.Helper()
 	k, err := conf.ReadWhole("application/json", []byte(doc))
 	if err != nil {
@@ -68,23 +68,23 @@
 	s.renew()
 }
 
-func (s *sharedWorld) target(class string, prompt int) Target {
-	return Target{Route: conf.Route{Kind: "model", Class: class}, Item: conf.Item{Model: "m"}, Prompt: PromptOf("m", []Part{{fmt.Sprint(class, prompt), 1000}})}
+func (s *tenantFixture) target(class string, prompt int) Target {
+	return Target{Route: conf.Route{Kind: "model", Class: class}, Item: conf.Item{Model: "m"}, Prompt: PromptFromParts("m", []Part{{fmt.Sprint(class, prompt), 1000}})}
 }
 
 // send sends a prompt where it should go, and says where that was.
-func (s *sharedWorld) send(class string, prompt int) string {
+func (s *tenantFixture) send(class string, prompt int) string {
 	t := s.target(class, prompt)
 	r, _, _ := s.Choose(t)
 	if r == nil {
 		return ""
 	}
-	s.Took(t, r).Done()
+	s.StartAttempt(t, r).Done()
 	return r.Listed.ID
 }
 
 // spread is how many prompts of a class went to each replica.
-func (s *sharedWorld) spread(class string, from, n int) map[string]int {
+func (s *tenantFixture) spread(class string, from, n int) map[string]int {
 	out := map[string]int{}
 	for i := range n {
 		out[s.send(class, from+i)]++
@@ -101,7 +101,7 @@
 		{"replicas that divide their cache", fmt.Sprintf(withTenants, `,"cacheByShare":true`), 4},
 		{"no tenants", withoutTenants, 4},
 	} {
-		s := newShared(t, c.doc)
+		s := newTenantFixture(t, c.doc)
 		s.spread("plates", 0, 8)
 		s.spread("bulk", 0, 200)
 		theirs := s.spread("bulk", 1000, 200)
@@ -119,8 +119,8 @@
 	}
 }
 
-func TestIdleCachesAreLent(t *testing.T) {
-	s := newShared(t, fmt.Sprintf(withTenants, ""))
+func TestTenantUsesIdleCachesOfOthers(t *testing.T) {
+	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	if got := s.spread("bulk", 0, 400); len(got) != 4 {
 		t.Errorf("a tenant alone uses %v", got)
 	}
@@ -130,15 +130,15 @@
 	}
 	// The other vanishes.
 	s.renew()
-	s.clock.now += presentFor
+	s.clock.now += presenceTTL
 	s.renew()
 	if got := s.spread("bulk", 2000, 400); len(got) != 4 {
 		t.Errorf("alone again it uses %v", got)
 	}
 }
 
-func TestPresenceIsToldToOtherProxies(t *testing.T) {
-	a, b := newShared(t, fmt.Sprintf(withTenants, "")), newShared(t, fmt.Sprintf(withTenants, ""))
+func TestPresenceReachesOtherProxies(t *testing.T) {
+	a, b := newTenantFixture(t, fmt.Sprintf(withTenants, "")), newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	a.send("plates", 0)
 	fresh, _, _ := a.gossip.After(0)
 	told := 0
@@ -155,16 +155,16 @@
 	}
 }
 
-func TestSteeringLeavesWaysOpen(t *testing.T) {
-	s := newShared(t, fmt.Sprintf(withTenants, ""))
+func TestSteeringAllowsWarmReplicasAndRetries(t *testing.T) {
+	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	s.spread("bulk", 0, 8) // warm all over, before anybody else is there
 	s.spread("plates", 0, 4)
 	s.spread("bulk", 1000, 200)
 	now, able := s.clock.now, []string{"r0", "r1", "r2", "r3"}
 	warm := 0
 	for i := range 8 {
-		for id := range s.warmth.warm(s.target("bulk", i).Prompt) {
-			if !s.steer(s.target("bulk", i), s.Now(), able, now).allows(id) {
+		for id := range s.prefixes.warmFractions(s.target("bulk", i).Prompt) {
+			if !s.steer(s.target("bulk", i), s.Current(), able, now).allows(id) {
 				t.Errorf("a prompt may not go to %s, where it is warm", id)
 			}
 			warm++
@@ -176,17 +176,17 @@
 	again := s.target("bulk", 5000)
 	again.Avoid = "r0"
 	for _, id := range able {
-		if !s.steer(again, s.Now(), able, now).allows(id) {
+		if !s.steer(again, s.Current(), able, now).allows(id) {
 			t.Errorf("a request that has failed elsewhere may not go to %s", id)
 		}
 	}
-	if got := s.steer(s.target("bulk", 5000), s.Now(), able[:1], now); got.isOn {
+	if got := s.steer(s.target("bulk", 5000), s.Current(), able[:1], now); got.enabled {
 		t.Errorf("with one replica there is nothing to choose: %+v", got)
 	}
 }
 
-func TestOwnBulkKeepsAwayFromUrgentWork(t *testing.T) {
-	s := newShared(t, fmt.Sprintf(withTenants, ""))
+func TestOwnBulkAvoidsReplicasOfUrgentRequests(t *testing.T) {
+	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	s.spread("plates", 0, 4)
 	s.spread("night", 0, 100)
 	night, urgent := s.spread("night", 1000, 100), s.spread("plates", 100, 5)
@@ -198,14 +198,14 @@
 			t.Errorf("urgent work goes to %s, where the night's goes", id)
 		}
 	}
-	f := s.Tenants()["ours"]
-	if f.Share != 1 || f.Tokens != 209_000 || f.Warm != 0 || f.Kept != 209 {
+	f := s.StatsByTenant()["ours"]
+	if f.Share != 1 || f.Tokens != 209_000 || f.Warm != 0 || f.Prefixes != 209 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
-func TestSharesMayChangeInARun(t *testing.T) {
-	s := newShared(t, fmt.Sprintf(withTenants, ""))
+func TestSharesMayChangeAtRuntime(t *testing.T) {
+	s := newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	s.spread("plates", 0, 4)
 	s.spread("bulk", 0, 200)
 	for _, c := range []struct{ share, replicas int }{{1, 2}, {3, 3}, {1, 2}} {
@@ -225,7 +225,7 @@
 			bulk      int // prompts for each replica
 		}{{"no tenants", withoutTenants, 50}, {"tenants", fmt.Sprintf(withTenants, ""), 0}, {"a bulk run", fmt.Sprintf(withTenants, ""), 50}} {
 			b.Run(fmt.Sprintf("%s, %d replicas", c.name, replicas), func(b *testing.B) {
-				s := newSharedOf(&testing.T{}, c.doc, replicas)
+				s := newTenantFixtureOf(&testing.T{}, c.doc, replicas)
 				s.spread("plates", 0, 8)
 				s.spread("bulk", 0, c.bulk*replicas)
 				target := s.target("bulk", 1_000_000)
--- a/internal/sim/capacity/memory_test.go
+++ b/internal/sim/capacity/memory_test.go
@@ -23,7 +23,10 @@
 	})
 	fit("news table (10 items a replica)", "replica", reps, func(x int) float64 { return heap(func() any { return gossipTable(x, 10, 0, nil) }) })
 	fit("news table", "expect entry", its, func(x int) float64 { return heap(func() any { return gossipTable(0, 0, x, nil) }) })
-	fit("views, or a route table's rows (10 items)", "replica", reps, func(x int) float64 { t := gossipTable(x, 10, 0, nil); return heap(func() any { return plan.Views(t) }) })
+	fit("views, or a route table's rows (10 items)", "replica", reps, func(x int) float64 {
+		t := gossipTable(x, 10, 0, nil)
+		return heap(func() any { return plan.DecodeStatuses(t) })
+	})
 	fit("member table (rolls)", "node", nodes, func(x int) float64 {
 		b := wire.Pack(roll(x))
 		return heap(func() any { var r member.Roll; _ = wire.Unpack(b, &r); return r })
--- a/internal/sim/capacity/onecore_test.go
+++ b/internal/sim/capacity/onecore_test.go
@@ -41,10 +41,10 @@
 		fmt.Println("core:", err)
 		return
 	}
-	for i := 0; len(c.Held()) < state.Slots && i < 300; i++ {
+	for i := 0; len(c.Held()) < state.SlotCount && i < 300; i++ {
 		time.Sleep(50 * time.Millisecond)
 	}
-	if len(c.Held()) < state.Slots {
+	if len(c.Held()) < state.SlotCount {
 		fmt.Println("core holds", len(c.Held()), "slots, phase", c.Phase())
 	}
 	time.Sleep(4 * time.Second)
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -62,12 +62,12 @@
 		}
 		return func() { sink = t.Waiting(0) }
 	})
-	costs("plan.Views (10 items each)", "replica", reps, func(x int) func() { t := gossipTable(x, 10, 0, nil); return func() { sink = plan.Views(t) } })
-	costs("plan.Views (600 replicas)", "item held", []int{2, 10, 20, 40}, func(x int) func() { t := gossipTable(600, x, 0, nil); return func() { sink = plan.Views(t) } })
-	costs("plan.Views (75 replicas)", "expect entry", its, func(x int) func() { t := gossipTable(75, 10, x, nil); return func() { sink = plan.Views(t) } })
+	costs("plan.Views (10 items each)", "replica", reps, func(x int) func() { t := gossipTable(x, 10, 0, nil); return func() { sink = plan.DecodeStatuses(t) } })
+	costs("plan.Views (600 replicas)", "item held", []int{2, 10, 20, 40}, func(x int) func() { t := gossipTable(600, x, 0, nil); return func() { sink = plan.DecodeStatuses(t) } })
+	costs("plan.Views (75 replicas)", "expect entry", its, func(x int) func() { t := gossipTable(75, 10, x, nil); return func() { sink = plan.DecodeStatuses(t) } })
 	cfg, _ := conf.Effect(kept(1200, 40000, 200, 12))
 	costs("order.Cheapest, 417 nodes, 1 holder in 100", "replica", reps, func(x int) func() {
-		views := plan.Views(gossipTable(x, 10, 0, nil))
+		views := plan.DecodeStatuses(gossipTable(x, 10, 0, nil))
 		for i := 0; i < x; i += 100 {
 			views.All[i].Items["model-0001"] = "loaded"
 		}
@@ -76,22 +76,22 @@
 			t.Put(aReport(i, 0, 0, 8), 0)
 		}
 		it := conf.Item{Model: "model-0001"}
-		return func() { sink = order.Cheapest(views, "", it, t, 0, cfg) }
+		return func() { sink = order.CheapestServeTime(views, "", it, t, 0, cfg) }
 	})
 	costs("candidates: InflightOn each, judge.Load", "replica", reps, func(x int) func() {
-		views := plan.Views(gossipTable(x, 10, 0, nil))
+		views := plan.DecodeStatuses(gossipTable(x, 10, 0, nil))
 		t := report.NewTable()
 		for i := range 417 {
 			t.Put(aReport(i, 0, 0, 8), 0)
 		}
 		return func() {
-			var facts []judge.Replica
+			var facts []judge.Candidate
 			for _, v := range views.All {
 				if cfg.Allowed("model-0001", v.Listed.Labels) {
-					facts = append(facts, judge.Replica{Name: v.Listed.ID, Inflight: t.InflightOn(v.Listed.ID, 0), Slots: v.Slots, FreeMib: v.FreeMib, NeedMib: 140000, Fits: true})
+					facts = append(facts, judge.Candidate{Name: v.Listed.ID, Inflight: t.InflightOn(v.Listed.ID, 0), Slots: v.Slots, FreeMib: v.FreeMib, NeedMib: 140000, Fits: true})
 				}
 			}
-			sink = judge.Load(cfg.Weights, facts)
+			sink = judge.RankForLoadWithBreakdown(cfg.Weights, facts)
 		}
 	})
 	costs("demand.Series.Next, 7 epochs", "unit of horizon", []int{3, 12, 60, 180}, func(x int) func() {
@@ -99,8 +99,8 @@
 		for m := range int64(8 * 1440) {
 			s.Add(m, 2)
 		}
-		r := demand.Rule{Day: 1440, DayWeights: []float64{0.4, 0.2, 0.12, 0.1, 0.08, 0.06, 0.04}, WarmupMinutes: 2, HorizonMinutes: x}
-		return func() { sink = s.Next(r, 8*1440-200, 0) }
+		r := demand.Params{Day: 1440, DayWeights: []float64{0.4, 0.2, 0.12, 0.1, 0.08, 0.06, 0.04}, WarmupMinutes: 2, HorizonMinutes: x}
+		return func() { sink = s.PredictHorizon(r, 8*1440-200, 0) }
 	})
 	costs("news.Put (stamp newer)", "key in table", its, func(x int) func() {
 		t := gossipTable(600, 10, x, nil)
@@ -147,7 +147,7 @@
 			r, i, e := counts(x)
 			t := gossipTable(r, i, e, kept(1200, 40000, 200, 12).Pack())
 			gg := run.NewGroup(context.Background())
-			k := route.NewKeeper(route.Deps{Group: gg, Gossip: t, Clock: env.Clock, Replicas: fake{}, Zone: func() string { return "r0-z0" }, HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 410 }})
+			k := route.NewRouter(route.Deps{Group: gg, Gossip: t, Clock: env.Clock, Replicas: fake{}, Zone: func() string { return "r0-z0" }, SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 410 }})
 			done := make(chan struct{}, 1)
 			k.OnTable(func() {
 				select {
@@ -173,26 +173,26 @@
 	costs("route.Choose (two holders)", "replica", reps, func(x int) func() {
 		t := gossipTable(x, 10, 0, kept(1200, 40000, 200, 12).Pack())
 		gg := run.NewGroup(context.Background())
-		k := route.NewKeeper(route.Deps{Group: gg, Gossip: t, Clock: env.Clock, Replicas: fake{}, Zone: func() string { return "r0-z0" }, HeardFor: func() time.Duration { return 0 }, Edges: func() int { return 410 }})
-		for len(k.Now().Replicas) < x {
+		k := route.NewRouter(route.Deps{Group: gg, Gossip: t, Clock: env.Clock, Replicas: fake{}, Zone: func() string { return "r0-z0" }, SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 410 }})
+		for len(k.Current().Replicas) < x {
 			time.Sleep(20 * time.Millisecond)
 		}
 		gg.Stop()
-		snap := k.Now()
+		snap := k.Current()
 		target := route.Target{Route: snap.Conf.Resolve(snap.Conf.Routes["route-0002"], 0), Item: conf.Item{Model: ModelName(2)}}
 		return func() { b, held, _ := k.Choose(target); sink = b; _ = held }
 	})
 	costs("plan.Shared read and laid in (clone)", "item", its, func(x int) func() {
-		s := plan.Shared{From: "core-1", Next: map[string]float64{}}
+		s := plan.SharedPredictions{From: "core-1", Requests: map[string]float64{}}
 		for i := range x {
-			s.Next[ItemName(i)] = 12.25 + float64(i)/7
+			s.Requests[ItemName(i)] = 12.25 + float64(i)/7
 		}
 		b := wire.Pack(s)
 		held := map[string]float64{}
 		return func() {
-			var in plan.Shared
+			var in plan.SharedPredictions
 			_ = wire.Unpack(b, &in)
-			for k, v := range in.Next {
+			for k, v := range in.Requests {
 				held[k] = v
 			}
 			next := make(map[string]float64, len(held))
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -65,20 +65,20 @@
 		}
 		return size(b)
 	})
-	fmt.Printf("expect entry %.0f bytes\n", size(gossip.Entry{Key: plan.ExpectKey(ItemName(1)), Stamp: stamp(1), Value: wire.Pack(plan.Expect{ReadyMs: 43000})}))
+	fmt.Printf("expect entry %.0f bytes\n", size(gossip.Entry{Key: plan.ExpectationKey(ItemName(1)), Stamp: stamp(1), Value: wire.Pack(plan.Expectation{ReadyMs: 43000})}))
 	hour := func(seen int) demand.Hour {
-		h := demand.Hour{Hour: 1 << 27, Seen: map[string]uint64{}}
+		h := demand.Hour{Hour: 1 << 27, ReporterTotals: map[string]uint64{}}
 		for i := range h.Counts {
 			h.Counts[i] = uint32(i % 4)
 		}
 		for i := range seen {
-			h.Seen[NodeName(i)+"/0123456789abcdef"] = uint64(1000 + i)
+			h.ReporterTotals[NodeName(i)+"/0123456789abcdef"] = uint64(1000 + i)
 		}
 		return h
 	}
 	fit("an hour of demand", "node that counted", nodes, func(x int) float64 { return float64(len(hour(x).Pack())) })
 	fit("write of a table (state.Ask)", "record", []int{10, 100, 1000, 3000}, func(x int) float64 {
-		q := state.Ask{Set: 7, From: state.Core{Name: "core-1", Disk: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Slot: 3, Epoch: 40, Full: true}
+		q := state.Request{SetVersion: 7, From: state.Core{Name: "core-1", DiskID: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Slot: 3, Epoch: 40, Full: true}
 		v := hour(0).Pack()
 		for i := range x {
 			q.Records = append(q.Records, state.Record{Key: plan.DemandKey(conf.ParseItem(ItemName(i)), int64(i)), Stamp: stamp(i), Value: v})
@@ -86,17 +86,17 @@
 		return size(q)
 	})
 	fit("book of a replica", "item held", []int{2, 10, 20, 40}, func(x int) float64 {
-		b := order.Book{Incarnation: ReplicaID(1), Lines: map[string]order.Line{}}
+		b := order.Contents{Incarnation: ReplicaID(1), Entries: map[string]order.Entry{}}
 		for k := range replicaStatus(1, x).Items {
-			b.Lines[k] = order.Line{State: "loaded", SizeMib: 140000}
+			b.Entries[k] = order.Entry{State: "loaded", SizeMib: 140000}
 		}
 		return size(b)
 	})
-	fmt.Printf("renewal of 3 slots %.0f bytes\n", size(state.Renewal{Set: 7, From: state.Core{Name: "core-1", Disk: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Epochs: map[int]uint64{1: 40, 2: 41, 3: 42}}))
+	fmt.Printf("renewal of 3 slots %.0f bytes\n", size(state.RenewRequest{SetVersion: 7, From: state.Core{Name: "core-1", DiskID: "0123456789abcdef", Addr: "10.1.0.1:7000"}, Epochs: map[int]uint64{1: 40, 2: 41, 3: 42}}))
 	fit("predictions told (plan.Shared)", "item", its, func(x int) float64 {
-		s := plan.Shared{From: "core-1", Next: map[string]float64{}}
+		s := plan.SharedPredictions{From: "core-1", Requests: map[string]float64{}}
 		for i := range x {
-			s.Next[ItemName(i)] = 12.25 + float64(i)/7
+			s.Requests[ItemName(i)] = 12.25 + float64(i)/7
 		}
 		return size(s)
 	})
--- a/internal/sim/capacity/slots_test.go
+++ b/internal/sim/capacity/slots_test.go
@@ -52,8 +52,8 @@
 }
 
 func draws() {
-	sharesOf("by draws", state.Slots, byDraws)
-	sharesOf("spread", state.Slots, share.Spread)
+	sharesOf("by draws", state.SlotCount, byDraws)
+	sharesOf("spread", state.SlotCount, share.Spread)
 	sharesOf("by draws", 256, byDraws)
 	sharesOf("spread", 256, share.Spread)
 }
@@ -61,14 +61,14 @@
 // largest tells up to how many items in use one slot's table can still be answered in one message.
 func largest() {
 	fmt.Println("== whole table of a slot, as an acceptor answers it")
-	h := demand.Hour{Hour: 1 << 27, Seen: map[string]uint64{}}
+	h := demand.Hour{Hour: 1 << 27, ReporterTotals: map[string]uint64{}}
 	for i := range 410 {
-		h.Seen[NodeName(i)+"/0123456789abcdef"] = uint64(1000 + i)
+		h.ReporterTotals[NodeName(i)+"/0123456789abcdef"] = uint64(1000 + i)
 	}
 	v := h.Pack()
 	for _, items := range []int{1, 4, 13, 14} {
 		mux := wire.NewMux()
-		wire.Handle(mux, "/state/prepare", func(context.Context, state.Ask) (state.Reply, error) {
+		wire.Handle(mux, "/state/prepare", func(context.Context, state.Request) (state.Reply, error) {
 			r := state.Reply{OK: true, Epoch: 41}
 			for i := range items {
 				for hour := range int64(demand.KeptHours) {
@@ -85,7 +85,7 @@
 		g, srv, caller := run.NewGroup(context.Background()), wire.NewServer(ln, mux), wire.NewCaller(wire.Host())
 		g.Go(srv.Run)
 		began := time.Now()
-		r, err := wire.Call[state.Ask, state.Reply](context.Background(), caller, ln.Addr().String(), "/state/prepare", state.Ask{})
+		r, err := wire.Call[state.Request, state.Reply](context.Background(), caller, ln.Addr().String(), "/state/prepare", state.Request{})
 		_, n := caller.Sent()
 		fmt.Printf("items %d: %d bytes, %d records read in %d ms, %v\n", items, n, len(r.Records), time.Since(began).Milliseconds(), err)
 		srv.Close()
--- a/internal/sim/capacity/tables_test.go
+++ b/internal/sim/capacity/tables_test.go
@@ -19,7 +19,7 @@
 		t.Learn(gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), Value: wire.Pack(replicaStatus(i, items))})
 	}
 	for i := range expects {
-		t.Learn(gossip.Entry{Key: plan.ExpectKey(ItemName(i)), Stamp: stamp(i), Value: wire.Pack(plan.Expect{ReadyMs: 43000, Why: "no replica can load it now"})})
+		t.Learn(gossip.Entry{Key: plan.ExpectationKey(ItemName(i)), Stamp: stamp(i), Value: wire.Pack(plan.Expectation{ReadyMs: 43000, Reason: "no replica can load it now"})})
 	}
 	if cfg != nil {
 		t.Learn(gossip.Entry{Key: conf.Key, Stamp: stamp(1), Value: cfg})
--- a/internal/sim/fleet/planned_test.go
+++ b/internal/sim/fleet/planned_test.go
@@ -43,7 +43,7 @@
 			})
 			f.T.Logf("a change is taken %v after %s was stopped", took, n.Name)
 			// Why: a lease that is not handed over runs out by itself after most of its 3 s.
-			if took > state.HoldFor-state.HoldMargin-500*time.Millisecond {
+			if took > state.LeaseDuration-state.LeaseMargin-500*time.Millisecond {
 				f.T.Errorf("a change was taken only %v after %s was stopped as planned", took, n.Name)
 			}
 			f.StartCore(n)
--- a/internal/sim/fleet/spread_test.go
+++ b/internal/sim/fleet/spread_test.go
@@ -37,13 +37,13 @@
 func TestNoCoreHoldsMoreThanItsPartOfTheSlots(t *testing.T) {
 	Seeds(t, 4, sevenCores, func(f *Fleet) {
 		f.voting("the set of all cores")
-		part := (state.Slots + len(f.Cores) - 1) / len(f.Cores)
+		part := (state.SlotCount + len(f.Cores) - 1) / len(f.Cores)
 		f.Until(10*time.Second, "every core holds its part", func() bool {
 			most, all, _ := f.slotsHeld()
-			return all == state.Slots && most <= part
+			return all == state.SlotCount && most <= part
 		})
 		time.Sleep(10 * time.Second)
-		if most, all, who := f.slotsHeld(); most > part || all != state.Slots {
+		if most, all, who := f.slotsHeld(); most > part || all != state.SlotCount {
 			f.T.Errorf("%s holds %d slots of %d that are held, %d is its part", who, most, all, part)
 		}
 	})
--- a/internal/sim/simstate/simstate.go
+++ b/internal/sim/simstate/simstate.go
@@ -51,20 +51,20 @@
 func sole(ctx context.Context, g *run.Group, disk vfs.FS) (*owner.Owner, *acceptor.Acceptor, error) {
 	clock, log := simhost.NewClock(), ring.New(io.Discard, logLines).Logger()
 	fabric := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
-	acc, err := acceptor.Open(g, "d", acceptor.Whose{Node: "a"}, disk, clock, log)
+	acc, err := acceptor.Open(g, "d", acceptor.FolderOwner{Node: "a"}, disk, clock, log)
 	if err != nil {
 		return nil, nil, err
 	}
-	self := state.Core{Name: "a", Disk: acc.Disk(), Addr: "10.0.0.1:7000"}
-	if _, err := acc.SetStanding(ctx, func(acceptor.Standing) (acceptor.Standing, bool) {
-		return acceptor.Standing{Phase: acceptor.Voter, Set: state.CoreMembers{Version: 1, Cores: []state.Core{self}}}, true
+	self := state.Core{Name: "a", DiskID: acc.DiskID(), Addr: "10.0.0.1:7000"}
+	if _, err := acc.UpdateMembership(ctx, func(acceptor.Membership) (acceptor.Membership, bool) {
+		return acceptor.Membership{Phase: acceptor.Voter, Set: state.CoreSet{Version: 1, Cores: []state.Core{self}}}, true
 	}); err != nil {
 		return nil, acc, err
 	}
 	own := owner.New(owner.Deps{Self: func() state.Core { return self }, Group: g, Clock: clock, Log: log, Caller: wire.NewCaller(fabric.Host("10.0.0.1")), Acceptor: acc,
 		Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, Behind: func(state.Core) {}})
 	for range int(takenBy / lookEvery) {
-		if len(own.Held()) == state.Slots {
+		if len(own.Held()) == state.SlotCount {
 			return own, acc, nil
 		}
 		run.Wait(ctx, lookEvery)
--- a/internal/state/acceptor/acceptor.go
+++ b/internal/state/acceptor/acceptor.go
@@ -27,41 +27,41 @@
 
 // Acceptor owns the data folder. Its methods may be called from anywhere.
 type Acceptor struct {
-	db       *pebble.DB
-	fs       vfs.FS
-	folder   string
-	clock    tick.Clock
-	log      *slog.Logger
-	disk     atomic.Pointer[string]
-	sick     atomic.Bool
-	standing atomic.Pointer[Standing]
-	setActor *run.Actor
-	slots    [state.Slots]*table
-	door     chan struct{} // held by who hands a batch to pebble
+	db              *pebble.DB
+	fs              vfs.FS
+	folder          string
+	clock           tick.Clock
+	log             *slog.Logger
+	diskID          atomic.Pointer[string]
+	diskFailed      atomic.Bool
+	membership      atomic.Pointer[Membership]
+	membershipActor *run.Actor
+	slots           [state.SlotCount]*slotState
+	applyLock       chan struct{} // held by who hands a batch to pebble
 }
 
 // Open reads the data folder, or starts an empty one with an identity of its own.
 // ErrFolder says that it is damaged or another node's.
-func Open(g *run.Group, folder string, whose Whose, fs vfs.FS, clock tick.Clock, log *slog.Logger) (*Acceptor, error) {
-	a := &Acceptor{clock: clock, log: log, fs: fs, folder: folder, door: make(chan struct{}, 1)}
-	making, err := beginMaking(fs, folder)
+func Open(g *run.Group, folder string, whose FolderOwner, fs vfs.FS, clock tick.Clock, log *slog.Logger) (*Acceptor, error) {
+	a := &Acceptor{clock: clock, log: log, fs: fs, folder: folder, applyLock: make(chan struct{}, 1)}
+	making, err := beginInit(fs, folder)
 	if err != nil {
 		return nil, errors.Wrapf(ErrFolder, "%s: %v", folder, err)
 	}
 	if !making {
-		if err := looksRight(fs, folder); err != nil {
+		if err := checkFolder(fs, folder); err != nil {
 			return nil, err
 		}
 	}
 	db, err := pebble.Open(folder, &pebble.Options{
-		FS: fs, Logger: pebbleLog{a}, MemTableSize: 4 << 20,
+		FS: fs, Logger: pebbleLogger{a}, MemTableSize: 4 << 20,
 		FormatMajorVersion: pebble.FormatNewest,
 	})
 	if err != nil {
 		return nil, errors.Wrapf(ErrFolder, "%s: %v", folder, err)
 	}
 	a.db = db
-	if err := a.claim(whose); err != nil {
+	if err := a.claimFolder(whose); err != nil {
 		_ = db.Close()
 		return nil, err
 	}
@@ -70,12 +70,12 @@
 		return nil, errors.Wrapf(ErrFolder, "%s: %v", folder, err)
 	}
 	if making {
-		if err := endMaking(fs, folder); err != nil {
+		if err := finishInit(fs, folder); err != nil {
 			_ = db.Close()
 			return nil, errors.Wrapf(ErrFolder, "%s: %v", folder, err)
 		}
 	}
-	a.setActor = run.NewActor(g, 64, 0, nil)
+	a.membershipActor = run.NewActor(g, 64, 0, nil)
 	for i := range a.slots {
 		a.slots[i].actor = run.NewActor(g, 256, 0, nil)
 	}
@@ -85,33 +85,33 @@
 // load reads what the folder holds, and gives an empty one its identity.
 func (a *Acceptor) load() error {
 	var disk string
-	found, err := a.read(keyDisk, &disk)
+	found, err := a.read(keyDiskID, &disk)
 	if err != nil {
 		return err
 	}
 	if !found {
-		if disk, err = newDisk(); err != nil {
+		if disk, err = newDiskID(); err != nil {
 			return err
 		}
-		if err := a.db.Set(keyDisk, wire.Pack(disk), pebble.Sync); err != nil {
+		if err := a.db.Set(keyDiskID, wire.Pack(disk), pebble.Sync); err != nil {
 			return err
 		}
 	}
-	a.disk.Store(&disk)
-	st := Standing{Phase: Empty}
-	if _, err := a.read(keyStanding, &st); err != nil {
+	a.diskID.Store(&disk)
+	st := Membership{Phase: Empty}
+	if _, err := a.read(keyMembership, &st); err != nil {
 		return err
 	}
-	a.standing.Store(&st)
+	a.membership.Store(&st)
 	for i := range a.slots {
 		// Why: a restarted grantor forgot its grants, so it waits a whole lease before the next.
-		a.slots[i] = &table{anew: true}
-		a.slots[i].grant(a.clock.Since() + state.HoldFor)
+		a.slots[i] = &slotState{noGrantYet: true}
+		a.slots[i].setLeaseEnd(a.clock.Since() + state.LeaseDuration)
 		var pr promise
 		if _, err := a.read(keyPromise(i), &pr); err != nil {
 			return err
 		}
-		a.slots[i].keep(pr)
+		a.slots[i].setPromise(pr)
 		// Why: a record that cannot be read is found now, not when it is needed.
 		if _, err := a.records(i); err != nil {
 			return err
@@ -124,20 +124,20 @@
 // state.ErrSick for a disk that has failed.
 func (a *Acceptor) Close() error {
 	// Why: a failed pebble may never finish closing.
-	if a.sick.Load() {
-		return state.ErrSick
+	if a.diskFailed.Load() {
+		return state.ErrDiskFailed
 	}
 	return a.db.Close()
 }
 
 // Disk is the identity of the data folder.
-func (a *Acceptor) Disk() string { return *a.disk.Load() }
+func (a *Acceptor) DiskID() string { return *a.diskID.Load() }
 
 // Sick says whether the disk has failed for good.
-func (a *Acceptor) Sick() bool { return a.sick.Load() }
+func (a *Acceptor) DiskFailed() bool { return a.diskFailed.Load() }
 
 // Keeps says whether the disk keeps what it is given, as far as is known.
-func (a *Acceptor) Keeps() bool { return !a.sick.Load() && !a.full() }
+func (a *Acceptor) DiskUsable() bool { return !a.diskFailed.Load() && !a.lacksSpace() }
 
 // Serve answers the other cores on mux.
 func (a *Acceptor) Serve(mux *wire.Mux) {
--- a/internal/state/acceptor/acceptor_test.go
+++ b/internal/state/acceptor/acceptor_test.go
@@ -17,37 +17,37 @@
 	"drumstall.example/internal/state"
 )
 
-var voters = state.CoreMembers{Version: 1, Cores: []state.Core{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
+var voters = state.CoreSet{Version: 1, Cores: []state.Core{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
 
 func open(t *testing.T, g *run.Group, fs vfs.FS) *Acceptor {
 	t.Helper()
-	a, err := Open(g, "d", Whose{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 100).Logger())
+	a, err := Open(g, "d", FolderOwner{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 100).Logger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := a.SetStanding(t.Context(), func(Standing) (Standing, bool) { return Standing{Phase: Voter, Set: voters}, true }); err != nil {
+	if _, err := a.UpdateMembership(t.Context(), func(Membership) (Membership, bool) { return Membership{Phase: Voter, Set: voters}, true }); err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-func ask(from string, epoch, at uint64, full bool, recs ...state.Record) state.Ask {
-	return state.Ask{Set: 1, From: state.Core{Name: from}, Epoch: epoch, At: at, Full: full, Records: recs}
+func request(from string, epoch, at uint64, full bool, recs ...state.Record) state.Request {
+	return state.Request{SetVersion: 1, From: state.Core{Name: from}, Epoch: epoch, Version: at, Full: full, Records: recs}
 }
 
-func rec(key, value string, epoch, version uint64) state.Record {
+func record(key, value string, epoch, version uint64) state.Record {
 	return state.Record{Key: key, Value: []byte(value), Stamp: state.Stamp{Epoch: epoch, Version: version}}
 }
 
-func yes(t *testing.T, r state.Reply, err error) state.Reply {
+func mustAccept(t *testing.T, r state.Reply, err error) state.Reply {
 	t.Helper()
 	if err != nil || !r.OK {
-		t.Fatalf("refused: %v %v", r.Why, err)
+		t.Fatalf("refused: %v %v", r.Reason, err)
 	}
 	return r
 }
 
-func bubble(t *testing.T, f func(t *testing.T, as []*Acceptor)) {
+func withAcceptors(t *testing.T, f func(t *testing.T, as []*Acceptor)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		var as []*Acceptor
@@ -64,33 +64,33 @@
 
 // What reached a minority is carried forward or never seen again, also when it
 // is a key that nobody else ever had.
-func TestAMinoritysValueDoesNotComeBack(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestMinorityWriteDoesNotReappear(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx := t.Context()
 		all := func(f func(a *Acceptor) (state.Reply, error), who ...int) (out []state.Reply) {
 			for _, i := range who {
 				r, err := f(as[i])
-				out = append(out, yes(t, r, err))
+				out = append(out, mustAccept(t, r, err))
 			}
 			return out
 		}
 		take := func(from string, epoch uint64, who ...int) []state.Record {
-			time.Sleep(state.HoldFor)
-			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, ask(from, epoch, 0, false)) }, who...))
+			time.Sleep(state.LeaseDuration)
+			recs, pr := Merge(all(func(a *Acceptor) (state.Reply, error) { return a.Prepare(ctx, request(from, epoch, 0, false)) }, who...))
 			for i := range recs {
 				recs[i].Stamp.Epoch = epoch
 			}
 			all(func(a *Acceptor) (state.Reply, error) {
-				return a.Accept(ctx, ask(from, epoch, pr.Version+1, true, recs...))
+				return a.Accept(ctx, request(from, epoch, pr.Version+1, true, recs...))
 			}, who...)
 			return recs
 		}
 		take("a", 1, 0, 1, 2)
 		all(func(a *Acceptor) (state.Reply, error) {
-			return a.Accept(ctx, ask("a", 1, 2, false, rec("x", "old", 1, 2)))
+			return a.Accept(ctx, request("a", 1, 2, false, record("x", "old", 1, 2)))
 		}, 0, 1, 2)
 		all(func(a *Acceptor) (state.Reply, error) {
-			return a.Accept(ctx, ask("a", 1, 4, false, rec("x", "new", 1, 3), rec("y", "new", 1, 4)))
+			return a.Accept(ctx, request("a", 1, 4, false, record("x", "new", 1, 3), record("y", "new", 1, 4)))
 		}, 0)
 		take("b", 2, 1, 2) // its owner has served x=old from here on
 		for _, r := range take("c", 3, 0, 1) {
@@ -102,16 +102,16 @@
 }
 
 // A single write overtakes the whole table that its holder sent before it.
-func TestAWholeTableThatWasOvertakenTakesNoLaterWriteAway(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestDelayedFullTableKeepsLaterWrites(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 4, false, rec("x", "later", 1, 3), rec("y", "later", 1, 4)))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 2, true, rec("x", "before", 1, 1), rec("z", "before", 1, 2)))
-		yes(t, r, err)
+		time.Sleep(state.LeaseDuration)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 4, false, record("x", "later", 1, 3), record("y", "later", 1, 4)))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 2, true, record("x", "before", 1, 1), record("z", "before", 1, 2)))
+		mustAccept(t, r, err)
 		got, err := a.records(0)
 		values := map[string]string{}
 		for _, rec := range got {
@@ -120,59 +120,59 @@
 		if want := map[string]string{"x": "later", "y": "later", "z": "before"}; err != nil || !maps.Equal(values, want) {
 			t.Errorf("%v, %v", values, err)
 		}
-		if r := yes(t, must(a.Digest(ctx, ask("a", 1, 0, false))), nil); r.Full != 1 {
-			t.Errorf("the whole table counts as under epoch %d", r.Full)
+		if r := mustAccept(t, ignoreError(a.Digest(ctx, request("a", 1, 0, false))), nil); r.FullEpoch != 1 {
+			t.Errorf("the whole table counts as under epoch %d", r.FullEpoch)
 		}
 	})
 }
 
-func must(r state.Reply, _ error) state.Reply { return r }
+func ignoreError(r state.Reply, _ error) state.Reply { return r }
 
-func TestAnOlderWholeTableTakesNothingAway(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestOutdatedFullTableRemovesNothing(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 1, true))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 2, false, rec("x", "v", 1, 2)))
-		yes(t, r, err)
-		r, err = a.Accept(ctx, ask("a", 1, 1, true))
-		yes(t, r, err)
-		if d, _ := a.Dump(ctx, ask("a", 1, 0, false)); len(d.Records) != 1 {
+		time.Sleep(state.LeaseDuration)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 1, true))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 2, false, record("x", "v", 1, 2)))
+		mustAccept(t, r, err)
+		r, err = a.Accept(ctx, request("a", 1, 1, true))
+		mustAccept(t, r, err)
+		if d, _ := a.Dump(ctx, request("a", 1, 0, false)); len(d.Records) != 1 {
 			t.Error("a late repair took a newer record away")
 		}
 	})
 }
 
-func TestAHoldIsWaitedOutAlsoAfterARestart(t *testing.T) {
+func TestLeaseIsHonouredAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		fs := vfs.NewMem()
 		g := run.NewGroup(ctx)
 		a := open(t, g, fs)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Prepare(ctx, ask("b", 2, 0, false)); r.OK || r.Why != state.WhyHeld {
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Prepare(ctx, request("b", 2, 0, false)); r.OK || r.Reason != state.ReasonHeld {
 			t.Errorf("promised under a live lease: %+v", r)
 		}
 		g.Stop()
 		_ = a.Close()
-		time.Sleep(state.HoldFor - time.Second)
+		time.Sleep(state.LeaseDuration - time.Second)
 		g = run.NewGroup(ctx)
 		a = open(t, g, fs)
 		time.Sleep(2 * time.Second)
-		if r, _ := a.Prepare(ctx, ask("b", 2, 0, false)); r.OK {
+		if r, _ := a.Prepare(ctx, request("b", 2, 0, false)); r.OK {
 			t.Error("a restarted grantor did not wait a whole lease")
 		}
 		time.Sleep(time.Second)
-		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Accept(ctx, ask("a", 1, 9, false, rec("x", "late", 1, 9))); r.OK {
+		r, err = a.Prepare(ctx, request("b", 2, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Accept(ctx, request("a", 1, 9, false, record("x", "late", 1, 9))); r.OK {
 			t.Error("a write of the old owner was taken")
 		}
-		if r, _ := a.Prepare(ctx, state.Ask{Set: 0, From: state.Core{Name: "c"}, Epoch: 9}); r.OK || r.Why != state.WhySet {
+		if r, _ := a.Prepare(ctx, state.Request{SetVersion: 0, From: state.Core{Name: "c"}, Epoch: 9}); r.OK || r.Reason != state.ReasonOlderCoreSet {
 			t.Errorf("an older core set was heeded: %+v", r)
 		}
 		g.Stop()
@@ -182,53 +182,53 @@
 
 // Messages overtake each other: what belongs to a bid that was let go of keeps
 // nobody out, whenever it is read.
-func TestWhatWasLetGoOfStaysSo(t *testing.T) {
-	bubble(t, func(t *testing.T, as []*Acceptor) {
+func TestReleasedLeaseStaysReleased(t *testing.T) {
+	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 		ctx, a := t.Context(), as[0]
-		time.Sleep(state.HoldFor)
-		r, err := a.Prepare(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Release(ctx, ask("a", 1, 0, false))
-		yes(t, r, err)
-		if got, err := a.Renew(ctx, state.Renewal{Set: 1, From: state.Core{Name: "a"}, Epochs: map[int]uint64{0: 1}}); err != nil || len(got.Slots) > 0 {
+		time.Sleep(state.LeaseDuration)
+		r, err := a.Prepare(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Release(ctx, request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		if got, err := a.Renew(ctx, state.RenewRequest{SetVersion: 1, From: state.Core{Name: "a"}, Epochs: map[int]uint64{0: 1}}); err != nil || len(got.Granted) > 0 {
 			t.Errorf("a renewal read after its release was granted: %+v %v", got, err)
 		}
-		r, err = a.Prepare(ctx, ask("b", 2, 0, false))
-		yes(t, r, err)
+		r, err = a.Prepare(ctx, request("b", 2, 0, false))
+		mustAccept(t, r, err)
 		// A bid whose end is read before its beginning.
-		time.Sleep(state.HoldFor)
-		r, err = a.Release(ctx, ask("c", 3, 0, false))
-		yes(t, r, err)
-		if r, _ := a.Prepare(ctx, ask("c", 3, 0, false)); r.OK {
+		time.Sleep(state.LeaseDuration)
+		r, err = a.Release(ctx, request("c", 3, 0, false))
+		mustAccept(t, r, err)
+		if r, _ := a.Prepare(ctx, request("c", 3, 0, false)); r.OK {
 			t.Error("a bid read after its own end was granted")
 		}
-		r, err = a.Prepare(ctx, ask("b", 3, 0, false))
-		yes(t, r, err)
+		r, err = a.Prepare(ctx, request("b", 3, 0, false))
+		mustAccept(t, r, err)
 		// Who let go may come again.
-		r, err = a.Release(ctx, ask("b", 3, 0, false))
-		yes(t, r, err)
-		r, err = a.Prepare(ctx, ask("b", 4, 0, false))
-		yes(t, r, err)
+		r, err = a.Release(ctx, request("b", 3, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Prepare(ctx, request("b", 4, 0, false))
+		mustAccept(t, r, err)
 	})
 }
 
 // Random owners come and go over three acceptors, messages get lost; what was
 // acknowledged by a majority is what every later owner finds.
-func TestAcknowledgedIsNeverLost(t *testing.T) {
+func TestAcknowledgedWritesSurviveOwnerChanges(t *testing.T) {
 	for seed := range uint64(20) {
-		bubble(t, func(t *testing.T, as []*Acceptor) {
+		withAcceptors(t, func(t *testing.T, as []*Acceptor) {
 			ctx := t.Context()
 			rnd := rand.New(rand.NewPCG(seed, 5))
 			acked, maybe := "", map[string]bool{}
 			epoch, n, takes := uint64(0), 0, 0
 			for range 60 {
-				time.Sleep(state.HoldFor)
+				time.Sleep(state.LeaseDuration)
 				epoch++
 				who := fmt.Sprintf("o%d", rnd.IntN(3))
 				var got []state.Reply
 				for _, a := range as {
 					if rnd.IntN(3) > 0 {
-						if r, _ := a.Prepare(ctx, ask(who, epoch, 0, false)); r.OK {
+						if r, _ := a.Prepare(ctx, request(who, epoch, 0, false)); r.OK {
 							got = append(got, r)
 						}
 					}
@@ -240,7 +240,7 @@
 				for i := range recs {
 					recs[i].Stamp.Epoch = epoch
 				}
-				send := func(q state.Ask) bool {
+				send := func(q state.Request) bool {
 					ok := 0
 					for _, a := range as {
 						if rnd.IntN(4) > 0 {
@@ -251,7 +251,7 @@
 					}
 					return ok >= 2
 				}
-				if !send(ask(who, epoch, pr.Version+1, true, recs...)) {
+				if !send(request(who, epoch, pr.Version+1, true, recs...)) {
 					continue
 				}
 				takes++
@@ -269,7 +269,7 @@
 					n++
 					version++
 					v := fmt.Sprint(n)
-					if send(ask(who, epoch, version, false, rec("k", v, epoch, version))) {
+					if send(request(who, epoch, version, false, record("k", v, epoch, version))) {
 						acked, maybe = v, map[string]bool{}
 					} else {
 						maybe[v] = true
--- a/internal/state/acceptor/folder.go
+++ b/internal/state/acceptor/folder.go
@@ -13,23 +13,23 @@
 
 // format is how data folders are written now. A change that an earlier version
 // cannot read raises it.
-const format = 1
+const folderFormat = 1
 
 // Whose says to which node of which fleet a data folder belongs.
-type Whose struct {
+type FolderOwner struct {
 	Fleet  string `cbor:"1,keyasint"`
 	Node   string `cbor:"2,keyasint"`
 	Format int    `cbor:"3,keyasint"`
 }
 
-var keyWhose = []byte("m/whose")
+var keyFolderOwner = []byte("m/whose")
 
 // Why no word of a backup anywhere below: an older copy of a voter's folder has forgotten what it promised and kept since,
 // and a majority with it in may miss what was acknowledged.
 
 // looksRight refuses a folder in which something lies that is not ours, or of
 // which the part is missing that tells pebble what the rest is. Why: pebble would start a new, empty store beside it.
-func looksRight(fs vfs.FS, folder string) error {
+func checkFolder(fs vfs.FS, folder string) error {
 	names, err := fs.List(folder)
 	if err != nil || len(names) == 0 {
 		return nil // it is made anew
@@ -47,11 +47,11 @@
 
 // makingMark lies in a data folder from before anything else does until the store in it is whole. Why: a
 // process that is killed meanwhile leaves a folder that pebble cannot read and that holds nothing of worth.
-const makingMark = "making"
+const initMarker = "making"
 
 // beginMaking marks an empty folder as one in which a store is being made, and empties one in which that was
 // broken off. A folder that is not marked is left as it is. It says whether a store is to be made.
-func beginMaking(fs vfs.FS, folder string) (bool, error) {
+func beginInit(fs vfs.FS, folder string) (bool, error) {
 	if err := fs.MkdirAll(folder, 0o755); err != nil {
 		return false, err
 	}
@@ -59,19 +59,19 @@
 	if err != nil {
 		return false, err
 	}
-	if len(names) > 0 && !slices.Contains(names, makingMark) {
+	if len(names) > 0 && !slices.Contains(names, initMarker) {
 		return false, nil
 	}
 	for _, name := range names {
 		// Why: the mark goes last of all, by endMaking.
-		if name == makingMark {
+		if name == initMarker {
 			continue
 		}
 		if err := fs.RemoveAll(fs.PathJoin(folder, name)); err != nil {
 			return false, err
 		}
 	}
-	mark, err := fs.Create(fs.PathJoin(folder, makingMark), vfs.WriteCategoryUnspecified)
+	mark, err := fs.Create(fs.PathJoin(folder, initMarker), vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return false, err
 	}
@@ -86,8 +86,8 @@
 }
 
 // endMaking takes the mark away for good. Nothing may be kept in the store before.
-func endMaking(fs vfs.FS, folder string) error {
-	if err := fs.Remove(fs.PathJoin(folder, makingMark)); err != nil {
+func finishInit(fs vfs.FS, folder string) error {
+	if err := fs.Remove(fs.PathJoin(folder, initMarker)); err != nil {
 		return err
 	}
 	return syncFolder(fs, folder)
@@ -107,10 +107,10 @@
 }
 
 // claim makes sure that the folder is this node's, and takes one that is nobody's yet.
-func (a *Acceptor) claim(whose Whose) error {
-	whose.Format = format
-	var kept Whose
-	found, err := a.read(keyWhose, &kept)
+func (a *Acceptor) claimFolder(whose FolderOwner) error {
+	whose.Format = folderFormat
+	var kept FolderOwner
+	found, err := a.read(keyFolderOwner, &kept)
 	refuse := func(why, todo string) error {
 		return errors.Wrap(ErrFolder, fmt.Sprintf("%s %s; %s", a.folder, why, todo))
 	}
@@ -118,11 +118,11 @@
 	case err != nil:
 		return refuse("is damaged: "+err.Error(), "move it away and start this core with an empty one, as a new member")
 	case !found:
-		if err := a.db.Set(keyWhose, wire.Pack(whose), pebble.Sync); err != nil {
+		if err := a.db.Set(keyFolderOwner, wire.Pack(whose), pebble.Sync); err != nil {
 			return refuse("cannot be written: "+err.Error(), "look at the disk")
 		}
-	case kept.Format > format:
-		return refuse(fmt.Sprintf("is written in format %d and this version reads up to %d", kept.Format, format), "start the newer version again")
+	case kept.Format > folderFormat:
+		return refuse(fmt.Sprintf("is written in format %d and this version reads up to %d", kept.Format, folderFormat), "start the newer version again")
 	case kept.Fleet != whose.Fleet:
 		return refuse("belongs to the fleet "+kept.Fleet+", not "+whose.Fleet, "set --fleet or --folder right")
 	case kept.Node != whose.Node:
--- a/internal/state/acceptor/folder_test.go
+++ b/internal/state/acceptor/folder_test.go
@@ -25,7 +25,7 @@
 
 // A disk that fails costs the vote; nothing is answered from memory. It runs
 // outside a bubble: a failed pebble leaves goroutines behind.
-func TestAFailedDiskVotesNo(t *testing.T) {
+func TestFailedDiskRefusesWrites(t *testing.T) {
 	var broken atomic.Bool
 	fs := errorfs.Wrap(vfs.NewMem(), errorfs.InjectorFunc(func(op errorfs.Op) error {
 		if broken.Load() && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
@@ -35,37 +35,37 @@
 	}))
 	g := run.NewGroup(context.Background())
 	a := open(t, g, fs)
-	r, err := a.Prepare(t.Context(), ask("a", 1, 0, false))
-	yes(t, r, err)
+	r, err := a.Prepare(t.Context(), request("a", 1, 0, false))
+	mustAccept(t, r, err)
 	broken.Store(true)
 	for i := range 3 {
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-		if r, err := a.Accept(ctx, ask("a", 1, uint64(i+1), false, rec("x", "v", 1, uint64(i+1)))); err == nil && r.OK {
+		if r, err := a.Accept(ctx, request("a", 1, uint64(i+1), false, record("x", "v", 1, uint64(i+1)))); err == nil && r.OK {
 			t.Error("a write that cannot have been synced was accepted")
 		}
 		cancel()
 	}
-	if a.Keeps() {
+	if a.DiskUsable() {
 		t.Error("the disk is still thought to keep what it is given")
 	}
 }
 
-func TestAWrongFolderIsRefused(t *testing.T) {
+func TestUnreadableRecordIsFoundOnOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		fs := vfs.NewMem()
 		a := open(t, g, fs)
-		r, err := a.Prepare(t.Context(), ask("a", 1, 0, false))
-		yes(t, r, err)
-		r, err = a.Accept(t.Context(), ask("a", 1, 1, false, rec("x", "v", 1, 1)))
-		yes(t, r, err)
+		r, err := a.Prepare(t.Context(), request("a", 1, 0, false))
+		mustAccept(t, r, err)
+		r, err = a.Accept(t.Context(), request("a", 1, 1, false, record("x", "v", 1, 1)))
+		mustAccept(t, r, err)
 		if err := a.db.Set(keyRecord(0, "y"), []byte("garbage"), nil); err != nil {
 			t.Fatal(err)
 		}
 		g.Stop()
 		_ = a.Close()
 		g = run.NewGroup(t.Context())
-		if _, err := Open(g, "d", Whose{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 9).Logger()); err == nil {
+		if _, err := Open(g, "d", FolderOwner{Fleet: "f", Node: "n"}, fs, simhost.NewClock(), ring.New(io.Discard, 9).Logger()); err == nil {
 			t.Error("a record that cannot be read was passed over")
 		}
 		g.Stop()
@@ -74,9 +74,9 @@
 
 // A folder that is another's, newer, damaged or no data folder is refused with what to
 // do, and left as it is.
-func TestAFolderThatIsNotOursIsRefused(t *testing.T) {
+func TestForeignOrDamagedFolderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		start := func(fs vfs.FS, w Whose) error {
+		start := func(fs vfs.FS, w FolderOwner) error {
 			g := run.NewGroup(t.Context())
 			defer g.Stop()
 			a, err := Open(g, "d", w, fs, simhost.NewClock(), ring.New(io.Discard, 9).Logger())
@@ -85,22 +85,22 @@
 			}
 			return err
 		}
-		mine := Whose{Fleet: "f", Node: "n"}
+		mine := FolderOwner{Fleet: "f", Node: "n"}
 		for _, c := range []struct {
 			what  string
 			spoil func(fs *vfs.MemFS)
-			as    Whose
+			as    FolderOwner
 			says  string
 		}{
 			{"nothing", func(*vfs.MemFS) {}, mine, ""},
-			{"another node", func(*vfs.MemFS) {}, Whose{Fleet: "f", Node: "m"}, "belongs to the node n"},
-			{"another fleet", func(*vfs.MemFS) {}, Whose{Fleet: "g", Node: "n"}, "belongs to the fleet f"},
+			{"another node", func(*vfs.MemFS) {}, FolderOwner{Fleet: "f", Node: "m"}, "belongs to the node n"},
+			{"another fleet", func(*vfs.MemFS) {}, FolderOwner{Fleet: "g", Node: "n"}, "belongs to the fleet f"},
 			{"a newer format", func(fs *vfs.MemFS) {
-				db, err := pebble.Open("d", &pebble.Options{FS: fs, Logger: pebbleLog{&Acceptor{log: ring.New(io.Discard, 9).Logger()}}})
+				db, err := pebble.Open("d", &pebble.Options{FS: fs, Logger: pebbleLogger{&Acceptor{log: ring.New(io.Discard, 9).Logger()}}})
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := db.Set(keyWhose, wire.Pack(Whose{Fleet: "f", Node: "n", Format: format + 1}), pebble.Sync); err != nil {
+				if err := db.Set(keyFolderOwner, wire.Pack(FolderOwner{Fleet: "f", Node: "n", Format: folderFormat + 1}), pebble.Sync); err != nil {
 					t.Fatal(err)
 				}
 				_ = db.Close()
@@ -151,8 +151,8 @@
 }
 
 // A core is killed, or loses power, at each step of making its first folder; it starts again with what is there.
-func TestACoreThatWasKilledWhileItMadeItsFolderStartsAgain(t *testing.T) {
-	mine := Whose{Fleet: "f", Node: "n"}
+func TestCrashDuringFolderInitIsRecoverable(t *testing.T) {
+	mine := FolderOwner{Fleet: "f", Node: "n"}
 	start := func(fs vfs.FS) error {
 		g := run.NewGroup(t.Context())
 		a, err := Open(g, "d", mine, fs, simhost.NewClock(), ring.New(io.Discard, 9).Logger())
--- a/internal/state/acceptor/fuzz_test.go
+++ b/internal/state/acceptor/fuzz_test.go
@@ -15,13 +15,13 @@
 
 // Whatever a peer sends: a vote never goes back to a lower epoch, and the
 // folder can be opened again.
-func FuzzAsk(f *testing.F) {
-	f.Add(wire.Pack(ask("a", 3, 1, false, rec("x", "v", 3, 1))), uint8(0))
-	f.Add(wire.Pack(ask("b", 1<<63, 1<<63, true, rec("", "", 0, 0))), uint8(1))
-	f.Add(wire.Pack(state.Ask{Set: 1, Slot: -1, Epoch: 9}), uint8(2))
-	f.Add(wire.Pack(state.Ask{Set: 1, Slot: 1 << 40}), uint8(3))
+func FuzzRequest(f *testing.F) {
+	f.Add(wire.Pack(request("a", 3, 1, false, record("x", "v", 3, 1))), uint8(0))
+	f.Add(wire.Pack(request("b", 1<<63, 1<<63, true, record("", "", 0, 0))), uint8(1))
+	f.Add(wire.Pack(state.Request{SetVersion: 1, Slot: -1, Epoch: 9}), uint8(2))
+	f.Add(wire.Pack(state.Request{SetVersion: 1, Slot: 1 << 40}), uint8(3))
 	f.Fuzz(func(t *testing.T, b []byte, which uint8) {
-		var q state.Ask
+		var q state.Request
 		if wire.Unpack(b, &q) != nil {
 			return
 		}
@@ -29,12 +29,12 @@
 			fs := vfs.NewMem()
 			g := run.NewGroup(t.Context())
 			a := open(t, g, fs)
-			before, _ := a.Prepare(t.Context(), ask("a", 2, 0, false))
-			to := []func(context.Context, state.Ask) (state.Reply, error){a.Prepare, a.Accept, a.Release, a.Digest, a.Dump}
+			before, _ := a.Prepare(t.Context(), request("a", 2, 0, false))
+			to := []func(context.Context, state.Request) (state.Reply, error){a.Prepare, a.Accept, a.Release, a.Digest, a.Dump}
 			if _, err := to[int(which)%len(to)](t.Context(), q); err != nil && wire.Code(err) != "bad" {
 				t.Fatalf("%v", err)
 			}
-			after, err := a.Digest(t.Context(), ask("a", 0, 0, false))
+			after, err := a.Digest(t.Context(), request("a", 0, 0, false))
 			if err != nil || after.Epoch < before.Epoch {
 				t.Errorf("epoch %d after %d, %v", after.Epoch, before.Epoch, err)
 			}
--- a/internal/state/acceptor/grant.go
+++ b/internal/state/acceptor/grant.go
@@ -12,77 +12,77 @@
 
 // Peek says whether a promise would be given, and changes nothing. Why: a promise
 // given in vain outbids the holder, whose renewals are refused here from then on.
-func (a *Acceptor) Peek(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
-		if r.OK = !t.heldAgainst(q.From, a.clock.Since()); !r.OK {
-			r.Why = state.WhyHeld
+func (a *Acceptor) Peek(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
+		if r.OK = !t.unavailableTo(q.From, a.clock.Since()); !r.OK {
+			r.Reason = state.ReasonHeld
 		}
 	})
 }
 
 // Prepare promises a slot to a holder under an epoch above any promised.
-func (a *Acceptor) Prepare(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
+func (a *Acceptor) Prepare(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		now := a.clock.Since()
-		if q.Epoch <= t.pr.Epoch || t.over(q.From, q.Epoch) {
-			r.Why = state.WhyLower
+		if q.Epoch <= t.promise.Epoch || t.wasReleased(q.From, q.Epoch) {
+			r.Reason = state.ReasonLowerEpoch
 			return
 		}
-		if t.heldAgainst(q.From, now) {
-			r.Why = state.WhyHeld
+		if t.unavailableTo(q.From, now) {
+			r.Reason = state.ReasonHeld
 			return
 		}
-		next := t.pr
+		next := t.promise
 		next.Epoch, next.Holder = q.Epoch, q.From
 		if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyPromise(q.Slot), wire.Pack(next), nil) }); err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
 		recs, err := a.records(q.Slot)
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		r.FullBy, r.QuietMs = t.pr.FullBy, t.quietMs(now)
-		r.FreeMs = max(0, (now - time.Duration(t.until.Load())).Milliseconds())
-		t.keep(next)
-		t.anew, t.meant = false, meant{}
-		t.grant(a.clock.Since() + state.HoldFor)
-		r.OK, r.Records, r.Full, r.Version = true, recs, next.Full, next.Version
+		r.FullWriter, r.IdleMs = t.promise.FullWriter, t.idleMs(now)
+		r.UnleasedMs = max(0, (now - time.Duration(t.leaseUntil.Load())).Milliseconds())
+		t.setPromise(next)
+		t.noGrantYet, t.reserved = false, reservation{}
+		t.setLeaseEnd(a.clock.Since() + state.LeaseDuration)
+		r.OK, r.Records, r.FullEpoch, r.Version = true, recs, next.FullEpoch, next.Version
 	})
 }
 
 // Renew prolongs leases; slots promised to others are named as lost. The refusal
 // has one of the state.Why codes when this core may not vote.
-func (a *Acceptor) Renew(ctx context.Context, q state.Renewal) (state.Renewed, error) {
-	out := state.Renewed{Lost: map[int]uint64{}}
-	head, ok := a.vote(q.Set)
-	out.Set = head.Set
+func (a *Acceptor) Renew(ctx context.Context, q state.RenewRequest) (state.RenewReply, error) {
+	out := state.RenewReply{Lost: map[int]uint64{}}
+	head, ok := a.checkVote(q.SetVersion)
+	out.SetVersion = head.SetVersion
 	if !ok {
-		return out, wire.Refuse(head.Why, "renewal")
+		return out, wire.Refuse(head.Reason, "renewal")
 	}
 	for slot, epoch := range q.Epochs {
-		r, err := a.onSlot(ctx, state.Ask{Set: q.Set, From: q.From, Slot: slot, Epoch: epoch}, func(t *table, r *state.Reply) {
-			if epoch < t.pr.Epoch || epoch == t.pr.Epoch && !t.pr.Holder.Is(q.From) || t.over(q.From, epoch) {
+		r, err := a.onSlot(ctx, state.Request{SetVersion: q.SetVersion, From: q.From, Slot: slot, Epoch: epoch}, func(t *slotState, r *state.Reply) {
+			if epoch < t.promise.Epoch || epoch == t.promise.Epoch && !t.promise.Holder.SameVoter(q.From) || t.wasReleased(q.From, epoch) {
 				return
 			}
-			if epoch > t.pr.Epoch {
-				next := t.pr
+			if epoch > t.promise.Epoch {
+				next := t.promise
 				next.Epoch, next.Holder, next.Version = epoch, q.From, 0
 				if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyPromise(slot), wire.Pack(next), nil) }); err != nil {
 					return
 				}
-				t.keep(next)
+				t.setPromise(next)
 			}
-			t.anew = false
-			t.grant(a.clock.Since() + state.HoldFor)
+			t.noGrantYet = false
+			t.setLeaseEnd(a.clock.Since() + state.LeaseDuration)
 			r.OK = true
 		})
 		switch {
 		case err != nil:
 			return out, err
 		case r.OK:
-			out.Slots = append(out.Slots, slot)
+			out.Granted = append(out.Granted, slot)
 		case r.Epoch > epoch:
 			out.Lost[slot] = r.Epoch
 		}
@@ -91,17 +91,17 @@
 }
 
 // Release ends a lease before its time; the promise stays.
-func (a *Acceptor) Release(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
-		if !t.over(q.From, q.Epoch) {
-			t.freed = bid{q.Epoch, q.From}
+func (a *Acceptor) Release(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
+		if !t.wasReleased(q.From, q.Epoch) {
+			t.released = leaseClaim{q.Epoch, q.From}
 		}
-		if q.Epoch == t.pr.Epoch && t.pr.Holder.Is(q.From) && !t.anew {
+		if q.Epoch == t.promise.Epoch && t.promise.Holder.SameVoter(q.From) && !t.noGrantYet {
 			now := a.clock.Since()
-			t.grant(now)
-			t.meant = meant{q.To, now + meantFor}
-			if q.QuietMs > 0 {
-				t.quiet = quiet{q.Epoch, now - time.Duration(q.QuietMs)*time.Millisecond}
+			t.setLeaseEnd(now)
+			t.reserved = reservation{q.NextHolder, now + reservationTime}
+			if q.IdleMs > 0 {
+				t.idle = idlePeriod{q.Epoch, now - time.Duration(q.IdleMs)*time.Millisecond}
 			}
 		}
 		r.OK = true
@@ -109,14 +109,14 @@
 }
 
 // Promised is whom the slot was promised last.
-func (a *Acceptor) Promised(slot int) state.Core {
-	if c := a.slots[slot].last.Load(); c != nil {
+func (a *Acceptor) LastHolder(slot int) state.Core {
+	if c := a.slots[slot].lastHolder.Load(); c != nil {
 		return *c
 	}
 	return state.Core{}
 }
 
 // Lapsed is how long no lease of the slot has been granted here; 0 while one is.
-func (a *Acceptor) Lapsed(slot int) time.Duration {
-	return max(0, a.clock.Since()-time.Duration(a.slots[slot].until.Load()))
+func (a *Acceptor) UnleasedFor(slot int) time.Duration {
+	return max(0, a.clock.Since()-time.Duration(a.slots[slot].leaseUntil.Load()))
 }
--- a/internal/state/acceptor/records.go
+++ b/internal/state/acceptor/records.go
@@ -14,49 +14,49 @@
 )
 
 // Accept keeps records from the holder of the highest epoch.
-func (a *Acceptor) Accept(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
-		if q.Epoch < t.pr.Epoch || q.Epoch == t.pr.Epoch && !t.pr.Holder.Is(q.From) {
-			r.Why = state.WhyLower
+func (a *Acceptor) Accept(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
+		if q.Epoch < t.promise.Epoch || q.Epoch == t.promise.Epoch && !t.promise.Holder.SameVoter(q.From) {
+			r.Reason = state.ReasonLowerEpoch
 			return
 		}
 		// Why: a whole table that is older than what came since must not take that away.
-		if q.Full && q.Epoch == t.pr.Full && q.At < t.pr.Version {
+		if q.Full && q.Epoch == t.promise.FullEpoch && q.Version < t.promise.Version {
 			r.OK = true
 			return
 		}
-		next := t.pr
+		next := t.promise
 		if q.Epoch > next.Epoch {
 			next.Epoch, next.Holder, next.Version = q.Epoch, q.From, 0
 		}
-		next.Version = max(next.Version, q.At)
+		next.Version = max(next.Version, q.Version)
 		if q.Full {
-			next.Full, next.FullBy = q.Epoch, q.From
+			next.FullEpoch, next.FullWriter = q.Epoch, q.From
 		}
 		err := a.commit(func(b *pebble.Batch) error {
-			if err := a.write(b, q, t.pr); err != nil {
+			if err := a.writeAccepted(b, q, t.promise); err != nil {
 				return err
 			}
 			return b.Set(keyPromise(q.Slot), wire.Pack(next), nil)
 		})
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		t.keep(next)
+		t.setPromise(next)
 		r.OK = true
 	})
 }
 
 // write writes what the holder of a slot sends: single records, or the whole table.
-func (a *Acceptor) write(b *pebble.Batch, q state.Ask, here promise) error {
+func (a *Acceptor) writeAccepted(b *pebble.Batch, q state.Request, here promise) error {
 	switch {
 	case !q.Full:
-		return a.addRecords(b, q.Slot, q.Records)
-	case q.Epoch != here.Epoch || q.At >= here.Version:
+		return a.writeNewer(b, q.Slot, q.Records)
+	case q.Epoch != here.Epoch || q.Version >= here.Version:
 		return replaceRecords(b, q.Slot, q.Records)
 	}
-	later, err := a.writtenAfter(q)
+	later, err := a.recordsAfter(q)
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 
 // writtenAfter is the records here that the holder wrote after the whole table that it sends. Why: messages
 // overtake each other, and what was confirmed here may be on just a majority of disks.
-func (a *Acceptor) writtenAfter(table state.Ask) ([]state.Record, error) {
+func (a *Acceptor) recordsAfter(table state.Request) ([]state.Record, error) {
 	here, err := a.records(table.Slot)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	}
 	var later []state.Record
 	for _, rec := range here {
-		if rec.Stamp.Epoch == table.Epoch && rec.Stamp.Version > table.At && rec.Stamp.Newer(sent[rec.Key]) {
+		if rec.Stamp.Epoch == table.Epoch && rec.Stamp.Version > table.Version && rec.Stamp.Newer(sent[rec.Key]) {
 			later = append(later, rec)
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // addRecords writes those records that are newer than what is there.
-func (a *Acceptor) addRecords(b *pebble.Batch, slot int, recs []state.Record) error {
+func (a *Acceptor) writeNewer(b *pebble.Batch, slot int, recs []state.Record) error {
 	for _, rec := range recs {
 		k := keyRecord(slot, rec.Key)
 		var old state.Record
@@ -104,7 +104,7 @@
 
 // replaceRecords writes a whole table in place of what is there.
 func replaceRecords(b *pebble.Batch, slot int, recs []state.Record) error {
-	o := bounds(slot)
+	o := recordBounds(slot)
 	if err := b.DeleteRange(o.LowerBound, o.UpperBound, nil); err != nil {
 		return err
 	}
@@ -117,26 +117,26 @@
 }
 
 // Digest sums up the records of a slot.
-func (a *Acceptor) Digest(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
+func (a *Acceptor) Digest(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		recs, err := a.records(q.Slot)
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		r.OK, r.Sum, r.Full = true, Sum(recs), t.pr.Full
+		r.OK, r.Digest, r.FullEpoch = true, Sum(recs), t.promise.FullEpoch
 	})
 }
 
 // Dump gives a whole slot to a core that is being filled.
-func (a *Acceptor) Dump(ctx context.Context, q state.Ask) (state.Reply, error) {
-	return a.onSlot(ctx, q, func(t *table, r *state.Reply) {
+func (a *Acceptor) Dump(ctx context.Context, q state.Request) (state.Reply, error) {
+	return a.onSlot(ctx, q, func(t *slotState, r *state.Reply) {
 		recs, err := a.records(q.Slot)
 		if err != nil {
-			r.Why = state.WhySick
+			r.Reason = state.ReasonDisk
 			return
 		}
-		r.OK, r.Records, r.Full, r.Version, r.FullBy = true, recs, t.pr.Full, t.pr.Version, t.pr.FullBy
+		r.OK, r.Records, r.FullEpoch, r.Version, r.FullWriter = true, recs, t.promise.FullEpoch, t.promise.Version, t.promise.FullWriter
 	})
 }
 
@@ -155,16 +155,16 @@
 		if err != nil {
 			return err
 		}
-		t.keep(pr)
-		t.anew = true
-		t.grant(a.clock.Since() + state.HoldFor)
+		t.setPromise(pr)
+		t.noGrantYet = true
+		t.setLeaseEnd(a.clock.Since() + state.LeaseDuration)
 		return nil
 	})
 }
 
 // records reads all records of a slot from the disk.
 func (a *Acceptor) records(slot int) ([]state.Record, error) {
-	it, err := a.db.NewIter(bounds(slot))
+	it, err := a.db.NewIter(recordBounds(slot))
 	if err != nil {
 		return nil, err
 	}
@@ -189,14 +189,14 @@
 		if r.Epoch > pr.Epoch {
 			pr.Epoch, pr.Holder = r.Epoch, r.Holder
 		}
-		if r.Full > pr.Full {
-			pr.Full, pr.FullBy = r.Full, r.FullBy
+		if r.FullEpoch > pr.FullEpoch {
+			pr.FullEpoch, pr.FullWriter = r.FullEpoch, r.FullWriter
 		}
 		pr.Version = max(pr.Version, r.Version)
 	}
 	for _, r := range replies {
 		for _, rec := range r.Records {
-			if old, found := newest[rec.Key]; rec.Stamp.Epoch >= pr.Full && (!found || rec.Stamp.Newer(old.Stamp)) {
+			if old, found := newest[rec.Key]; rec.Stamp.Epoch >= pr.FullEpoch && (!found || rec.Stamp.Newer(old.Stamp)) {
 				newest[rec.Key] = rec
 			}
 		}
--- a/internal/state/acceptor/standing.go
+++ b/internal/state/acceptor/standing.go
@@ -22,32 +22,32 @@
 )
 
 // Standing is the part of an acceptor that is not about slots.
-type Standing struct {
-	Phase Phase             `cbor:"1,keyasint"`
-	Set   state.CoreMembers `cbor:"2,keyasint"`
-	Old   state.CoreMembers `cbor:"3,keyasint"` // while filling: whom to be filled from
+type Membership struct {
+	Phase    Phase         `cbor:"1,keyasint"`
+	Set      state.CoreSet `cbor:"2,keyasint"`
+	Previous state.CoreSet `cbor:"3,keyasint"` // while filling: whom to be filled from
 	// MayFound says, while nothing is known, that this disk was there at the very first start.
-	MayFound bool `cbor:"4,keyasint,omitempty"`
+	MayBootstrap bool `cbor:"4,keyasint,omitempty"`
 }
 
 // Standing is a copy of the phase and the core membership.
-func (a *Acceptor) Standing() Standing { return *a.standing.Load() }
+func (a *Acceptor) Membership() Membership { return *a.membership.Load() }
 
 // SetStanding changes phase and core membership through f, one change at a time and
 // synced before it returns. state.ErrSick says that it may not have been kept, and
 // an ended ctx that it may yet be.
-func (a *Acceptor) SetStanding(ctx context.Context, f func(Standing) (Standing, bool)) (Standing, error) {
+func (a *Acceptor) UpdateMembership(ctx context.Context, f func(Membership) (Membership, bool)) (Membership, error) {
 	type answer struct {
-		st  Standing
+		st  Membership
 		err error
 	}
-	out, err := run.AskFor(ctx, a.setActor, func() answer {
-		now, change := f(*a.standing.Load())
+	out, err := run.AskFor(ctx, a.membershipActor, func() answer {
+		now, change := f(*a.membership.Load())
 		if change {
-			if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyStanding, wire.Pack(now), nil) }); err != nil {
+			if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyMembership, wire.Pack(now), nil) }); err != nil {
 				return answer{err: err}
 			}
-			a.standing.Store(&now)
+			a.membership.Store(&now)
 		}
 		return answer{st: now}
 	})
@@ -61,23 +61,23 @@
 // own. Why: a voter that the core membership has gone on without may only come back as a
 // new member, filled by the others.
 func (a *Acceptor) Reset(ctx context.Context) error {
-	disk, err := newDisk()
+	disk, err := newDiskID()
 	if err != nil {
 		return err
 	}
-	err = inActor(ctx, a.setActor, func() error {
-		st := Standing{Phase: Empty}
-		a.standing.Store(&st)
+	err = inActor(ctx, a.membershipActor, func() error {
+		st := Membership{Phase: Empty}
+		a.membership.Store(&st)
 		return a.commit(func(b *pebble.Batch) error {
 			for _, family := range []string{"p", "r"} {
 				if err := b.DeleteRange([]byte(family+"/"), []byte(family+"0"), nil); err != nil {
 					return err
 				}
 			}
-			if err := b.Set(keyDisk, wire.Pack(disk), nil); err != nil {
+			if err := b.Set(keyDiskID, wire.Pack(disk), nil); err != nil {
 				return err
 			}
-			return b.Set(keyStanding, wire.Pack(st), nil)
+			return b.Set(keyMembership, wire.Pack(st), nil)
 		})
 	})
 	if err != nil {
@@ -85,14 +85,14 @@
 	}
 	for _, t := range a.slots {
 		err := inActor(ctx, t.actor, func() error {
-			t.forget()
+			t.reset()
 			return nil
 		})
 		if err != nil {
 			return err
 		}
 	}
-	a.disk.Store(&disk)
+	a.diskID.Store(&disk)
 	return nil
 }
 
--- a/internal/state/coremembers/admission.go
+++ b/internal/state/coremembers/admission.go
@@ -9,22 +9,22 @@
 )
 
 // askToJoin asks any core of a formed fleet for a place.
-func (k *Keeper) askToJoin(ctx context.Context, c state.Core) {
+func (k *Manager) requestJoin(ctx context.Context, c state.Core) {
 	if _, ok := k.d.Addr(c); !ok {
 		return
 	}
-	q := Joining{Core: k.d.Self(), Replaces: k.d.Replaces}
-	if _, err := call[Joining, None](ctx, k, c, "/state/join", q); err != nil {
+	q := JoinRequest{Core: k.d.Self(), Replaces: k.d.Replaces}
+	if _, err := call[JoinRequest, None](ctx, k, c, "/state/join", q); err != nil {
 		k.d.Log.Info("asked to join", "at", c.Name, "error", err)
 	}
 }
 
 // join is answered by the owner of the core membership; others pass it on.
-func (k *Keeper) join(ctx context.Context, q Joining) (None, error) {
+func (k *Manager) join(ctx context.Context, q JoinRequest) (None, error) {
 	if !k.d.Owner.Holds(Key) {
-		return k.passOn(ctx, q)
+		return k.forwardJoin(ctx, q)
 	}
-	err := k.decide(ctx, func(set state.CoreMembers) (state.CoreMembers, error) {
+	err := k.decide(ctx, func(set state.CoreSet) (state.CoreSet, error) {
 		if set.Has(q.Core) {
 			return set, nil
 		}
@@ -42,26 +42,26 @@
 
 // passOn hands a joining to whoever holds the core membership; the refusal "not-owner"
 // says that nobody does.
-func (k *Keeper) passOn(ctx context.Context, q Joining) (None, error) {
+func (k *Manager) forwardJoin(ctx context.Context, q JoinRequest) (None, error) {
 	for c := range k.d.Live() {
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			continue
 		}
 		held, err := call[None, map[int]uint64](ctx, k, c, "/state/held", None{})
 		if _, holds := held[state.SlotOf(Key)]; err == nil && holds {
-			return call[Joining, None](ctx, k, c, "/state/join", q)
+			return call[JoinRequest, None](ctx, k, c, "/state/join", q)
 		}
 	}
 	return None{}, wire.Refuse("not-owner", "nobody holds the core set")
 }
 
 // replace gives a core the place of the member that it names, or of its own past.
-func (k *Keeper) replace(set state.CoreMembers, q Joining) (state.CoreMembers, error) {
+func (k *Manager) replace(set state.CoreSet, q JoinRequest) (state.CoreSet, error) {
 	name := q.Replaces
 	if name == "" {
 		name = q.Core.Name
 	}
-	next := state.CoreMembers{Version: set.Version + 1}
+	next := state.CoreSet{Version: set.Version + 1}
 	replaced := false
 	for _, c := range set.Cores {
 		if c.Name != name {
@@ -87,19 +87,19 @@
 
 // admit takes a core in: in the place of its own past, of a voter that is gone,
 // or beside the others.
-func (k *Keeper) admit(set state.CoreMembers, joiner state.Core) (state.CoreMembers, error) {
+func (k *Manager) admit(set state.CoreSet, joiner state.Core) (state.CoreSet, error) {
 	out, found := k.lost(set)
 	for _, c := range set.Cores {
 		if c.Name == joiner.Name {
 			out, found = c, true
 		}
 	}
-	if !found && k.doubts(set) {
+	if !found && k.suspectsVoter(set) {
 		return set, wire.Refuse("doubt", "a member may be gone; its place is given when that is sure")
 	}
-	next := state.CoreMembers{Version: set.Version + 1}
+	next := state.CoreSet{Version: set.Version + 1}
 	for _, c := range set.Cores {
-		if !found || !c.Is(out) {
+		if !found || !c.SameVoter(out) {
 			next.Cores = append(next.Cores, c)
 		}
 	}
@@ -109,13 +109,13 @@
 
 // doubts says that a voter is silent and may be gone. Why: a set that grew beside
 // one that is gone would need more of the others for a majority, until it is let go of.
-func (k *Keeper) doubts(set state.CoreMembers) bool {
+func (k *Manager) suspectsVoter(set state.CoreSet) bool {
 	for _, c := range set.Cores {
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			continue
 		}
 		// Why: one that was never heard has only just come.
-		if heard := k.d.Heard(c); heard > doubtAfter && heard < time.Hour {
+		if heard := k.d.SinceContact(c); heard > suspectAfter && heard < time.Hour {
 			return true
 		}
 	}
--- a/internal/state/coremembers/catchup.go
+++ b/internal/state/coremembers/catchup.go
@@ -11,12 +11,12 @@
 
 // catchUp asks another core for its set now and then. Why: one that was away
 // while the set went on without it is told by nobody.
-func (k *Keeper) catchUp(ctx context.Context, st acceptor.Standing) {
-	if k.ticks%lookTicks != 0 {
+func (k *Manager) pollForNewerSet(ctx context.Context, st acceptor.Membership) {
+	if k.ticks%setPollTicks != 0 {
 		return
 	}
 	for c := range k.d.Live() {
-		if _, ok := k.d.Addr(c); !ok || c.Is(k.d.Self()) {
+		if _, ok := k.d.Addr(c); !ok || c.SameVoter(k.d.Self()) {
 			continue
 		}
 		a, err := k.askSet(ctx, c)
@@ -35,13 +35,13 @@
 
 // lookForUs adopts a formed set that counts us as a member: our formation
 // became firm elsewhere, or our joining was agreed.
-func (k *Keeper) lookForUs(ctx context.Context, c state.Core) bool {
+func (k *Manager) adoptIfMember(ctx context.Context, c state.Core) bool {
 	a, err := k.askSet(ctx, c)
 	if err != nil || !a.Set.Has(k.d.Self()) {
 		return false
 	}
-	if st := k.d.Acceptor.Standing(); st.Phase == acceptor.Pending && alike(st.Set, a.Set) {
-		_, err = k.form(ctx, Formation{Set: a.Set, Firm: true})
+	if st := k.d.Acceptor.Membership(); st.Phase == acceptor.Pending && sameSet(st.Set, a.Set) {
+		_, err = k.form(ctx, Formation{Set: a.Set, Committed: true})
 	} else {
 		_, err = k.adopt(ctx, a)
 	}
@@ -50,13 +50,13 @@
 
 // fill reads every slot from a majority of the old set, each of which already
 // refuses the old version, and only then votes.
-func (k *Keeper) fill(ctx context.Context, st acceptor.Standing) {
-	for slot := range state.Slots {
-		replies, current := k.dumps(ctx, st, slot)
+func (k *Manager) fill(ctx context.Context, st acceptor.Membership) {
+	for slot := range state.SlotCount {
+		replies, current := k.readSlot(ctx, st, slot)
 		if !current {
 			return
 		}
-		if len(replies) < st.Old.Quorum() {
+		if len(replies) < st.Previous.Quorum() {
 			k.d.Log.Info("filling waits for a majority", "slot", slot, "have", len(replies))
 			return
 		}
@@ -65,7 +65,7 @@
 			return
 		}
 	}
-	_, _ = k.d.Acceptor.SetStanding(ctx, func(now acceptor.Standing) (acceptor.Standing, bool) {
+	_, _ = k.d.Acceptor.UpdateMembership(ctx, func(now acceptor.Membership) (acceptor.Membership, bool) {
 		if now.Phase != acceptor.Filling || now.Set.Version != st.Set.Version {
 			return now, false
 		}
@@ -78,19 +78,19 @@
 // dumps reads one slot from the voters of the old set, side by side, until a
 // majority has given it. Why: one of them may be gone without a word, and a call to it takes its whole time.
 // It tells those that do not know the new set yet; current is false where this core's own set is outdated.
-func (k *Keeper) dumps(ctx context.Context, st acceptor.Standing, slot int) (replies []state.Reply, current bool) {
+func (k *Manager) readSlot(ctx context.Context, st acceptor.Membership, slot int) (replies []state.Reply, current bool) {
 	type answer struct {
 		from  state.Core
 		reply state.Reply
 		err   error
 	}
-	q := state.Ask{Set: st.Set.Version, From: k.d.Self(), Slot: slot}
-	voters := st.Old.Cores
+	q := state.Request{SetVersion: st.Set.Version, From: k.d.Self(), Slot: slot}
+	voters := st.Previous.Cores
 	answers := run.Fan(k.d.Group, len(voters), func(ctx context.Context, i int) answer {
-		if voters[i].Is(k.d.Self()) {
+		if voters[i].SameVoter(k.d.Self()) {
 			return answer{err: wire.ErrUnreachable}
 		}
-		r, err := call[state.Ask, state.Reply](ctx, k, voters[i], "/state/dump", q)
+		r, err := call[state.Request, state.Reply](ctx, k, voters[i], "/state/dump", q)
 		return answer{voters[i], r, err}
 	})
 	for range voters {
@@ -99,13 +99,13 @@
 		case a.err != nil:
 		case a.reply.OK:
 			replies = append(replies, a.reply)
-		case a.reply.Why == state.WhyBehind:
-			k.tell(ctx, a.from, Adoption{Set: st.Set, Old: st.Old})
-		case a.reply.Why == state.WhySet:
-			_ = k.lookForUs(ctx, a.from)
+		case a.reply.Reason == state.ReasonBehindCoreSet:
+			k.sendSet(ctx, a.from, SetUpdate{Set: st.Set, Previous: st.Previous})
+		case a.reply.Reason == state.ReasonOlderCoreSet:
+			_ = k.adoptIfMember(ctx, a.from)
 			return nil, false
 		}
-		if len(replies) >= st.Old.Quorum() {
+		if len(replies) >= st.Previous.Quorum() {
 			break
 		}
 	}
--- a/internal/state/coremembers/change.go
+++ b/internal/state/coremembers/change.go
@@ -10,12 +10,12 @@
 )
 
 // decide changes the set through a majority of the old one and spreads it.
-func (k *Keeper) decide(ctx context.Context, change func(set state.CoreMembers) (state.CoreMembers, error)) error {
-	var next state.CoreMembers
+func (k *Manager) decide(ctx context.Context, change func(set state.CoreSet) (state.CoreSet, error)) error {
+	var next state.CoreSet
 	_, err := k.d.Owner.Update(ctx, Key, func(old state.Record, found bool) ([]byte, error) {
-		set := k.d.Acceptor.Standing().Set
+		set := k.d.Acceptor.Membership().Set
 		if found {
-			var kept state.CoreMembers
+			var kept state.CoreSet
 			if err := wire.Unpack(old.Value, &kept); err == nil && kept.Version > set.Version {
 				return nil, wire.Refuse("busy", "a change is under way")
 			}
@@ -29,12 +29,12 @@
 	if err != nil {
 		return err
 	}
-	k.spread(ctx, next)
+	k.distribute(ctx, next)
 	return nil
 }
 
 // follow spreads a decided change that its author could not finish.
-func (k *Keeper) follow(ctx context.Context, st acceptor.Standing) {
+func (k *Manager) finishDecided(ctx context.Context, st acceptor.Membership) {
 	if !k.d.Owner.Holds(Key) {
 		return
 	}
@@ -42,26 +42,26 @@
 	if err != nil || !found {
 		return
 	}
-	var set state.CoreMembers
+	var set state.CoreSet
 	if wire.Unpack(rec.Value, &set) == nil && set.Version > st.Set.Version {
-		k.spread(ctx, set)
+		k.distribute(ctx, set)
 	}
 }
 
 // spread hands a decided set to the voters of the old one and to its own.
-func (k *Keeper) spread(ctx context.Context, next state.CoreMembers) {
-	old := k.d.Acceptor.Standing().Set
+func (k *Manager) distribute(ctx context.Context, next state.CoreSet) {
+	old := k.d.Acceptor.Membership().Set
 	if old.Version >= next.Version {
-		old = k.d.Acceptor.Standing().Old
+		old = k.d.Acceptor.Membership().Previous
 	}
-	a := Adoption{Set: next, Old: old}
+	a := SetUpdate{Set: next, Previous: old}
 	to := append(append([]state.Core{}, old.Cores...), next.Cores...)
 	// Why: a voter that is gone without a word must not keep the others from being told.
 	told := run.Fan(k.d.Group, len(to), func(ctx context.Context, i int) bool {
-		if to[i].Is(k.d.Self()) {
+		if to[i].SameVoter(k.d.Self()) {
 			_, _ = k.adopt(ctx, a)
 		} else {
-			k.tell(ctx, to[i], a)
+			k.sendSet(ctx, to[i], a)
 		}
 		return true
 	})
@@ -71,14 +71,14 @@
 }
 
 // tell hands a set to one core; whoever misses it is told again when it is behind.
-func (k *Keeper) tell(ctx context.Context, c state.Core, a Adoption) {
-	_, _ = call[Adoption, None](ctx, k, c, "/state/adopt", a)
+func (k *Manager) sendSet(ctx context.Context, c state.Core, a SetUpdate) {
+	_, _ = call[SetUpdate, None](ctx, k, c, "/state/adopt", a)
 }
 
 // adopt takes a newer set: a voter goes on voting under it, any other core is
 // filled first and takes only a set that counts it in.
-func (k *Keeper) adopt(ctx context.Context, a Adoption) (None, error) {
-	_, err := k.d.Acceptor.SetStanding(ctx, func(st acceptor.Standing) (acceptor.Standing, bool) {
+func (k *Manager) adopt(ctx context.Context, a SetUpdate) (None, error) {
+	_, err := k.d.Acceptor.UpdateMembership(ctx, func(st acceptor.Membership) (acceptor.Membership, bool) {
 		if a.Set.Version <= st.Set.Version || len(a.Set.Cores) == 0 {
 			return st, false
 		}
@@ -86,19 +86,19 @@
 			if !a.Set.Has(k.d.Self()) {
 				return st, false
 			}
-			return acceptor.Standing{Phase: acceptor.Filling, Set: a.Set, Old: a.Old}, true
+			return acceptor.Membership{Phase: acceptor.Filling, Set: a.Set, Previous: a.Previous}, true
 		}
-		return acceptor.Standing{Phase: acceptor.Voter, Set: a.Set, Old: st.Set}, true
+		return acceptor.Membership{Phase: acceptor.Voter, Set: a.Set, Previous: st.Set}, true
 	})
 	return None{}, err
 }
 
 // Behind hands our set to a voter that knows an older one; it does not wait for that.
-func (k *Keeper) Behind(c state.Core) {
+func (k *Manager) UpdateBehind(c state.Core) {
 	_ = k.actor.Tell(func() {
-		ctx, cancel := context.WithTimeout(k.d.Group.Context(), limit)
+		ctx, cancel := context.WithTimeout(k.d.Group.Context(), roundTimeout)
 		defer cancel()
-		st := k.d.Acceptor.Standing()
-		k.tell(ctx, c, Adoption{Set: st.Set, Old: st.Old})
+		st := k.d.Acceptor.Membership()
+		k.sendSet(ctx, c, SetUpdate{Set: st.Set, Previous: st.Previous})
 	})
 }
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -27,35 +27,35 @@
 
 const (
 	// limit bounds one round of the keeper, and what it sends in it.
-	limit = 2 * time.Second
+	roundTimeout = 2 * time.Second
 	// callLimit bounds one message to another core.
-	callLimit = 900 * time.Millisecond
+	callTimeout = 900 * time.Millisecond
 )
 
 // Deps is what a keeper needs from the rest of the core.
 type Deps struct {
-	Self     func() state.Core
-	Want     int      // how many cores the first formation waits for; 0 goes by Founders, and the set changes unattended
-	Founders []string // addresses of the cores that form the first set
-	MayFound bool     // this start may be the first of all
-	Target   int      // size that an unattended set is brought back to
-	Replaces string   // name of the member whose place this core takes
-	Group    *run.Group
-	Log      *slog.Logger
-	Caller   *wire.Caller
-	Acceptor *acceptor.Acceptor
-	Owner    *owner.Owner
+	Self         func() state.Core
+	Want         int      // how many cores the first formation waits for; 0 goes by Founders, and the set changes unattended
+	InitialAddrs []string // addresses of the cores that form the first set
+	MayBootstrap bool     // this start may be the first of all
+	TargetSize   int      // size that an unattended set is brought back to
+	Replaces     string   // name of the member whose place this core takes
+	Group        *run.Group
+	Log          *slog.Logger
+	Caller       *wire.Caller
+	Acceptor     *acceptor.Acceptor
+	Owner        *owner.Owner
 	// Live are the cores thought alive, with the phase each reports.
 	Live func() map[state.Core]acceptor.Phase
 	Addr func(state.Core) (string, bool)
 	// Gone says whether a voter has left on purpose, and how long it has been away.
 	Gone func(state.Core) (left bool, away time.Duration)
 	// Heard is how long ago a voter answered this core; an hour or more is never.
-	Heard func(state.Core) time.Duration
+	SinceContact func(state.Core) time.Duration
 }
 
 // Keeper keeps the core membership.
-type Keeper struct {
+type Manager struct {
 	d     Deps
 	actor *run.Actor
 	ticks int
@@ -67,91 +67,91 @@
 
 const (
 	// goneAfter is how long a voter must have been away before an unattended set goes on without it.
-	goneAfter = 2500 * time.Millisecond
+	lostAfter = 2500 * time.Millisecond
 	// doubtAfter is how long a voter must not have been heard for nobody to be taken in beside it.
-	doubtAfter = 700 * time.Millisecond
+	suspectAfter = 700 * time.Millisecond
 	// interval is the time between two rounds of the keeper.
-	interval = 500 * time.Millisecond
+	tickInterval = 500 * time.Millisecond
 	// settleTicks is for how many intervals a core looks around before it thinks of anybody as gone.
 	settleTicks = 12
 	// lookTicks is every how many intervals a voter asks another whether it knows a newer set.
-	lookTicks = 4
+	setPollTicks = 4
 )
 
 // New starts to keep the core membership, and answers the other cores on mux, until the
 // group of d stops.
-func New(d Deps, mux *wire.Mux) *Keeper {
-	k := &Keeper{d: d}
+func New(d Deps, mux *wire.Mux) *Manager {
+	k := &Manager{d: d}
 	wire.Handle(mux, "/state/form", k.form)
 	wire.Handle(mux, "/state/adopt", k.adopt)
 	wire.Handle(mux, "/state/join", k.join)
-	wire.Handle(mux, "/state/set", func(context.Context, None) (Adoption, error) {
-		st := d.Acceptor.Standing()
-		return Adoption{Set: st.Set, Old: st.Old, Phase: st.Phase}, nil
+	wire.Handle(mux, "/state/set", func(context.Context, None) (SetUpdate, error) {
+		st := d.Acceptor.Membership()
+		return SetUpdate{Set: st.Set, Previous: st.Previous, Phase: st.Phase}, nil
 	})
-	k.actor = run.NewActor(d.Group, 32, interval, k.onTick)
+	k.actor = run.NewActor(d.Group, 32, tickInterval, k.onTick)
 	// Why: a core that is started anew before its first round must still know that it may found.
 	_ = k.actor.Tell(func() {
-		ctx, cancel := context.WithTimeout(d.Group.Context(), limit)
+		ctx, cancel := context.WithTimeout(d.Group.Context(), roundTimeout)
 		defer cancel()
-		k.noteFirstStart(ctx)
+		k.persistFirstStart(ctx)
 	})
 	return k
 }
 
 // Stop leaves the set as it is from now on. Why: a core that is going away must not
 // come back as a new member when the others go on without it.
-func (k *Keeper) Stop() { k.stopped.Store(true) }
+func (k *Manager) Stop() { k.stopped.Store(true) }
 
 // unattended says that the set changes without an operator.
-func (k *Keeper) unattended() bool { return k.d.Want == 0 }
+func (k *Manager) unattended() bool { return k.d.Want == 0 }
 
 // onTick does what this core's phase asks for.
-func (k *Keeper) onTick() {
+func (k *Manager) onTick() {
 	if k.stopped.Load() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(k.d.Group.Context(), limit)
+	ctx, cancel := context.WithTimeout(k.d.Group.Context(), roundTimeout)
 	defer cancel()
-	k.noteFirstStart(ctx)
-	st := k.d.Acceptor.Standing()
+	k.persistFirstStart(ctx)
+	st := k.d.Acceptor.Membership()
 	k.ticks++
 	switch st.Phase {
 	case acceptor.Empty, acceptor.Pending:
-		k.enter(ctx, st)
+		k.seekMembership(ctx, st)
 	case acceptor.Filling:
 		k.fill(ctx, st)
 		if k.unattended() {
-			k.catchUp(ctx, st)
+			k.pollForNewerSet(ctx, st)
 		}
 	case acceptor.Voter:
-		k.keep(ctx, st)
+		k.maintain(ctx, st)
 	}
 }
 
 // enter seeks a place for a core that has no vote yet: in a formed set, or else
 // among the founders of the first.
-func (k *Keeper) enter(ctx context.Context, st acceptor.Standing) {
+func (k *Manager) seekMembership(ctx context.Context, st acceptor.Membership) {
 	live := k.d.Live()
 	for c, phase := range live {
 		// Why: where a fleet is formed already, an empty disk is a new member, never a founder.
 		if phase == acceptor.Voter || phase == acceptor.Filling {
-			if k.lookForUs(ctx, c) {
+			if k.adoptIfMember(ctx, c) {
 				return
 			}
 			if st.Phase == acceptor.Empty {
-				k.askToJoin(ctx, c)
+				k.requestJoin(ctx, c)
 			}
 			return
 		}
 	}
-	k.found(ctx, st, live)
+	k.bootstrap(ctx, st, live)
 }
 
 // keep is a voter's round: it finishes what was decided, and where no operator
 // does, looks for newer sets and for voters that are gone.
-func (k *Keeper) keep(ctx context.Context, st acceptor.Standing) {
-	k.follow(ctx, st)
+func (k *Manager) maintain(ctx context.Context, st acceptor.Membership) {
+	k.finishDecided(ctx, st)
 	member := st.Set.Has(k.d.Self())
 	switch {
 	case !member && k.unattended():
@@ -162,25 +162,25 @@
 	case !member:
 		k.d.Log.Warn("this core was replaced in the core set", "set", st.Set.Version)
 	case k.unattended():
-		k.catchUp(ctx, st)
+		k.pollForNewerSet(ctx, st)
 		k.trim(ctx, st)
 	}
 }
 
 // call sends one message to another core; wire.ErrUnreachable is given for one
 // that is thought gone.
-func call[Q, A any](ctx context.Context, k *Keeper, c state.Core, path string, q Q) (A, error) {
+func call[Q, A any](ctx context.Context, k *Manager, c state.Core, path string, q Q) (A, error) {
 	addr, ok := k.d.Addr(c)
 	if !ok {
 		var none A
 		return none, wire.ErrUnreachable
 	}
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return wire.Call[Q, A](ctx, k.d.Caller, addr, path, q)
 }
 
 // askSet asks another core for its set and phase.
-func (k *Keeper) askSet(ctx context.Context, c state.Core) (Adoption, error) {
-	return call[None, Adoption](ctx, k, c, "/state/set", None{})
+func (k *Manager) askSet(ctx context.Context, c state.Core) (SetUpdate, error) {
+	return call[None, SetUpdate](ctx, k, c, "/state/set", None{})
 }
--- a/internal/state/coremembers/messages.go
+++ b/internal/state/coremembers/messages.go
@@ -6,22 +6,22 @@
 )
 
 // Adoption hands over a newer set.
-type Adoption struct {
-	Set   state.CoreMembers `cbor:"1,keyasint"`
-	Old   state.CoreMembers `cbor:"2,keyasint"`
-	Phase acceptor.Phase    `cbor:"3,keyasint,omitempty"` // of whoever answers for itself
+type SetUpdate struct {
+	Set      state.CoreSet  `cbor:"1,keyasint"`
+	Previous state.CoreSet  `cbor:"2,keyasint"`
+	Phase    acceptor.Phase `cbor:"3,keyasint,omitempty"` // of whoever answers for itself
 }
 
 // Joining asks for a place in the set.
-type Joining struct {
+type JoinRequest struct {
 	Core     state.Core `cbor:"1,keyasint"`
 	Replaces string     `cbor:"2,keyasint"`
 }
 
 // Formation is the first set, offered and then made firm.
 type Formation struct {
-	Set  state.CoreMembers `cbor:"1,keyasint"`
-	Firm bool              `cbor:"2,keyasint"`
+	Set       state.CoreSet `cbor:"1,keyasint"`
+	Committed bool          `cbor:"2,keyasint"`
 }
 
 // None is an empty answer.
--- a/internal/state/coremembers/trim.go
+++ b/internal/state/coremembers/trim.go
@@ -11,21 +11,21 @@
 
 // trim takes a voter that is gone out of a set that is larger than it need be.
 // Why: each voter that does not answer makes a majority harder to find.
-func (k *Keeper) trim(ctx context.Context, st acceptor.Standing) {
-	if !k.d.Owner.Holds(Key) || k.ticks < settleTicks || len(st.Set.Cores) <= k.d.Target {
+func (k *Manager) trim(ctx context.Context, st acceptor.Membership) {
+	if !k.d.Owner.Holds(Key) || k.ticks < settleTicks || len(st.Set.Cores) <= k.d.TargetSize {
 		return
 	}
 	lost, found := k.lost(st.Set)
 	if !found {
 		return
 	}
-	next := state.CoreMembers{Version: st.Set.Version + 1}
+	next := state.CoreSet{Version: st.Set.Version + 1}
 	for _, c := range st.Set.Cores {
-		if !c.Is(lost) {
+		if !c.SameVoter(lost) {
 			next.Cores = append(next.Cores, c)
 		}
 	}
-	if err := k.decide(ctx, func(set state.CoreMembers) (state.CoreMembers, error) {
+	if err := k.decide(ctx, func(set state.CoreSet) (state.CoreSet, error) {
 		if set.Version != st.Set.Version {
 			return set, wire.Refuse("busy", "the set has changed")
 		}
@@ -36,14 +36,14 @@
 }
 
 // lost is the voter that has been away longest, if one is gone.
-func (k *Keeper) lost(set state.CoreMembers) (state.Core, bool) {
+func (k *Manager) lost(set state.CoreSet) (state.Core, bool) {
 	var lost state.Core
 	longest := time.Duration(0)
 	for _, c := range set.Cores {
-		if c.Is(k.d.Self()) {
+		if c.SameVoter(k.d.Self()) {
 			continue
 		}
-		if left, away := k.d.Gone(c); (left || away > goneAfter) && away > longest {
+		if left, away := k.d.Gone(c); (left || away > lostAfter) && away > longest {
 			lost, longest = c, away
 		}
 	}
--- a/internal/state/owner/changes.go
+++ b/internal/state/owner/changes.go
@@ -12,24 +12,24 @@
 
 const (
 	// mostChanges is how many changes share a write.
-	mostChanges = 64
+	maxBatchChanges = 64
 	// mostBytes is the size from which a write takes no further change.
-	mostBytes = 256 << 10
+	maxBatchBytes = 256 << 10
 )
 
 // change is one caller's change of a key.
 type change struct {
-	ctx    context.Context
-	key    string
-	f      func(old state.Record, found bool) ([]byte, error)
-	begun  atomic.Bool   // a write has taken it, or its caller has given up on it
-	done   chan struct{} // closed when record and err are there
-	record state.Record
-	err    error
+	ctx     context.Context
+	key     string
+	update  func(old state.Record, found bool) ([]byte, error)
+	claimed atomic.Bool   // a write has taken it, or its caller has given up on it
+	done    chan struct{} // closed when record and err are there
+	record  state.Record
+	err     error
 }
 
 // end tells the caller what became of its change.
-func (c *change) end(err error) {
+func (c *change) finish(err error) {
 	c.err = err
 	close(c.done)
 }
@@ -46,38 +46,38 @@
 
 // changes are those that wait for a slot's next write, the oldest first. Why: a write waits for a majority of disks; with one
 // for each change, one after the other, the slot bore no more changes a second than it had round trips.
-type changes struct {
+type changeQueue struct {
 	mu      sync.Mutex
-	waiting []*change
+	pending []*change
 }
 
 // add has a change wait for the next write.
-func (cs *changes) add(c *change) {
+func (cs *changeQueue) push(c *change) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.waiting = append(cs.waiting, c)
+	cs.pending = append(cs.pending, c)
 }
 
 // take gives the changes that may share the next write: no two of one key.
-func (cs *changes) take() []*change {
+func (cs *changeQueue) nextBatch() []*change {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	keys := map[string]bool{}
 	n := 0
-	for n < len(cs.waiting) && n < mostChanges && !keys[cs.waiting[n].key] {
-		keys[cs.waiting[n].key] = true
+	for n < len(cs.pending) && n < maxBatchChanges && !keys[cs.pending[n].key] {
+		keys[cs.pending[n].key] = true
 		n++
 	}
-	taken := cs.waiting[:n:n]
-	cs.waiting = cs.waiting[n:]
+	taken := cs.pending[:n:n]
+	cs.pending = cs.pending[n:]
 	return taken
 }
 
 // putBack has changes that were taken wait again, before all others.
-func (cs *changes) putBack(back []*change) {
+func (cs *changeQueue) putBack(back []*change) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.waiting = append(back, cs.waiting...)
+	cs.pending = append(back, cs.pending...)
 }
 
 // Update changes a key by f on a majority of disks; changes of one key are made one at a time, and those that wait share a
@@ -85,15 +85,15 @@
 // nothing was kept, state.ErrUnknown that it may have been.
 func (o *Owner) Update(ctx context.Context, key string, f func(old state.Record, found bool) ([]byte, error)) (state.Record, error) {
 	s := o.slots[state.SlotOf(key)]
-	c := &change{ctx: ctx, key: key, f: f, done: make(chan struct{})}
-	s.changes.add(c)
+	c := &change{ctx: ctx, key: key, update: f, done: make(chan struct{})}
+	s.changes.push(c)
 	err := s.actor.Ask(ctx, func() {
 		for !c.isDone() {
-			s.writeChanges()
+			s.writeBatch()
 		}
 	})
 	// Why: a change that was given up on before a write took it is in none, so nothing was kept, and that can be said.
-	if err != nil && c.begun.CompareAndSwap(false, true) {
+	if err != nil && c.claimed.CompareAndSwap(false, true) {
 		return state.Record{}, errors.Wrap(state.ErrNoQuorum, err.Error())
 	}
 	<-c.done
@@ -101,23 +101,23 @@
 }
 
 // writeChanges makes one write of changes that wait.
-func (s *slot) writeChanges() {
-	taken := s.changes.take()
+func (s *slot) writeBatch() {
+	taken := s.changes.nextBatch()
 	var made []*change
 	var records []state.Record
 	size := 0
 	for i, c := range taken {
-		if size >= mostBytes {
+		if size >= maxBatchBytes {
 			s.changes.putBack(taken[i:])
 			break
 		}
-		if !c.begun.CompareAndSwap(false, true) {
-			c.end(state.ErrNoQuorum)
+		if !c.claimed.CompareAndSwap(false, true) {
+			c.finish(state.ErrNoQuorum)
 			continue
 		}
-		record, err := s.changed(c, s.version+uint64(len(records))+1)
+		record, err := s.applyChange(c, s.version+uint64(len(records))+1)
 		if err != nil {
-			c.end(err)
+			c.finish(err)
 			continue
 		}
 		c.record = record
@@ -129,12 +129,12 @@
 	}
 	err := s.write(records, false)
 	for _, c := range made {
-		c.end(err)
+		c.finish(err)
 	}
 }
 
 // changed is the record that a change makes of what the slot holds now.
-func (s *slot) changed(c *change, version uint64) (state.Record, error) {
+func (s *slot) applyChange(c *change, version uint64) (state.Record, error) {
 	// Why: a caller that has gone was told "nothing kept"; its change must not happen later.
 	if c.ctx.Err() != nil {
 		return state.Record{}, errors.Wrap(state.ErrNoQuorum, "caller gave up waiting")
@@ -142,8 +142,8 @@
 	if !s.held() {
 		return state.Record{}, state.ErrNotOwner
 	}
-	old, found := s.table[c.key]
-	value, err := c.f(old, found && !old.Gone)
+	old, found := s.records[c.key]
+	value, err := c.update(old, found && !old.Deleted)
 	if err != nil {
 		return state.Record{}, err
 	}
--- a/internal/state/owner/changes_test.go
+++ b/internal/state/owner/changes_test.go
@@ -13,7 +13,7 @@
 )
 
 // sameSlot is n keys of the slot of testKey.
-func sameSlot(n int) (keys []string) {
+func keysInTestSlot(n int) (keys []string) {
 	for i := 0; len(keys) < n; i++ {
 		if key := fmt.Sprintf("replica/r-%d", i); state.SlotOf(key) == state.SlotOf(testKey) {
 			keys = append(keys, key)
@@ -23,7 +23,7 @@
 }
 
 // one adds one to a counter of a single byte.
-func one(old state.Record, found bool) ([]byte, error) {
+func increment(old state.Record, found bool) ([]byte, error) {
 	if !found {
 		return []byte{1}, nil
 	}
@@ -31,16 +31,16 @@
 }
 
 // Changes of one slot waited for each other's writes, however many there were.
-func TestChangesThatWaitShareAWrite(t *testing.T) {
+func TestPendingChangesShareAWrite(t *testing.T) {
 	const roundTrip, together = 100 * time.Millisecond, 40
 	synctest.Test(t, func(t *testing.T) {
-		v := votersApart(t, roundTrip/2, roundTrip/2)
-		defer v.end()
+		v := newClusterWithDelays(t, roundTrip/2, roundTrip/2)
+		defer v.stop()
 		began := time.Now()
 		var wg sync.WaitGroup
-		for _, key := range sameSlot(together) {
+		for _, key := range keysInTestSlot(together) {
 			wg.Go(func() {
-				if _, err := v.owner.Update(t.Context(), key, one); err != nil {
+				if _, err := v.owner.Update(t.Context(), key, increment); err != nil {
 					t.Errorf("%s: %v", key, err)
 				}
 			})
@@ -51,7 +51,7 @@
 			t.Errorf("%d changes took %v, a round trip takes %v", together, took, roundTrip)
 		}
 		stamps := map[state.Stamp]bool{}
-		for _, key := range sameSlot(together) {
+		for _, key := range keysInTestSlot(together) {
 			rec, found, err := v.owner.Get(t.Context(), key)
 			if err != nil || !found || rec.Value[0] != 1 || stamps[rec.Stamp] {
 				t.Errorf("%s: %v, found %v, %v", key, rec, found, err)
@@ -62,17 +62,17 @@
 }
 
 // Each change of a key sees the one before, and no change that failed or was given up on is kept.
-func TestChangesOfOneKeyAreMadeOneAtATime(t *testing.T) {
+func TestChangesOfOneKeyAreSerialized(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := votersApart(t, 20*time.Millisecond, 50*time.Millisecond)
-		defer v.end()
+		v := newClusterWithDelays(t, 20*time.Millisecond, 50*time.Millisecond)
+		defer v.stop()
 		refused := errors.New("refused")
-		keys := sameSlot(3)
+		keys := keysInTestSlot(3)
 		var wg sync.WaitGroup
 		for i := range 10 {
 			for _, key := range keys {
 				wg.Go(func() {
-					if _, err := v.owner.Update(t.Context(), key, one); err != nil {
+					if _, err := v.owner.Update(t.Context(), key, increment); err != nil {
 						t.Errorf("%s: %v", key, err)
 					}
 				})
@@ -89,7 +89,7 @@
 				ran := false
 				_, err := v.owner.Update(ctx, keys[1], func(old state.Record, found bool) ([]byte, error) {
 					ran = true
-					return one(old, found)
+					return increment(old, found)
 				})
 				if ran != (err == nil) || err != nil && !errors.Is(err, state.ErrNoQuorum) {
 					t.Errorf("given up on: ran %v, %v", ran, err)
--- a/internal/state/owner/late_test.go
+++ b/internal/state/owner/late_test.go
@@ -20,22 +20,22 @@
 )
 
 // voters are three cores of a set, of which the first owns all slots and the last is far off.
-type voters struct {
+type cluster struct {
 	group     *run.Group
 	owner     *Owner
-	far       *wire.Server
+	farServer *wire.Server
 	caller    *wire.Caller
 	servers   []*wire.Server
 	acceptors []*acceptor.Acceptor
 }
 
-func threeVoters(t *testing.T) *voters {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	return votersApart(t, time.Millisecond, 30*time.Millisecond)
+	return newClusterWithDelays(t, time.Millisecond, 30*time.Millisecond)
 }
 
 // votersApart is voters of which the last is far from the others, and those near each other.
-func votersApart(t *testing.T, near, far time.Duration) *voters {
+func newClusterWithDelays(t *testing.T, near, far time.Duration) *cluster {
 	t.Helper()
 	const farOff = "10.0.0.3"
 	fabric := simnet.New(1, func(from, to string) time.Duration {
@@ -44,12 +44,12 @@
 		}
 		return near
 	})
-	v := &voters{group: run.NewGroup(t.Context())}
+	v := &cluster{group: run.NewGroup(t.Context())}
 	log, clk := ring.New(io.Discard, 100).Logger(), simhost.NewClock()
-	set := state.CoreMembers{Version: 1}
+	set := state.CoreSet{Version: 1}
 	for i := range 3 {
 		host := fmt.Sprintf("10.0.0.%d", i+1)
-		acc, err := acceptor.Open(v.group, "d", acceptor.Whose{Fleet: "f", Node: host}, vfs.NewMem(), clk, log)
+		acc, err := acceptor.Open(v.group, "d", acceptor.FolderOwner{Fleet: "f", Node: host}, vfs.NewMem(), clk, log)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,12 +61,12 @@
 		acc.Serve(mux)
 		server := wire.NewServer(ln, mux)
 		v.group.Go(server.Run)
-		v.servers, v.acceptors, v.far = append(v.servers, server), append(v.acceptors, acc), server
-		set.Cores = append(set.Cores, state.Core{Name: host, Disk: acc.Disk(), Addr: host + ":7000"})
+		v.servers, v.acceptors, v.farServer = append(v.servers, server), append(v.acceptors, acc), server
+		set.Cores = append(set.Cores, state.Core{Name: host, DiskID: acc.DiskID(), Addr: host + ":7000"})
 	}
 	for _, acc := range v.acceptors {
-		if _, err := acc.SetStanding(t.Context(), func(acceptor.Standing) (acceptor.Standing, bool) {
-			return acceptor.Standing{Phase: acceptor.Voter, Set: set}, true
+		if _, err := acc.UpdateMembership(t.Context(), func(acceptor.Membership) (acceptor.Membership, bool) {
+			return acceptor.Membership{Phase: acceptor.Voter, Set: set}, true
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -75,13 +75,13 @@
 	v.owner = New(Deps{
 		Self: func() state.Core { return set.Cores[0] }, Group: v.group, Clock: clk, Log: log, Caller: v.caller, Acceptor: v.acceptors[0],
 		Addr: func(c state.Core) (string, bool) { return c.Addr, true },
-		Rank: func(int) []state.Core { return set.Cores }, Behind: func(state.Core) {}, Handback: time.Second,
+		Rank: func(int) []state.Core { return set.Cores }, Behind: func(state.Core) {}, HandbackDelay: time.Second,
 	})
-	until(t, 10*time.Second, func() bool { return v.owner.Holds(testKey) })
+	waitFor(t, 10*time.Second, func() bool { return v.owner.Holds(testKey) })
 	return v
 }
 
-func (v *voters) end() {
+func (v *cluster) stop() {
 	for _, s := range v.servers {
 		s.Close()
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (v *voters) write(t *testing.T, value byte) {
+func (v *cluster) write(t *testing.T, value byte) {
 	t.Helper()
 	if _, err := v.owner.Update(t.Context(), testKey, func(state.Record, bool) ([]byte, error) { return []byte{value}, nil }); err != nil {
 		t.Fatal(err)
@@ -102,10 +102,10 @@
 }
 
 // owing is how many voters the owner believes to have missed a write of the slot.
-func (v *voters) owing(t *testing.T) (n int) {
+func (v *cluster) missedBy(t *testing.T) (n int) {
 	t.Helper()
 	s := v.owner.slots[state.SlotOf(testKey)]
-	if err := s.actor.Ask(context.Background(), func() { n = len(s.owes) }); err != nil {
+	if err := s.actor.Ask(context.Background(), func() { n = len(s.missed) }); err != nil {
 		t.Fatal(err)
 	}
 	return n
@@ -113,61 +113,61 @@
 
 // A voter that keeps a write a moment after the majority has missed nothing, so its
 // copy is not looked at for that; one that does not answer still is.
-func TestAVoterThatIsLateHasMissedNothing(t *testing.T) {
+func TestLateReplyCountsAsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := threeVoters(t)
-		defer v.end()
+		v := newCluster(t)
+		defer v.stop()
 		for i := range 20 {
 			v.write(t, byte(i))
-			if v.owing(t) != 1 {
-				t.Fatalf("write %d: %d voters owe an answer right after a majority gave theirs, want 1", i, v.owing(t))
+			if v.missedBy(t) != 1 {
+				t.Fatalf("write %d: %d voters owe an answer right after a majority gave theirs, want 1", i, v.missedBy(t))
 			}
 			time.Sleep(200 * time.Millisecond)
-			if n := v.owing(t); n != 0 {
+			if n := v.missedBy(t); n != 0 {
 				t.Fatalf("write %d: %d voters count as having missed it", i, n)
 			}
 		}
-		v.far.Close()
+		v.farServer.Close()
 		v.write(t, 100)
 		v.write(t, 101)
 		time.Sleep(5 * time.Second)
-		if n := v.owing(t); n != 1 {
+		if n := v.missedBy(t); n != 1 {
 			t.Errorf("%d voters count as having missed a write, want the one that is gone", n)
 		}
 	})
 }
 
 // Of two writes that a voter has not answered for, one answer settles one.
-func TestOneLateAnswerSettlesOneWrite(t *testing.T) {
-	s := &slot{owes: map[string]map[state.Stamp]bool{}}
+func TestLateReplyClearsOneMissedWrite(t *testing.T) {
+	s := &slot{missed: map[string]map[state.Stamp]bool{}}
 	first, second := state.Stamp{Epoch: 1, Version: 1}, state.Stamp{Epoch: 1, Version: 2}
-	s.owe("b", first)
-	s.owe("b", second)
-	s.confirmed("b", second)
-	s.confirmed("b", state.Stamp{Epoch: 2, Version: 1})
-	if len(s.owes["b"]) != 1 {
-		t.Errorf("b owes %v, want the first write", s.owes["b"])
+	s.noteMissed("b", first)
+	s.noteMissed("b", second)
+	s.clearMissed("b", second)
+	s.clearMissed("b", state.Stamp{Epoch: 2, Version: 1})
+	if len(s.missed["b"]) != 1 {
+		t.Errorf("b owes %v, want the first write", s.missed["b"])
 	}
-	s.confirmed("b", first)
-	if len(s.owes) != 0 {
-		t.Errorf("owed: %v", s.owes)
+	s.clearMissed("b", first)
+	if len(s.missed) != 0 {
+		t.Errorf("owed: %v", s.missed)
 	}
 }
 
 // A voter that is gone for long is remembered in a bounded room, and no late answer
 // makes it one that has missed nothing.
-func TestAVoterThatOwesMuchIsBehindUntilItsRepair(t *testing.T) {
-	s := &slot{owes: map[string]map[state.Stamp]bool{}}
-	for version := range uint64(10 * mostOwed) {
-		s.owe("b", state.Stamp{Epoch: 1, Version: version + 1})
+func TestMissedWritesAreBoundedUntilRepair(t *testing.T) {
+	s := &slot{missed: map[string]map[state.Stamp]bool{}}
+	for version := range uint64(10 * maxTrackedMisses) {
+		s.noteMissed("b", state.Stamp{Epoch: 1, Version: version + 1})
 	}
-	if n := len(s.owes["b"]); n > mostOwed {
+	if n := len(s.missed["b"]); n > maxTrackedMisses {
 		t.Errorf("%d writes are kept", n)
 	}
-	for version := range uint64(10 * mostOwed) {
-		s.confirmed("b", state.Stamp{Epoch: 1, Version: version + 1})
+	for version := range uint64(10 * maxTrackedMisses) {
+		s.clearMissed("b", state.Stamp{Epoch: 1, Version: version + 1})
 	}
-	if len(s.owes["b"]) == 0 {
+	if len(s.missed["b"]) == 0 {
 		t.Error("b counts as having missed nothing")
 	}
 }
--- a/internal/state/owner/orders.go
+++ b/internal/state/owner/orders.go
@@ -8,30 +8,30 @@
 )
 
 // orders keeps in mind when orders were sent under the lease of a slot. Its methods may be called from anywhere.
-type orders struct {
-	underWay atomic.Int64 // orders that have not ended
-	latest   atomic.Int64 // when one ended last, or else when the lease began, on our clock
+type orderActivity struct {
+	inFlight  atomic.Int64 // orders that have not ended
+	lastEnded atomic.Int64 // when one ended last, or else when the lease began, on our clock
 }
 
 // begin starts a lease under which nothing has been ordered.
-func (o *orders) begin(now time.Duration) { o.latest.Store(int64(now)) }
+func (o *orderActivity) reset(now time.Duration) { o.lastEnded.Store(int64(now)) }
 
 // quietFor is for how long no order has been under way.
-func (o *orders) quietFor(now time.Duration) time.Duration {
-	if o.underWay.Load() > 0 {
+func (o *orderActivity) idleFor(now time.Duration) time.Duration {
+	if o.inFlight.Load() > 0 {
 		return 0
 	}
-	return max(0, now-time.Duration(o.latest.Load()))
+	return max(0, now-time.Duration(o.lastEnded.Load()))
 }
 
 // Ordering notes that an order for a key is about to be sent; ended is called when it has been answered, or
 // waits for its answer no more. It comes before MayOrder is asked, so that a slot that is let go of just then does
 // not count as quiet.
-func (o *Owner) Ordering(key string) (ended func()) {
+func (o *Owner) BeginOrder(key string) (ended func()) {
 	s := o.slots[state.SlotOf(key)]
-	s.orders.underWay.Add(1)
+	s.orders.inFlight.Add(1)
 	return func() {
-		s.orders.latest.Store(int64(o.d.Clock.Since()))
-		s.orders.underWay.Add(-1)
+		s.orders.lastEnded.Store(int64(o.d.Clock.Since()))
+		s.orders.inFlight.Add(-1)
 	}
 }
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -24,15 +24,15 @@
 
 const (
 	// interval is the time between two looks at a slot, and between two renewals.
-	interval = 250 * time.Millisecond
+	tickInterval = 250 * time.Millisecond
 	// callTimeout bounds one message to a voter.
 	callTimeout = 900 * time.Millisecond
 	// lapse is how long, times its rank, a core lets a slot go unheld before it takes it out of turn.
-	lapse = time.Second
+	takeoverDelay = time.Second
 	// quietHandback is how long a slot is kept that another core is preferred for, where handing it over costs no orders.
-	quietHandback = 3 * time.Second
+	idleHandbackDelay = 3 * time.Second
 	// repairEvery is how many intervals lie between two looks for missed writes in one slot.
-	repairEvery = 8
+	repairTicks = 8
 )
 
 // Deps is what an owner needs from the rest of the core.
@@ -58,51 +58,51 @@
 	OwnQuarantine time.Duration
 	// Handback is how long a slot is kept that another core is preferred for. One under which no order was sent
 	// for Quarantine is kept for quietHandback at most: its next holder may send orders at once.
-	Handback time.Duration
+	HandbackDelay time.Duration
 	// OnTake is called in the slot's actor when a slot has been taken.
 	OnTake func(slot int, records []state.Record)
 }
 
 // Owner is the slots this core holds. Its methods may be called from anywhere.
 type Owner struct {
-	d     Deps
-	slots [state.Slots]*slot
-	stop  atomic.Bool
-	owed  atomic.Int64
-	began time.Duration
-	mu    sync.Mutex
-	heard map[string]time.Duration // voter: when it last granted us something
+	d         Deps
+	slots     [state.SlotCount]*slot
+	stopped   atomic.Bool
+	repaired  atomic.Int64
+	startedAt time.Duration
+	mu        sync.Mutex
+	lastGrant map[string]time.Duration // voter: when it last granted us something
 }
 
 // New starts to look for slots to hold; it runs until the group of d stops.
 func New(d Deps) *Owner {
-	o := &Owner{d: d, heard: map[string]time.Duration{}, began: d.Clock.Since()}
+	o := &Owner{d: d, lastGrant: map[string]time.Duration{}, startedAt: d.Clock.Since()}
 	for i := range o.slots {
-		s := &slot{o: o, n: i, owes: map[string]map[state.Stamp]bool{}, ticks: i}
-		s.actor = run.NewActor(d.Group, 256, interval, s.onTick)
+		s := &slot{owner: o, index: i, missed: map[string]map[state.Stamp]bool{}, ticks: i}
+		s.actor = run.NewActor(d.Group, 256, tickInterval, s.onTick)
 		o.slots[i] = s
 	}
-	d.Group.Every(interval, o.renew)
+	d.Group.Every(tickInterval, o.renew)
 	return o
 }
 
 // Stop gives up all slots, so that others may have them at once, and takes none again.
 func (o *Owner) Stop(ctx context.Context) {
-	o.stop.Store(true)
+	o.stopped.Store(true)
 	for _, s := range o.slots {
 		_ = s.actor.Ask(ctx, func() { s.giveUp("stopping", true) })
 	}
 }
 
 // Owed counts writes that voters missed and were handed later.
-func (o *Owner) Owed() int64 { return o.owed.Load() }
+func (o *Owner) Repaired() int64 { return o.repaired.Load() }
 
 // Held lists the slots held now with their epochs.
 func (o *Owner) Held() map[int]uint64 {
 	out := map[int]uint64{}
 	for _, s := range o.slots {
 		if s.held() {
-			out[s.n] = s.epoch.Load()
+			out[s.index] = s.epoch.Load()
 		}
 	}
 	return out
@@ -117,20 +117,20 @@
 	s := o.slots[state.SlotOf(key)]
 	epoch = s.epoch.Load()
 	now := o.d.Clock.Since()
-	left = time.Duration(s.until.Load()) - now
+	left = time.Duration(s.leaseUntil.Load()) - now
 	return epoch, left, left > 0 && now >= time.Duration(s.orderFrom.Load()) && s.epoch.Load() == epoch
 }
 
 // FreeFor is how long nobody had held the slot of a key for sure when it was taken.
-func (o *Owner) FreeFor(key string) time.Duration {
-	return time.Duration(o.slots[state.SlotOf(key)].freeFor.Load())
+func (o *Owner) UnleasedFor(key string) time.Duration {
+	return time.Duration(o.slots[state.SlotOf(key)].unleasedFor.Load())
 }
 
 // HeardFor is how long ago a voter granted us something; an hour if it never has.
-func (o *Owner) HeardFor(c state.Core) time.Duration {
+func (o *Owner) SinceLastGrant(c state.Core) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	at, found := o.heard[c.Name]
+	at, found := o.lastGrant[c.Name]
 	if !found {
 		return time.Hour
 	}
--- a/internal/state/owner/poll.go
+++ b/internal/state/owner/poll.go
@@ -21,47 +21,47 @@
 
 // voterAnswer is what came of asking one voter.
 type voterAnswer struct {
-	i   int // of the voter in the core membership
-	r   state.Reply
-	err error
+	voter int // of the voter in the core membership
+	reply state.Reply
+	err   error
 }
 
 // poll asks every voter side by side. It returns once a majority agreed or all
 // have answered; missed are voters without a yes at that moment.
-func (o *Owner) poll(set state.CoreMembers, path string, q state.Ask, local func(context.Context, state.Ask) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core) {
-	yes, noes, missed, _ = o.pollSome(set, path, q, local, early)
+func (o *Owner) poll(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core) {
+	yes, noes, missed, _ = o.pollWithLate(set, path, q, local, early)
 	return yes, noes, missed
 }
 
 // pollSome is poll that also gives the answers that come later, one for each of
 // the voters that had not answered yet.
-func (o *Owner) pollSome(set state.CoreMembers, path string, q state.Ask, local func(context.Context, state.Ask) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core, late later) {
+func (o *Owner) pollWithLate(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (yes, noes []state.Reply, missed []state.Core, late lateReplies) {
 	self := o.d.Self()
 	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) voterAnswer {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		c := set.Cores[i]
-		if c.Is(self) {
+		if c.SameVoter(self) {
 			r, err := local(ctx, q)
 			return voterAnswer{i, r, err}
 		}
-		r, err := callVoter[state.Ask, state.Reply](ctx, o, c, path, q)
+		r, err := callVoter[state.Request, state.Reply](ctx, o, c, path, q)
 		return voterAnswer{i, r, err}
 	})
 	agreed := map[int]bool{}
-	late = later{left: len(set.Cores), answers: ch}
-	for late.left > 0 {
+	late = lateReplies{remaining: len(set.Cores), answers: ch}
+	for late.remaining > 0 {
 		a := <-ch
-		late.left--
+		late.remaining--
 		switch {
 		case a.err != nil:
-		case a.r.OK:
-			yes = append(yes, a.r)
-			agreed[a.i] = true
+		case a.reply.OK:
+			yes = append(yes, a.reply)
+			agreed[a.voter] = true
 		default:
-			noes = append(noes, a.r)
-			if a.r.Why == state.WhyBehind {
-				o.d.Behind(set.Cores[a.i])
+			noes = append(noes, a.reply)
+			if a.reply.Reason == state.ReasonBehindCoreSet {
+				o.d.Behind(set.Cores[a.voter])
 			}
 		}
 		if early && len(yes) >= set.Quorum() {
@@ -77,7 +77,7 @@
 }
 
 // later is the answers that had not come when a majority had agreed.
-type later struct {
-	left    int
-	answers <-chan voterAnswer
+type lateReplies struct {
+	remaining int
+	answers   <-chan voterAnswer
 }
--- a/internal/state/owner/repair.go
+++ b/internal/state/owner/repair.go
@@ -9,38 +9,38 @@
 )
 
 // finding is what a look at one voter's copy of a slot came to.
-type finding struct {
-	voter  state.Core
-	differ bool // it had missed something
-	ok     bool // its copy is whole now
+type repairResult struct {
+	voter    state.Core
+	differed bool // it had missed something
+	current  bool // its copy is whole now
 }
 
 // repair hands voters what they missed: those with a hint, and those whose
 // digest differs.
-func (s *slot) repair(set state.CoreMembers) {
-	o := s.o
-	all := make([]state.Record, 0, len(s.table))
-	for _, r := range s.table {
+func (s *slot) repair(set state.CoreSet) {
+	o := s.owner
+	all := make([]state.Record, 0, len(s.records))
+	for _, r := range s.records {
 		all = append(all, r)
 	}
 	sum := acceptor.Sum(all)
 	self := o.d.Self()
-	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) finding {
+	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) repairResult {
 		c := set.Cores[i]
-		if c.Is(self) {
-			return finding{voter: c, ok: true}
+		if c.SameVoter(self) {
+			return repairResult{voter: c, current: true}
 		}
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		q := state.Ask{Set: set.Version, From: self, Slot: s.n, Epoch: s.epoch.Load()}
+		q := state.Request{SetVersion: set.Version, From: self, Slot: s.index, Epoch: s.epoch.Load()}
 		return s.repairVoter(ctx, c, q, all, sum)
 	})
 	for range set.Cores {
 		f := <-ch
-		if f.ok {
-			delete(s.owes, f.voter.Name)
-			if f.differ {
-				o.owed.Add(1)
+		if f.current {
+			delete(s.missed, f.voter.Name)
+			if f.differed {
+				o.repaired.Add(1)
 			}
 		}
 	}
@@ -48,19 +48,19 @@
 
 // repairVoter compares one voter's digest with sum, and hands it all records if
 // they differ.
-func (s *slot) repairVoter(ctx context.Context, c state.Core, q state.Ask, all []state.Record, sum []byte) finding {
-	o := s.o
-	r, err := callVoter[state.Ask, state.Reply](ctx, o, c, "/state/digest", q)
+func (s *slot) repairVoter(ctx context.Context, c state.Core, q state.Request, all []state.Record, sum []byte) repairResult {
+	o := s.owner
+	r, err := callVoter[state.Request, state.Reply](ctx, o, c, "/state/digest", q)
 	if err != nil || !r.OK {
-		if err == nil && r.Why == state.WhyBehind {
+		if err == nil && r.Reason == state.ReasonBehindCoreSet {
 			o.d.Behind(c)
 		}
-		return finding{voter: c}
+		return repairResult{voter: c}
 	}
-	if string(r.Sum) == string(sum) {
-		return finding{voter: c, ok: true}
+	if string(r.Digest) == string(sum) {
+		return repairResult{voter: c, current: true}
 	}
-	q.Full, q.At, q.Records = true, s.version, all
-	r, err = callVoter[state.Ask, state.Reply](ctx, o, c, "/state/accept", q)
-	return finding{voter: c, differ: true, ok: err == nil && r.OK}
+	q.Full, q.Version, q.Records = true, s.version, all
+	r, err = callVoter[state.Request, state.Reply](ctx, o, c, "/state/accept", q)
+	return repairResult{voter: c, differed: true, current: err == nil && r.OK}
 }
--- a/internal/state/owner/slot.go
+++ b/internal/state/owner/slot.go
@@ -14,117 +14,117 @@
 // slot is one slot of the control state as this core sees it. Its plain fields
 // belong to its actor; readers outside the actor use the atomic ones.
 type slot struct {
-	o         *Owner
-	n         int
-	actor     *run.Actor
-	changes   changes
-	epoch     atomic.Uint64
-	until     atomic.Int64            // lease good until, on our clock; 0 when not held
-	orderFrom atomic.Int64            // from when on orders may be sent, on our clock
-	freeFor   atomic.Int64            // how long nobody had held the slot for sure when it was taken
-	orders    orders                  // that are sent under the lease
-	version   uint64                  // of the newest write in the slot
-	table     map[string]state.Record // nil when not held
-	seen      uint64                  // highest epoch heard of
-	waitUntil time.Duration           // the slot is not asked for before
-	strayed   time.Duration           // since when another core is preferred
-	ticks     int
-	owes      map[string]map[state.Stamp]bool // by voter: writes that it has not answered for
+	owner                   *Owner
+	index                   int
+	actor                   *run.Actor
+	changes                 changeQueue
+	epoch                   atomic.Uint64
+	leaseUntil              atomic.Int64            // lease good until, on our clock; 0 when not held
+	orderFrom               atomic.Int64            // from when on orders may be sent, on our clock
+	unleasedFor             atomic.Int64            // how long nobody had held the slot for sure when it was taken
+	orders                  orderActivity           // that are sent under the lease
+	version                 uint64                  // of the newest write in the slot
+	records                 map[string]state.Record // nil when not held
+	highestEpoch            uint64                  // highest epoch heard of
+	retryAt                 time.Duration           // the slot is not asked for before
+	preferredElsewhereSince time.Duration           // since when another core is preferred
+	ticks                   int
+	missed                  map[string]map[state.Stamp]bool // by voter: writes that it has not answered for
 }
 
 func (s *slot) held() bool {
-	return s.o.d.Clock.Since() < time.Duration(s.until.Load())
+	return s.owner.d.Clock.Since() < time.Duration(s.leaseUntil.Load())
 }
 
 // giveUp ends the lease on the slot; release tells the grantors.
-func (s *slot) giveUp(why string, release bool) { s.giveUpFor("", why, release) }
+func (s *slot) giveUp(why string, release bool) { s.giveUpTo("", why, release) }
 
 // giveUpFor is giveUp for the core that is to hold the slot next.
-func (s *slot) giveUpFor(next, why string, release bool) {
-	wasHeld := s.until.Swap(0) > 0
+func (s *slot) giveUpTo(next, why string, release bool) {
+	wasHeld := s.leaseUntil.Swap(0) > 0
 	if !wasHeld {
 		return
 	}
-	o := s.o
-	o.d.Log.Info("slot given up", "slot", s.n, "epoch", s.epoch.Load(), "why", why)
-	s.table = nil
-	s.tryAgainIn(200, 400)
+	o := s.owner
+	o.d.Log.Info("slot given up", "slot", s.index, "epoch", s.epoch.Load(), "why", why)
+	s.records = nil
+	s.backOff(200, 400)
 	if release {
-		set := o.d.Acceptor.Standing().Set
-		q := state.Ask{Set: set.Version, From: o.d.Self(), Slot: s.n, Epoch: s.epoch.Load(), QuietMs: s.orders.quietFor(o.d.Clock.Since()).Milliseconds(), To: next}
+		set := o.d.Acceptor.Membership().Set
+		q := state.Request{SetVersion: set.Version, From: o.d.Self(), Slot: s.index, Epoch: s.epoch.Load(), IdleMs: s.orders.idleFor(o.d.Clock.Since()).Milliseconds(), NextHolder: next}
 		o.poll(set, "/state/release", q, o.d.Acceptor.Release, false)
 	}
 }
 
 // tryAgainIn lets the slot be for low to low+spread milliseconds.
 // Why: cores that ask for it at the same moment get in each other's way.
-func (s *slot) tryAgainIn(low, spread int) {
-	s.waitUntil = s.o.d.Clock.Since() + time.Duration(low+rand.IntN(spread))*time.Millisecond
+func (s *slot) backOff(low, spread int) {
+	s.retryAt = s.owner.d.Clock.Since() + time.Duration(low+rand.IntN(spread))*time.Millisecond
 }
 
 // onTick takes the slot, gives it up or repairs it, as is due.
 func (s *slot) onTick() {
-	o := s.o
+	o := s.owner
 	s.ticks++
-	if s.table != nil && !s.held() {
+	if s.records != nil && !s.held() {
 		s.giveUp("hold ran out", false)
-		s.table = nil
+		s.records = nil
 	}
-	st := o.d.Acceptor.Standing()
-	if st.Phase != acceptor.Voter || o.stop.Load() {
+	st := o.d.Acceptor.Membership()
+	if st.Phase != acceptor.Voter || o.stopped.Load() {
 		return
 	}
-	if !o.d.Acceptor.Keeps() {
+	if !o.d.Acceptor.DiskUsable() {
 		s.giveUp("disk", true)
 		return
 	}
-	s.takeOrHandBack(st.Set)
-	if s.table != nil && (s.ticks%repairEvery == 0 || len(s.owes) > 0 && s.ticks%2 == 0) {
+	s.acquireOrHandBack(st.Set)
+	if s.records != nil && (s.ticks%repairTicks == 0 || len(s.missed) > 0 && s.ticks%2 == 0) {
 		s.repair(st.Set)
 	}
 }
 
 // takeOrHandBack takes the slot if this core should hold it, and gives it up if
 // another should and can.
-func (s *slot) takeOrHandBack(set state.CoreMembers) {
-	o := s.o
+func (s *slot) acquireOrHandBack(set state.CoreSet) {
+	o := s.owner
 	now := o.d.Clock.Since()
-	rank := o.d.Rank(s.n)
-	me := slices.IndexFunc(rank, func(c state.Core) bool { return c.Is(o.d.Self()) })
+	rank := o.d.Rank(s.index)
+	me := slices.IndexFunc(rank, func(c state.Core) bool { return c.SameVoter(o.d.Self()) })
 	known := me >= 0
 	switch {
-	case s.table == nil && known && now >= s.waitUntil && s.inTurn(me, now):
-		s.take(set)
-	case s.table != nil && me > 0 && o.HeardFor(rank[0]) < 2*time.Second:
+	case s.records == nil && known && now >= s.retryAt && s.mayAcquireNow(me, now):
+		s.acquire(set)
+	case s.records != nil && me > 0 && o.SinceLastGrant(rank[0]) < 2*time.Second:
 		// Why: opinions of who is alive flap; a slot moves only when one holds for a while, and only to a
 		// core that grants us our own leases.
-		if s.strayed == 0 {
-			s.strayed = now
-		} else if now-s.strayed > s.handback(now) {
-			s.giveUpFor(rank[0].Name, "another core is preferred", true)
+		if s.preferredElsewhereSince == 0 {
+			s.preferredElsewhereSince = now
+		} else if now-s.preferredElsewhereSince > s.handbackDelay(now) {
+			s.giveUpTo(rank[0].Name, "another core is preferred", true)
 		}
 	default:
-		s.strayed = 0
+		s.preferredElsewhereSince = 0
 	}
 }
 
 // handback is how long the slot is kept that another core is preferred for.
-func (s *slot) handback(now time.Duration) time.Duration {
-	if s.orders.quietFor(now) >= s.o.d.Quarantine {
-		return min(quietHandback, s.o.d.Handback)
+func (s *slot) handbackDelay(now time.Duration) time.Duration {
+	if s.orders.idleFor(now) >= s.owner.d.Quarantine {
+		return min(idleHandbackDelay, s.owner.d.HandbackDelay)
 	}
-	return s.o.d.Handback
+	return s.owner.d.HandbackDelay
 }
 
 // inTurn says whether the core at this place of the rank may take the slot now.
 // Why: who should hold it may be alive for some and cut off from the other cores;
 // a slot that nobody holds goes to the next in rank.
-func (s *slot) inTurn(me int, now time.Duration) bool {
-	return me == 0 || s.heldBeforeStart(now) || s.o.d.Acceptor.Lapsed(s.n) > lapse*time.Duration(me)
+func (s *slot) mayAcquireNow(me int, now time.Duration) bool {
+	return me == 0 || s.heldBeforeStart(now) || s.owner.d.Acceptor.UnleasedFor(s.index) > takeoverDelay*time.Duration(me)
 }
 
 // heldBeforeStart says that this core held the slot last, before it was started.
 // Why: the others keep everybody else out until that lease has run out.
 func (s *slot) heldBeforeStart(now time.Duration) bool {
-	return now-s.o.began < state.HoldFor && s.o.d.Acceptor.Promised(s.n).Is(s.o.d.Self())
+	return now-s.owner.startedAt < state.LeaseDuration && s.owner.d.Acceptor.LastHolder(s.index).SameVoter(s.owner.d.Self())
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -10,21 +10,21 @@
 )
 
 // Slots is the fixed number of slots; it is part of what is on disk.
-const Slots = 16
+const SlotCount = 16
 
 // HoldFor is how long a grant of a slot lasts at the grantor.
-const HoldFor = 3 * time.Second
+const LeaseDuration = 3 * time.Second
 
 // HoldMargin is what the holder gives up early, for clocks that run apart.
-const HoldMargin = 300 * time.Millisecond
+const LeaseMargin = 300 * time.Millisecond
 
 // Errors of the control state, as its users see them.
 var (
-	ErrNotOwner = errors.New("state: slot is not held here")
-	ErrNoQuorum = errors.New("state: no quorum; nothing was kept")
-	ErrUnknown  = errors.New("state: outcome unknown")
-	ErrStale    = errors.New("state: serial is not the current one")
-	ErrSick     = errors.New("state: disk does not keep what it is given")
+	ErrNotOwner       = errors.New("state: slot is not held here")
+	ErrNoQuorum       = errors.New("state: no quorum; nothing was kept")
+	ErrOutcomeUnknown = errors.New("state: outcome unknown")
+	ErrStale          = errors.New("state: serial is not the current one")
+	ErrDiskFailed     = errors.New("state: disk does not keep what it is given")
 )
 
 // Stamp orders the values of a key; the newest wins.
@@ -42,10 +42,10 @@
 
 // Record is one value of one key.
 type Record struct {
-	Key   string `cbor:"1,keyasint"`
-	Stamp Stamp  `cbor:"2,keyasint"`
-	Value []byte `cbor:"3,keyasint"`
-	Gone  bool   `cbor:"4,keyasint,omitempty"`
+	Key     string `cbor:"1,keyasint"`
+	Stamp   Stamp  `cbor:"2,keyasint"`
+	Value   []byte `cbor:"3,keyasint"`
+	Deleted bool   `cbor:"4,keyasint,omitempty"`
 }
 
 // SlotOf maps a key to its slot. Only the first two parts of a key count, so
@@ -58,19 +58,19 @@
 		switch {
 		case key[i] != '/':
 			add(key[i])
-		case parts == slotParts:
-			return int((hash * fnvPrime) % Slots)
+		case parts == slotKeyParts:
+			return int((hash * fnvPrime) % SlotCount)
 		default:
 			add(0)
 			parts++
 		}
 	}
-	return int((hash * fnvPrime) % Slots)
+	return int((hash * fnvPrime) % SlotCount)
 }
 
 const (
 	// slotParts is how many parts of a key tell its slot.
-	slotParts = 2
+	slotKeyParts = 2
 	// fnvOffset and fnvPrime are those of the 32-bit FNV-1a hash; a part ends with a zero byte.
 	fnvOffset = 2166136261
 	fnvPrime  = 16777619
@@ -78,27 +78,27 @@
 
 // Core is one voter: a machine's name, the identity of its disk, its address.
 type Core struct {
-	Name string `cbor:"1,keyasint" json:"name"`
-	Disk string `cbor:"2,keyasint" json:"disk"`
-	Addr string `cbor:"3,keyasint" json:"addr"`
+	Name   string `cbor:"1,keyasint" json:"name"`
+	DiskID string `cbor:"2,keyasint" json:"disk"`
+	Addr   string `cbor:"3,keyasint" json:"addr"`
 }
 
 // Is says whether two are the same voter, wherever it may be reached.
-func (c Core) Is(o Core) bool { return c.Name == o.Name && c.Disk == o.Disk }
+func (c Core) SameVoter(o Core) bool { return c.Name == o.Name && c.DiskID == o.DiskID }
 
 // CoreMembers is the voters that count, under a rising version.
-type CoreMembers struct {
+type CoreSet struct {
 	Version uint64 `cbor:"1,keyasint" json:"serial"`
 	Cores   []Core `cbor:"2,keyasint" json:"cores"`
 }
 
 // Quorum is how many make a majority.
-func (s CoreMembers) Quorum() int { return len(s.Cores)/2 + 1 }
+func (s CoreSet) Quorum() int { return len(s.Cores)/2 + 1 }
 
 // Has says whether c is a voter.
-func (s CoreMembers) Has(c Core) bool {
+func (s CoreSet) Has(c Core) bool {
 	for _, o := range s.Cores {
-		if o.Is(c) {
+		if o.SameVoter(c) {
 			return true
 		}
 	}
@@ -106,56 +106,56 @@
 }
 
 // Ask is a message to an acceptor about one slot.
-type Ask struct {
-	Set     uint64   `cbor:"1,keyasint"`
-	From    Core     `cbor:"2,keyasint"`
-	Slot    int      `cbor:"3,keyasint"`
-	Epoch   uint64   `cbor:"4,keyasint"`
-	At      uint64   `cbor:"5,keyasint,omitempty"`
-	Full    bool     `cbor:"6,keyasint,omitempty"`
-	Records []Record `cbor:"7,keyasint,omitempty"`
-	QuietMs int64    `cbor:"8,keyasint,omitempty"` // in a release: for how long the holder had sent no order under the lease
-	To      string   `cbor:"9,keyasint,omitempty"` // in a release: the core that is to hold the slot next, by name
+type Request struct {
+	SetVersion uint64   `cbor:"1,keyasint"`
+	From       Core     `cbor:"2,keyasint"`
+	Slot       int      `cbor:"3,keyasint"`
+	Epoch      uint64   `cbor:"4,keyasint"`
+	Version    uint64   `cbor:"5,keyasint,omitempty"`
+	Full       bool     `cbor:"6,keyasint,omitempty"`
+	Records    []Record `cbor:"7,keyasint,omitempty"`
+	IdleMs     int64    `cbor:"8,keyasint,omitempty"` // in a release: for how long the holder had sent no order under the lease
+	NextHolder string   `cbor:"9,keyasint,omitempty"` // in a release: the core that is to hold the slot next, by name
 }
 
 // Reply is an acceptor's answer.
 type Reply struct {
-	OK      bool     `cbor:"1,keyasint"`
-	Why     string   `cbor:"2,keyasint,omitempty"`
-	Epoch   uint64   `cbor:"3,keyasint,omitempty"`
-	Set     uint64   `cbor:"4,keyasint,omitempty"`
-	Full    uint64   `cbor:"5,keyasint,omitempty"`
-	Version uint64   `cbor:"6,keyasint,omitempty"`
-	Records []Record `cbor:"7,keyasint,omitempty"`
-	Holder  Core     `cbor:"8,keyasint,omitempty"`
-	Sum     []byte   `cbor:"9,keyasint,omitempty"`
-	FullBy  Core     `cbor:"10,keyasint,omitempty"` // who wrote the whole table under Full
-	FreeMs  int64    `cbor:"11,keyasint,omitempty"` // to a prepare: for how long no hold had been granted here
+	OK         bool     `cbor:"1,keyasint"`
+	Reason     string   `cbor:"2,keyasint,omitempty"`
+	Epoch      uint64   `cbor:"3,keyasint,omitempty"`
+	SetVersion uint64   `cbor:"4,keyasint,omitempty"`
+	FullEpoch  uint64   `cbor:"5,keyasint,omitempty"`
+	Version    uint64   `cbor:"6,keyasint,omitempty"`
+	Records    []Record `cbor:"7,keyasint,omitempty"`
+	Holder     Core     `cbor:"8,keyasint,omitempty"`
+	Digest     []byte   `cbor:"9,keyasint,omitempty"`
+	FullWriter Core     `cbor:"10,keyasint,omitempty"` // who wrote the whole table under Full
+	UnleasedMs int64    `cbor:"11,keyasint,omitempty"` // to a prepare: for how long no hold had been granted here
 	// QuietMs is, to a prepare, for how long no order has been sent under the lease that was promised last, by the
 	// word of its holder when it let go of it; 0 is not known.
-	QuietMs int64 `cbor:"12,keyasint,omitempty"`
+	IdleMs int64 `cbor:"12,keyasint,omitempty"`
 }
 
 // Renewal asks for several slots at once.
-type Renewal struct {
-	Set    uint64         `cbor:"1,keyasint"`
-	From   Core           `cbor:"2,keyasint"`
-	Epochs map[int]uint64 `cbor:"3,keyasint"`
+type RenewRequest struct {
+	SetVersion uint64         `cbor:"1,keyasint"`
+	From       Core           `cbor:"2,keyasint"`
+	Epochs     map[int]uint64 `cbor:"3,keyasint"`
 }
 
 // Renewed tells which of them are granted.
-type Renewed struct {
-	Set   uint64         `cbor:"1,keyasint"`
-	Slots []int          `cbor:"2,keyasint"`
-	Lost  map[int]uint64 `cbor:"3,keyasint"`
+type RenewReply struct {
+	SetVersion uint64         `cbor:"1,keyasint"`
+	Granted    []int          `cbor:"2,keyasint"`
+	Lost       map[int]uint64 `cbor:"3,keyasint"`
 }
 
 // Why an acceptor says no.
 const (
-	WhyLower  = "lower-epoch"
-	WhyHeld   = "held"
-	WhySet    = "older-core-set"
-	WhyBehind = "behind-core-set"
-	WhySick   = "disk"
-	WhyVoter  = "not-a-voter"
+	ReasonLowerEpoch    = "lower-epoch"
+	ReasonHeld          = "held"
+	ReasonOlderCoreSet  = "older-core-set"
+	ReasonBehindCoreSet = "behind-core-set"
+	ReasonDisk          = "disk"
+	ReasonNotVoter      = "not-a-voter"
 )
