--- a/internal/attempt/native.go
+++ b/internal/attempt/native.go
@@ -11,10 +11,10 @@
 	"drumstall.example/internal/backend"
 )
 
-// Native speaks the design's own API of replicas.
+// Native is the protocol of replicas that implement the native API.
 type Native struct{}
 
-// Encode writes a request for the design's own replicas.
+// Encode builds a request of the native API.
 func (Native) Encode(ctx context.Context, q Request) (*http.Request, error) {
 	u := url.URL{Scheme: "http", Host: q.Addr, Path: backend.RunPath}
 	v := url.Values{}
@@ -25,7 +25,7 @@
 		v.Set("adapter", q.Item.Adapter)
 	}
 	u.RawQuery = v.Encode()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), Body(q.Body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), OneShotBody(q.Body))
 	if err != nil {
 		return nil, err
 	}
@@ -33,7 +33,7 @@
 	req.Header.Set("Content-Type", q.ContentType)
 	req.Header.Set(backend.HeaderAttempt, strconv.Itoa(q.Number))
 	if q.Ticket != "" {
-		req.Header.Set(backend.HeaderTicket, q.Ticket)
+		req.Header.Set(backend.HeaderRequestID, q.Ticket)
 	}
 	if q.Identity.Tenant != "" {
 		req.Header.Set(backend.HeaderTenant, q.Identity.Tenant)
@@ -46,21 +46,21 @@
 	return req, nil
 }
 
-// Decode reads the head of an answer.
+// Decode interprets the head of a response of the native API.
 func (Native) Decode(_ Request, res *http.Response) Decision {
 	why := "replica answered status " + strconv.Itoa(res.StatusCode)
 	switch {
 	case res.Header.Get(backend.HeaderOutcome) == backend.NotRun && res.StatusCode >= http.StatusBadRequest:
-		return Decision{Outcome: NotRun, Said: true, Why: why + ", not run"}
+		return Decision{Outcome: NotRun, Said: true, Reason: why + ", not run"}
 	case res.StatusCode != http.StatusOK:
-		return Decision{Outcome: Ran, Why: why}
+		return Decision{Outcome: Ran, Reason: why}
 	}
 	return Decision{Outcome: Ran, Relay: true}
 }
 
-// Body gives a request body that net/http cannot rewind. Why: a body without
-// GetBody, a POST and no idempotency header keep net/http from replaying by itself.
-func Body(b []byte) io.Reader {
+// OneShotBody returns a request body that net/http cannot rewind: a body without
+// GetBody, a POST and no idempotency header keep net/http from replaying the request by itself.
+func OneShotBody(b []byte) io.Reader {
 	if len(b) == 0 {
 		return nil
 	}
--- a/internal/place/order/execute.go
+++ b/internal/place/order/execute.go
@@ -233,7 +233,7 @@
 	}
 	e.orderedAt = c.d.Clock.Since()
 	switch err := c.sendOrder(verb, target, e.SizeMib, timeout); {
-	case err == nil, backend.IsUnsure(err):
+	case err == nil, backend.IsOutcomeUnknown(err):
 		e.State, e.unanswered, t.startID = backend.Loading, err != nil, ""
 		t.enter(phaseAwaitLoaded, now)
 	case backend.IsBusy(err):
--- a/internal/place/order/room_test.go
+++ b/internal/place/order/room_test.go
@@ -36,7 +36,7 @@
 func TestLoadedItemUsesMemoryAfterRemovalFromConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		both, one, smaller := configWithSizes(map[string]int{"a": 40, "b": 30}), configWithSizes(map[string]int{"b": 30}), configWithSizes(map[string]int{"a": 10, "b": 30})
-		held := map[conf.Item]backend.Line{modelItem("a"): {State: backend.Loaded}, {Model: "a", Adapter: "x"}: {State: backend.Loaded}}
+		held := map[conf.Item]backend.ItemStatus{modelItem("a"): {State: backend.Loaded}, {Model: "a", Adapter: "x"}: {State: backend.Loaded}}
 		replica, cfg := &fakeReplica{items: held}, both
 		ctl := newPollingController(t, replica, &cfg)
 		expect := func(when string, wantMib, wantPlaces int) {
@@ -67,7 +67,7 @@
 		for _, inherited := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
 				cfg := configWithSizes(map[string]int{"a": 40})
-				replica := &fakeReplica{items: map[conf.Item]backend.Line{}}
+				replica := &fakeReplica{items: map[conf.Item]backend.ItemStatus{}}
 				ctl := newPollingController(t, replica, &cfg)
 				if !inherited {
 					ctl.poll()
--- a/internal/place/order/takeover_test.go
+++ b/internal/place/order/takeover_test.go
@@ -15,7 +15,7 @@
 type fakeReplica struct {
 	backend.Client
 	busy  bool
-	items map[conf.Item]backend.Line
+	items map[conf.Item]backend.ItemStatus
 }
 
 func (r *fakeReplica) Report(_ context.Context, t backend.Target) (backend.Report, error) {
@@ -30,7 +30,7 @@
 // The room for the load is not free until a report shows that no order is in progress.
 func TestTakeoverKeepsMemoryOfPredecessorsLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		replica := &fakeReplica{busy: true, items: map[conf.Item]backend.Line{}}
+		replica := &fakeReplica{busy: true, items: map[conf.Item]backend.ItemStatus{}}
 		cfg := conf.Empty()
 		ctl := newPollingController(t, replica, &cfg)
 		pending := conf.Item{Model: "m"}
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -20,78 +20,78 @@
 	"drumstall.example/internal/state"
 )
 
-// feedState is owned by the feed's loop.
+// feedState is the state of the exchanges with the agent. Only the feed loop uses it.
 type feedState struct {
-	agentBoot  string
-	cursor     uint64
-	mine       uint64
-	all        bool
-	first      time.Duration // when an agent was first heard
-	since      time.Duration // when the count of edges was last settled
-	most       int           // the largest count since then
-	answeredAt time.Duration // when the last exchange ended
-	reportedAt time.Duration // when the last report was sent; 0 when the agent may not have it
-	reported   uint64        // version of the table that it told of
-	base       report.Report // the last report that the agent holds, from which the next is the difference; without a serial there is none
+	agentBoot       string
+	cursor          uint64
+	gossipCursor    uint64
+	sendAll         bool
+	firstContactAt  time.Duration // when an agent was first reached
+	edgesUpdatedAt  time.Duration // when the count of edges was last updated
+	maxEdges        int           // the largest count reported since then
+	exchangedAt     time.Duration // when the last exchange was complete
+	reportedAt      time.Duration // when the last report was sent; 0 if the agent may not have it
+	reportedVersion uint64        // version of the routing table described by that report
+	base            report.Report // the last report the agent holds, the base of the next delta; version 0 means none
 }
 
-// mend gets news from the agent's peers while the agent is away, or so new
-// that it may know nobody yet: a configuration must come into force here all the same.
-func (p *Proxy) mend(ctx context.Context) {
+// pullFromPeers pulls updates from the agent's peers while the agent is unreachable, or so new that it may not know
+// any peer yet, so that a new configuration is applied here all the same.
+func (p *Proxy) pullFromPeers(ctx context.Context) {
 	known := *p.peers.Load()
-	if p.agentFor() <= agentLost && p.env.Clock.Since()-time.Duration(p.agentNew.Load()) > agentYoung || len(known) == 0 {
+	if p.sinceAgentSeen() <= agentTimeout && p.env.Clock.Since()-time.Duration(p.agentFirstSeenAt.Load()) > agentWarmup || len(known) == 0 {
 		return
 	}
-	// Why: some of them may be down as well; one that answers is enough.
-	to := sample.Of(known, mendWith)
-	asked := p.env.Clock.Since()
-	ch := run.Fan(p.group, len(to), func(ctx context.Context, i int) touch.Word {
-		ctx, cancel := context.WithTimeout(ctx, mendInterval)
+	// Some peers may be down as well; one response is enough.
+	peers := sample.Of(known, peerPullCount)
+	askedAt := p.env.Clock.Since()
+	results := run.Fan(p.group, len(peers), func(ctx context.Context, i int) touch.Word {
+		ctx, cancel := context.WithTimeout(ctx, peerPullInterval)
 		defer cancel()
-		return gossip.Mend(ctx, p.caller, p.gossip, to[i], "")
+		return gossip.Mend(ctx, p.caller, p.gossip, peers[i], "")
 	})
-	for range to {
-		p.touch.Told(asked, <-ch)
+	for range peers {
+		p.contact.Told(askedAt, <-results)
 	}
 }
 
-// exchange trades news and reports with the agent.
-func (p *Proxy) exchange(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, feedLimit)
+// exchangeFeed exchanges updates and reports with the agent.
+func (p *Proxy) exchangeFeed(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, feedTimeout)
 	defer cancel()
 	f := &p.feed
 	snap := p.routes.Current()
 	up := feed.Up{Boot: p.boot, AgentBoot: f.agentBoot, Cursor: f.cursor, Confirmed: p.confirmed.Load(), Conf: snap.Stamp}
-	fresh, mine, _ := p.gossip.After(f.mine)
+	fresh, cursor, _ := p.gossip.After(f.gossipCursor)
 	for _, e := range fresh {
-		if f.all || strings.HasPrefix(e.Key, inventory.MarkKey("")) || strings.HasPrefix(e.Key, route.TenantPrefix) {
+		if f.sendAll || strings.HasPrefix(e.Key, inventory.MarkKey("")) || strings.HasPrefix(e.Key, route.TenantPrefix) {
 			up.Entries = append(up.Entries, e)
 		}
 	}
-	// Why: an agent that was started anew while all seeds are down would stay alone.
-	if time.Duration(p.agentSeen.Load()) < time.Duration(p.agentNew.Load())+time.Second {
+	// Without these peers, an agent that restarted while all seeds are down would stay isolated.
+	if time.Duration(p.agentSeenAt.Load()) < time.Duration(p.agentFirstSeenAt.Load())+time.Second {
 		up.Peers = *p.peers.Load()
 	}
 	up.HoldMs = int(feedHold.Milliseconds())
-	asked := p.env.Clock.Since()
+	askedAt := p.env.Clock.Since()
 	var sent report.Report
-	if up.NoReport = !f.reportDue(snap, asked); !up.NoReport {
-		sent = p.report()
-		up.Report = f.difference(sent)
+	if up.NoReport = !f.reportDue(snap, askedAt); !up.NoReport {
+		sent = p.buildReport()
+		up.Report = f.delta(sent)
 	}
-	down, err := wire.Call[feed.Up, feed.Down](ctx, p.caller, p.s.Agent, feed.Path, up)
+	down, err := wire.Call[feed.Up, feed.Down](ctx, p.caller, p.settings.Agent, feed.Path, up)
 	if err != nil {
 		f.reportedAt, f.base = 0, report.Report{}
 		return
 	}
-	f.settle(sent, down.Holds)
-	f.mine, f.all = mine, false
+	f.updateBase(sent, down.Holds)
+	f.gossipCursor, f.sendAll = cursor, false
 	if down.WantAll {
-		// Why: the agent lost its table; ours may be newer than any it can get elsewhere.
-		f.mine, f.all = 0, true
+		// The agent has lost its table; the entries here may be newer than any it can get elsewhere.
+		f.gossipCursor, f.sendAll = 0, true
 	}
 	if f.agentBoot != "" && f.agentBoot != down.AgentBoot {
-		p.agentNew.Store(int64(asked))
+		p.agentFirstSeenAt.Store(int64(askedAt))
 	}
 	if f.agentBoot != down.AgentBoot {
 		f.reportedAt = 0
@@ -101,50 +101,50 @@
 		p.gossip.Put(e)
 	}
 	if !p.routes.Isolated() {
-		p.deafAt.Store(0)
+		p.isolatedAt.Store(0)
 	}
-	p.countEdges(down.Edges, asked)
-	// Why: a new agent that knows few must not make us forget whom the one before it knew.
-	if young := asked-time.Duration(p.agentNew.Load()) < agentYoung; len(down.Peers) > 0 && (!young || len(down.Peers) >= len(*p.peers.Load())) {
+	p.updateEdgeCount(down.Edges, askedAt)
+	// A new agent that knows few peers must not replace the larger list of its predecessor.
+	if isNew := askedAt-time.Duration(p.agentFirstSeenAt.Load()) < agentWarmup; len(down.Peers) > 0 && (!isNew || len(down.Peers) >= len(*p.peers.Load())) {
 		p.peers.Store(&down.Peers)
 	}
-	p.agentSeen.Store(int64(asked))
-	p.touch.Told(asked, touch.Word(down.HeardMs+1))
-	if !p.confirmed.Load() && knowsEnough(down, p.routes.Current()) {
+	p.agentSeenAt.Store(int64(askedAt))
+	p.contact.Told(askedAt, touch.Word(down.HeardMs+1))
+	if !p.confirmed.Load() && isTableCurrent(down, p.routes.Current()) {
 		p.confirmed.Store(true)
 	}
-	p.rest(ctx, p.env.Clock.Since())
+	p.paceExchanges(ctx, p.env.Clock.Since())
 }
 
-// knowsEnough says whether a proxy that was just started may serve by a table: its agent
-// knows what was in force before, and the table was made from that or from what came after. By a table without
-// any configuration it would tell callers that there is no route.
-func knowsEnough(agent feed.Down, table *route.Snapshot) bool {
+// isTableCurrent reports whether a newly started proxy may serve from a table: the agent knows the latest
+// configuration in effect, and the table was built from it or from a later one. A table without any configuration would
+// make the proxy report unknown routes to callers.
+func isTableCurrent(agent feed.Down, table *route.Snapshot) bool {
 	return agent.Confirmed && table.Serial > 0 && !agent.Conf.Newer(table.Stamp)
 }
 
-// reportDue says whether a report goes with an exchange: now and then, and soon
-// after what is in force here has changed, since controllers may wait for that.
+// reportDue reports whether to include a report in an exchange: at regular intervals, and soon
+// after the routing table has changed, since controllers may wait for that.
 func (f *feedState) reportDue(snap *route.Snapshot, now time.Duration) bool {
 	age := now - f.reportedAt
-	if f.reportedAt != 0 && age < reportEvery && (age < reportGap || snap.Version == f.reported) {
+	if f.reportedAt != 0 && age < reportInterval && (age < minReportInterval || snap.Version == f.reportedVersion) {
 		return false
 	}
-	f.reportedAt, f.reported = now, snap.Version
+	f.reportedAt, f.reportedVersion = now, snap.Version
 	return true
 }
 
-// difference is a report as the agent needs it.
-func (f *feedState) difference(r report.Report) report.Report {
+// delta returns a report relative to the base, or whole if the agent holds none.
+func (f *feedState) delta(r report.Report) report.Report {
 	if f.base.Version == 0 {
 		return r
 	}
 	return r.Since(f.base)
 }
 
-// settle notes which report the agent holds after an exchange in which it was sent
-// one, or none. Why: the agent may be another one by now, or one that takes whole reports only.
-func (f *feedState) settle(sent report.Report, holds uint64) {
+// updateBase records which report the agent holds after an exchange, in which one may have been sent.
+// The agent may have been replaced in the meantime, or may accept whole reports only.
+func (f *feedState) updateBase(sent report.Report, holds uint64) {
 	before := f.base
 	switch {
 	case holds != 0 && holds == sent.Version:
@@ -157,76 +157,78 @@
 	}
 }
 
-// rest keeps exchanges apart while much is new. Why: what comes together makes one
-// table; what comes alone is passed on at once.
-func (p *Proxy) rest(ctx context.Context, answered time.Duration) {
+// paceExchanges spaces out exchanges while updates are frequent. Updates that arrive together are built into one
+// table; a single update is applied at once.
+func (p *Proxy) paceExchanges(ctx context.Context, exchangedAt time.Duration) {
 	f := &p.feed
-	if answered-f.answeredAt < feedBusy {
-		run.Wait(ctx, busyGap(p.admission.Waiting()))
+	if exchangedAt-f.exchangedAt < feedBusyWindow {
+		run.Wait(ctx, busyInterval(p.admission.Waiting()))
 	}
-	f.answeredAt = p.env.Clock.Since()
+	f.exchangedAt = p.env.Clock.Since()
 }
 
-// busyGap is how far apart exchanges are while much is new, with so many requests waiting for each item.
-func busyGap(waiting map[string]int) time.Duration {
+// busyInterval returns the time between exchanges while updates are frequent, given the requests waiting for each item.
+func busyInterval(waiting map[string]int) time.Duration {
 	if len(waiting) > 0 {
-		return feedWaitedGap
+		return feedWaitingGap
 	}
 	return feedBusyGap
 }
 
-// report is this proxy's word to the controllers.
-func (p *Proxy) report() report.Report {
+// buildReport returns this proxy's periodic report to the controllers.
+func (p *Proxy) buildReport() report.Report {
 	snap := p.routes.Current()
-	tenants, version := p.tenants()
-	return report.Report{Boot: p.boot, Version: p.reports.Add(1), Conf: snap.Serial, Demand: p.demands(), Inflight: p.routes.Inflight(),
-		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledged(p.replicas.Traits(), snap.Acked), Zone: p.s.Zone, Serving: p.confirmed.Load(),
+	tenants, version := p.tenantReport()
+	return report.Report{Boot: p.boot, Version: p.reports.Add(1), Conf: snap.Serial, Demand: p.demandCounts(), Inflight: p.routes.Inflight(),
+		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
 		Tenants: tenants, TenantsVersion: version}
 }
 
-// acknowledged is what controllers are told of the replicas' status that is in force here. Why: they wait for it
-// only where a replica does not itself let runs end before it unloads; told for nothing, each change at a
-// replica made a change in every edge's report.
-func acknowledged(traits backend.Traits, inForce map[string]state.Stamp) map[string]state.Stamp {
+// acknowledgedStatuses returns the versions of replica status to acknowledge to controllers. Controllers wait
+// for these only if replicas do not finish running requests before an unload; otherwise each change at a replica would
+// needlessly change the report of every edge.
+func acknowledgedStatuses(traits backend.Traits, versions map[string]state.Stamp) map[string]state.Stamp {
 	if traits.WaitsForRuns {
 		return nil
 	}
-	return inForce
+	return versions
 }
 
-// tellMiss passes the report on at once. Why: a load can only begin when a
-// controller has heard that somebody waits for it.
-func (p *Proxy) tellMiss() {
-	ctx, cancel := context.WithTimeout(p.group.Context(), feedLimit)
+// sendUrgentReport sends the report at once: a load can start only after a
+// controller has learned that a request waits for it.
+func (p *Proxy) sendUrgentReport() {
+	ctx, cancel := context.WithTimeout(p.group.Context(), feedTimeout)
 	defer cancel()
-	_, _ = wire.Call[report.Report, feed.Taken](ctx, p.caller, p.s.Agent, feed.UrgentPath, p.report())
-	run.Wait(ctx, missGap)
+	_, _ = wire.Call[report.Report, feed.Taken](ctx, p.caller, p.settings.Agent, feed.UrgentPath, p.buildReport())
+	run.Wait(ctx, urgentReportGap)
 }
 
-// countEdges keeps the largest count of edges seen lately. Why: edges cut apart
-// each see only themselves, and together must keep to one allowance all the same.
-func (p *Proxy) countEdges(n int, now time.Duration) {
+// updateEdgeCount keeps the largest recent count of edges. During a network partition each edge
+// sees only itself, and all of them together must still keep to one retry allowance.
+func (p *Proxy) updateEdgeCount(n int, now time.Duration) {
 	f := &p.feed
-	if f.first == 0 {
-		f.first = now
+	if f.firstContactAt == 0 {
+		f.firstContactAt = now
 	}
-	f.most = max(f.most, n)
+	f.maxEdges = max(f.maxEdges, n)
 	switch {
-	case now-f.first < settled:
+	case now-f.firstContactAt < edgeCountDelay:
 		return
-	case int64(f.most) > p.edges.Load() || f.since == 0 || now-f.since > edgesLast:
-		p.edges.Store(int64(max(1, f.most)))
-		f.since, f.most = now, n
+	case int64(f.maxEdges) > p.edgeCount.Load() || f.edgesUpdatedAt == 0 || now-f.edgesUpdatedAt > edgeCountTTL:
+		p.edgeCount.Store(int64(max(1, f.maxEdges)))
+		f.edgesUpdatedAt, f.maxEdges = now, n
 	}
 }
 
-func (p *Proxy) demands() map[string]uint64 {
+// demandCounts returns a copy of the number of requests per model and per adapter.
+func (p *Proxy) demandCounts() map[string]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.demand)
 }
 
-func (p *Proxy) count(item conf.Item) {
+// countDemand counts a request for a model and, if it names one, its adapter.
+func (p *Proxy) countDemand(item conf.Item) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.demand[item.Model]++
--- a/internal/route/renew_fixture_test.go
+++ b/internal/route/renew_fixture_test.go
@@ -132,9 +132,9 @@
 
 // report stores a random report of a polled replica.
 func (w *fixture) report(r *Replica) {
-	v := backend.Report{ID: r.Listed.ID, Model: r.Listed.Model, Slots: 4, Inflight: w.rng.IntN(5), Leaving: w.rng.IntN(6) == 0, Items: map[conf.Item]backend.Line{}}
+	v := backend.Report{ID: r.Listed.ID, Model: r.Listed.Model, Slots: 4, Inflight: w.rng.IntN(5), Leaving: w.rng.IntN(6) == 0, Items: map[conf.Item]backend.ItemStatus{}}
 	for range w.rng.IntN(3) {
-		v.Items[conf.ParseItem(w.item())] = backend.Line{State: []string{backend.Loaded, backend.Loading}[w.rng.IntN(2)]}
+		v.Items[conf.ParseItem(w.item())] = backend.ItemStatus{State: []string{backend.Loaded, backend.Loading}[w.rng.IntN(2)]}
 	}
 	w.router.reports[r.Listed.ID] = report{status: v, requestedAt: w.clock.now, othersInflight: w.rng.IntN(3), previousOthers: w.rng.IntN(3), ownInflight: r.Live.Inflight.Load(), valid: true, draw: w.rng.Float64()}
 }
