--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -69,7 +69,7 @@
 		return a
 	case <-wait.C:
 	case <-ctx.Done():
-		late.Explanation = "the client disconnected"
+		late.Explanation = "the client left"
 	}
 	if w.Withdraw() {
 		return late
@@ -109,7 +109,7 @@
 	}
 	classConf, known := ac.routes.Current().Conf.Classes[w.Class]
 	if !known {
-		refuse(w, queue.Answer{Explanation: "its class is no longer configured", RetryS: 1})
+		refuse(w, queue.Answer{Explanation: "its class has gone", RetryS: 1})
 		return
 	}
 	ac.queue.SetShares(ac.routes.Current().Conf.Shares())
@@ -266,7 +266,7 @@
 				case predicted && prediction.Refused:
 					refuse(w, queue.Answer{Explanation: prediction.Reason, RetryS: max(1, prediction.RetryAfterS)})
 				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.noHolderTimeout:
-					refuse(w, queue.Answer{Explanation: "no replica holds it and no controller answers", RetryS: 2})
+					refuse(w, queue.Answer{Explanation: "nobody has it and no controller answers", RetryS: 2})
 				}
 			}
 			return false, false
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -47,7 +47,7 @@
 	withController(t, func(ac *Controller, _ *gossip.Table) {
 		began := time.Now()
 		a := ac.Acquire(context.Background(), target(), "c", time.Now().Add(time.Minute))
-		if took := time.Since(began); a.Replica != nil || a.Explanation != "no replica holds it and no controller answers" || took < time.Second || took > time.Second+2*recheckInterval {
+		if took := time.Since(began); a.Replica != nil || a.Explanation != "nobody has it and no controller answers" || took < time.Second || took > time.Second+2*recheckInterval {
 			t.Errorf("got %+v after %v", a, took)
 		}
 	})
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -279,7 +279,7 @@
 	}
 	// A response that ends with its connection looks the same whether complete or truncated.
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-		return fail(Failure{Outcome: Ran, Reason: "the response has neither a length nor a chunked encoding"})
+		return fail(Failure{Outcome: Ran, Reason: "replica's answer has no end that can be told"})
 	}
 	r := &Reply{Status: res.StatusCode, Header: d.Header, ContentType: res.Header.Get("Content-Type"), Length: res.ContentLength, Load: d.Load,
 		raw: res.Body, cancel: cancel, cutoff: q.Until, stallTimeout: s.stallTimeout, alive: q.Alive, failOver: q.GoneOn, onData: q.OnData}
@@ -287,10 +287,10 @@
 		r.stallTimeout = q.Stall
 	}
 	if err := r.awaitFirstByte(res.Body, q.Whole); err != nil {
-		return fail(Failure{Outcome: Unknown, Reason: "the response failed before it could be relayed: " + err.Error()})
+		return fail(Failure{Outcome: Unknown, Reason: "broke off before the first piece: " + err.Error()})
 	}
 	if !timer.stop() {
-		return fail(Failure{Outcome: Unknown, Reason: "the first byte of the response came too late"})
+		return fail(Failure{Outcome: Unknown, Reason: "the first piece came too late"})
 	}
 	if q.OnData != nil {
 		q.OnData()
@@ -307,7 +307,7 @@
 			return err
 		}
 		if len(b) > maxBufferedResponse {
-			return errors.New("the response exceeds the size limit for buffering")
+			return errors.New("it is too large to be read whole")
 		}
 		r.body, r.Length = bytes.NewReader(b), int64(len(b))
 		return nil
--- a/internal/attempt/sendgate.go
+++ b/internal/attempt/sendgate.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-var errWithdrawn = errors.New("attempt: withdrawn before the first byte was sent")
+var errWithdrawn = errors.New("attempt: withdrawn before its first byte")
 
 // States of a sendGate.
 const (
--- a/internal/place/judge/judge.go
+++ b/internal/place/judge/judge.go
@@ -123,17 +123,17 @@
 	}, func(r Candidate) string {
 		switch {
 		case !r.Fits:
-			return "unable to hold the item"
+			return "can never hold it"
 		case r.NeedMib <= 0:
-			return "already holds the model"
+			return "has the model already"
 		}
 		return fmt.Sprintf("%d MiB free of %d needed", r.FreeMib, r.NeedMib)
 	}},
 	{"adapters", func(r Candidate) (float64, bool) { return clamp(float64(r.AdFree) / 4), false },
 		func(r Candidate) string { return fmt.Sprintf("%d adapter places free", r.AdFree) }},
 	{"load", func(r Candidate) (float64, bool) { return freeShare(r), false },
-		func(r Candidate) string { return fmt.Sprintf("%d of %d slots in use", r.Inflight, r.Slots) }},
-	{"serve", serveTimeScore, func(r Candidate) string { return "serve time " + r.ServeTime.String() }},
+		func(r Candidate) string { return fmt.Sprintf("%d of %d places taken", r.Inflight, r.Slots) }},
+	{"serve", serveTimeScore, func(r Candidate) string { return "serves in " + r.ServeTime.String() }},
 	{"copies", func(r Candidate) (float64, bool) { return 1 / (1 + float64(r.Copies)), false },
 		func(r Candidate) string { return fmt.Sprintf("%d copies in its zone", r.Copies) }},
 	{"drain", drainScore, func(r Candidate) string {
@@ -238,9 +238,9 @@
 	{"recency", func(i IdleItem, _ float64) float64 { return clamp(i.IdleFor.Minutes() / 60) },
 		func(i IdleItem) string { return "idle for " + i.IdleFor.Round(time.Second).String() }},
 	{"copies", func(i IdleItem, _ float64) float64 { return clamp(float64(i.Copies) / 2) },
-		func(i IdleItem) string { return fmt.Sprintf("%d copies on other replicas", i.Copies) }},
+		func(i IdleItem) string { return fmt.Sprintf("%d copies elsewhere", i.Copies) }},
 	{"adapters", func(i IdleItem, _ float64) float64 { return 1 / (1 + float64(i.Adapters)) },
-		func(i IdleItem) string { return fmt.Sprintf("%d adapters evicted with it", i.Adapters) }},
+		func(i IdleItem) string { return fmt.Sprintf("%d adapters go with it", i.Adapters) }},
 }
 
 func (i IdleItem) penaltyPerMib() float64 { return i.Penalty / float64(max(i.SizeMib, 1)) }
--- a/internal/place/order/consider.go
+++ b/internal/place/order/consider.go
@@ -31,25 +31,25 @@
 	_, _, mayOrder := c.d.Owner.MayOrder(Key(c.listed.ID))
 	switch {
 	case !known || item.Adapter != "" && !model.Adapters[item.Adapter]:
-		return ConsiderResponse{Why: "the item is not in the configuration"}
+		return ConsiderResponse{Why: "not in the configuration"}
 	case !mayOrder:
-		return ConsiderResponse{Why: "the lease does not allow orders yet", Temporary: true}
+		return ConsiderResponse{Why: "the hold does not allow orders yet", Temporary: true}
 	case !c.reportFresh():
 		return ConsiderResponse{Why: "no fresh report from the replica"}
 	case c.leaving():
 		return ConsiderResponse{Why: "the replica is leaving"}
 	case c.queued(c.adapterOnly(item)) >= c.maxTasks(item):
-		return ConsiderResponse{Why: "too many loads are pending", Temporary: true}
+		return ConsiderResponse{Why: "enough orders wait already", Temporary: true}
 	}
 	if e := c.entries[item]; e != nil && e.State != Withdrawn && e.State != backend.Unloading {
-		return ConsiderResponse{Accepted: true, Why: "already loaded or pending", ReadyMs: c.readyMs(model, item)}
+		return ConsiderResponse{Accepted: true, Why: "on its way or there already", ReadyMs: c.readyMs(model, item)}
 	}
 	for i := range c.tasks.Len() {
 		if c.tasks.At(i).item == item {
-			return ConsiderResponse{Accepted: true, Why: "already pending", ReadyMs: c.readyMs(model, item)}
+			return ConsiderResponse{Accepted: true, Why: "on its way already", ReadyMs: c.readyMs(model, item)}
 		}
 		if c.tasks.At(i).item.Model == item.Model && !(c.adapterOnly(item) && c.adapterOnly(c.tasks.At(i).item)) {
-			return ConsiderResponse{Why: "another task of the model is pending", Temporary: true}
+			return ConsiderResponse{Why: "another order about the model waits", Temporary: true}
 		}
 	}
 	base := c.entries[conf.Item{Model: item.Model}]
@@ -68,12 +68,12 @@
 	if addedMib > 0 {
 		needMib = mib + addedMib - c.report.CapacityMib
 		if addedMib > c.report.CapacityMib {
-			return ConsiderResponse{Why: "the item exceeds the capacity of the replica"}
+			return ConsiderResponse{Why: "can never hold it"}
 		}
 	}
 	if item.Adapter != "" {
 		if c.report.AdapterPlaces == 0 {
-			return ConsiderResponse{Why: "the replica has no adapter places"}
+			return ConsiderResponse{Why: "no places for adapters"}
 		}
 		needPlaces = places + 1 - c.report.AdapterPlaces
 	}
@@ -130,7 +130,7 @@
 			out.Why = "no demand is expected"
 			return out
 		}
-		out.Why = "enough room is free"
+		out.Why = "there is room"
 	}
 	for _, v := range victims {
 		out.Victims = append(out.Victims, v.String())
@@ -152,7 +152,7 @@
 	}
 	if !c.persist() {
 		c.rollBack(t)
-		out.Why = "the control state did not store the reservation"
+		out.Why = "the control state did not keep it"
 		return out
 	}
 	c.tasks.PushBack(t)
--- a/internal/place/plan/claims.go
+++ b/internal/place/plan/claims.go
@@ -37,7 +37,7 @@
 		}
 		key := want.Claim + ": " + want.Item.String()
 		if ready < want.Copies {
-			unmet[key] = fmt.Sprintf("%d of %d copies are ready, %d loading", ready, want.Copies, copies-ready)
+			unmet[key] = fmt.Sprintf("%d of %d copies are ready, %d on the way", ready, want.Copies, copies-ready)
 		}
 		if copies >= want.Copies || now-p.claimDecidedAt[want.Item] < claimRetryInterval && p.claimDecidedAt[want.Item] != 0 {
 			continue
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -91,7 +91,7 @@
 			p.budget.SpendReserved(budgetKey)
 		case !p.budget.TakeRetry(budgetKey):
 			a.Done()
-			return nil, noRetryRefusal("the budget for retries is exhausted", d.outcome)
+			return nil, noRetryRefusal("the budget for retries is used up", d.outcome)
 		}
 		sentAt := time.Now()
 		firstByteDeadline, isEarly := d.firstByteDeadline(a.Replica, sentAt)
--- a/internal/proxy/identity.go
+++ b/internal/proxy/identity.go
@@ -19,7 +19,7 @@
 	}
 	tenant, known := cfg.TenantOfKey(bearerKey(authorization))
 	if !known && !r.Public {
-		return r, attempt.Identity{}, &Refusal{Reason: Unauthorized, Detail: "the request has no key of a known tenant", Outcome: attempt.NotRun}
+		return r, attempt.Identity{}, &Refusal{Reason: Unauthorized, Detail: "the request bears no key of a tenant", Outcome: attempt.NotRun}
 	}
 	if class := cfg.Tenants[tenant].Class; class != "" {
 		r.Class = class
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -29,7 +29,7 @@
 func (p *Proxy) Vitals(context.Context) (map[string]string, error) {
 	serial, serving := p.ActiveConfig()
 	if !serving || p.draining.Load() {
-		return nil, (&Refusal{Reason: Unavailable, Detail: "the proxy is starting up or shutting down", Outcome: attempt.NotRun, RetryAfter: time.Second}).goaError()
+		return nil, (&Refusal{Reason: Unavailable, Detail: "not serving yet, or no more", Outcome: attempt.NotRun, RetryAfter: time.Second}).goaError()
 	}
 	return map[string]string{"node": p.settings.Name, "conf": strconv.FormatUint(serial, 10), "shots": strconv.FormatInt(p.admission.Attempts(), 10),
 		"cut": strconv.FormatInt(p.truncated.Load(), 10)}, nil
@@ -48,11 +48,11 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(body, target.Route.MaxBody+1))
 	if err != nil {
-		return nil, nil, (&Refusal{Reason: BadRequest, Detail: "the request body was incomplete or stalled", Outcome: attempt.NotRun}).goaError()
+		return nil, nil, (&Refusal{Reason: BadRequest, Detail: "the body broke off or stalled", Outcome: attempt.NotRun}).goaError()
 	}
 	relay.BodyRead(ctx)
 	if int64(len(raw)) > target.Route.MaxBody {
-		detail := fmt.Sprintf("the request body exceeds the limit of %d bytes on this route", target.Route.MaxBody)
+		detail := fmt.Sprintf("a body on this route has at most %d bytes", target.Route.MaxBody)
 		return nil, nil, (&Refusal{Reason: TooLarge, Detail: detail, Outcome: attempt.NotRun}).goaError()
 	}
 	if target.Route.Kind == "model" {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -80,11 +80,11 @@
 		p.awaitConfirmed(ctx)
 	}
 	if !p.confirmed.Load() || p.stopping.Load() {
-		return &Refusal{Reason: Unavailable, Detail: "the proxy is starting up or shutting down", Outcome: attempt.NotRun, RetryAfter: time.Second}
+		return &Refusal{Reason: Unavailable, Detail: "not serving yet, or no more", Outcome: attempt.NotRun, RetryAfter: time.Second}
 	}
 	// An isolated proxy cannot learn that a replica is draining, so it must not send to any; queueing would not help.
 	if !p.awaitContact(ctx) {
-		return &Refusal{Reason: Unavailable, Detail: "this proxy hears nobody who would report draining replicas", Outcome: attempt.NotRun, RetryAfter: 2 * time.Second}
+		return &Refusal{Reason: Unavailable, Detail: "this proxy hears nobody who would tell it of leaving replicas", Outcome: attempt.NotRun, RetryAfter: 2 * time.Second}
 	}
 	return nil
 }
@@ -128,11 +128,11 @@
 		return t, nil
 	}
 	if item.Model == "" {
-		return t, &Refusal{Reason: BadRequest, Detail: "the route serves models and the request names none", Outcome: attempt.NotRun}
+		return t, &Refusal{Reason: BadRequest, Detail: "the route leads to models and the request names none", Outcome: attempt.NotRun}
 	}
 	m, found := cfg.Models[item.Model]
 	if !found {
-		return unknown("unknown model " + item.Model)
+		return unknown("no model " + item.Model)
 	}
 	if item.Adapter != "" && !m.Adapters[item.Adapter] {
 		return unknown("model " + item.Model + " has no adapter " + item.Adapter)
--- a/internal/state/acceptor/folder.go
+++ b/internal/state/acceptor/folder.go
@@ -39,8 +39,8 @@
 		return errors.Wrapf(ErrFolder, "%s is damaged: %v; move it away and start this core with an empty one, as a new member", folder, err)
 	}
 	if !desc.Exists {
-		return errors.Wrapf(ErrFolder, "%s is not empty and holds no data of this program, or its index is lost (found %s); "+
-			"name an empty folder, with which this core joins as a new member", folder, names[0])
+		return errors.Wrapf(ErrFolder, "%s is not empty and holds no data of ours, or its index is lost (%s lies there); "+
+			"name an empty folder, with which this core comes as a new member", folder, names[0])
 	}
 	return nil
 }
@@ -119,10 +119,10 @@
 		return refuse("is damaged: "+err.Error(), "move it away and start this core with an empty one, as a new member")
 	case !found:
 		if err := a.db.Set(keyFolderOwner, wire.Pack(want), pebble.Sync); err != nil {
-			return refuse("cannot be written: "+err.Error(), "check the disk")
+			return refuse("cannot be written: "+err.Error(), "look at the disk")
 		}
 	case stored.Format > folderFormat:
-		return refuse(fmt.Sprintf("is written in format %d but this version reads up to %d", stored.Format, folderFormat), "start the newer version again")
+		return refuse(fmt.Sprintf("is written in format %d and this version reads up to %d", stored.Format, folderFormat), "start the newer version again")
 	case stored.Fleet != want.Fleet:
 		return refuse("belongs to the fleet "+stored.Fleet+", not "+want.Fleet, "set --fleet or --folder right")
 	case stored.Node != want.Node:
--- a/internal/state/coremembers/admission.go
+++ b/internal/state/coremembers/admission.go
@@ -52,7 +52,7 @@
 			return call[JoinRequest, None](ctx, k, c, "/state/join", q)
 		}
 	}
-	return None{}, wire.Refuse("not-owner", "no core holds the core set")
+	return None{}, wire.Refuse("not-owner", "nobody holds the core set")
 }
 
 // replace substitutes a core for the member that it names, or for the member with its own name.
@@ -69,7 +69,7 @@
 			continue
 		}
 		if _, alive := k.d.Live()[c]; alive {
-			return next, wire.Refuse("alive", "member "+name+" is alive and cannot be replaced")
+			return next, wire.Refuse("alive", "member "+name+" is alive; it is not replaced")
 		}
 		next.Cores = append(next.Cores, q.Core)
 		replaced = true
@@ -95,7 +95,7 @@
 		}
 	}
 	if !found && k.suspectsVoter(set) {
-		return set, wire.Refuse("doubt", "a member may be lost; it is replaced once that is certain")
+		return set, wire.Refuse("doubt", "a member may be gone; its place is given when that is sure")
 	}
 	next := state.CoreSet{Version: set.Version + 1}
 	for _, c := range set.Cores {
--- a/internal/state/coremembers/change.go
+++ b/internal/state/coremembers/change.go
@@ -17,7 +17,7 @@
 		if found {
 			var kept state.CoreSet
 			if err := wire.Unpack(old.Value, &kept); err == nil && kept.Version > set.Version {
-				return nil, wire.Refuse("busy", "another change is in progress")
+				return nil, wire.Refuse("busy", "a change is under way")
 			}
 		}
 		var err error
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -20,11 +20,11 @@
 
 // Errors returned to users of the control state.
 var (
-	ErrNotOwner       = errors.New("state: this core holds no lease on the slot")
-	ErrNoQuorum       = errors.New("state: no quorum; nothing was written")
-	ErrOutcomeUnknown = errors.New("state: write outcome unknown")
-	ErrStale          = errors.New("state: version is not the current one")
-	ErrDiskFailed     = errors.New("state: disk failed or is full; write may not be durable")
+	ErrNotOwner       = errors.New("state: slot is not held here")
+	ErrNoQuorum       = errors.New("state: no quorum; nothing was kept")
+	ErrOutcomeUnknown = errors.New("state: outcome unknown")
+	ErrStale          = errors.New("state: serial is not the current one")
+	ErrDiskFailed     = errors.New("state: disk does not keep what it is given")
 )
 
 // Stamp orders the values of a key, by epoch and then by version; the newest value wins.
