--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -82,10 +82,10 @@
 	pacer          pacer
 	paceActor      *run.Actor
 	// grantWriter writes grants sequentially; lastWritten is the mark of its last write.
-	grantWriter       *run.Actor
-	lastWritten       grantMark
-	expectationSerial uint64
-	progress          progressCounter
+	grantWriter        *run.Actor
+	lastWritten        grantMark
+	expectationVersion uint64
+	progress           progressCounter
 }
 
 // New creates a planner and starts its periodic work.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -248,14 +248,14 @@
 
 // headerConfSerial names the response header that holds the serial of the configuration active here when the request
 // arrived.
-const headerConfSerial = "Drumstall-Conf"
+const headerConfVersion = "Drumstall-Conf"
 
 // withResponseHeaders adds the configuration serial to each response and, during a planned stop, closes the connection
 // after it.
 func (p *Proxy) withResponseHeaders(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if serial, serves := p.ActiveConfig(); serves {
-			w.Header().Set(headerConfSerial, strconv.FormatUint(serial, 10))
+			w.Header().Set(headerConfVersion, strconv.FormatUint(serial, 10))
 		}
 		if p.draining.Load() {
 			w.Header().Set("Connection", "close")
