--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -130,14 +130,14 @@
 	FirstByteDeadline time.Time     // deadline for the first byte of the response
 	Cutoff            time.Time     // when a response that has started is cut off; zero means never
 	// Alive reports whether the replica has recently sent data on any request. While it has, a silence
-	// before FirstAtLast or within the response is tolerated; nil tolerates none.
+	// before AliveDeadline or within the response is tolerated; nil tolerates none.
 	Alive         func() bool
 	AliveDeadline time.Time
-	// Only reports whether no other replica could respond. While that is so, a silence before
-	// OnlyUntil is tolerated; nil tolerates none.
+	// OnlyReplica reports whether no other replica could respond. While that is so, a silence before
+	// OnlyReplicaDeadline is tolerated; nil tolerates none.
 	OnlyReplica         func() bool
 	OnlyReplicaDeadline time.Time
-	// GoneOn is called when a response that has started is silent for too long. It reports whether another replica
+	// FailOver is called when a response that has started is silent for too long. It reports whether another replica
 	// has started to resume it; until then the silence is tolerated. Nil ends the response at once.
 	FailOver func() bool
 	OnData   func()      // called whenever data arrives
--- a/internal/attempt/firstbytetimer.go
+++ b/internal/attempt/firstbytetimer.go
@@ -50,7 +50,7 @@
 	return inTime
 }
 
-// toleratesSilence reports whether to wait for the first byte beyond FirstBy.
+// toleratesSilence reports whether to wait for the first byte beyond FirstByteDeadline.
 func (q Request) toleratesSilence(now time.Time) bool {
 	if q.Alive != nil && now.Before(q.AliveDeadline) && q.Alive() {
 		return true
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -113,23 +113,23 @@
 
 // Traits describes the guarantees and limits of the replicas of a deployment.
 type Traits struct {
-	// WaitsForRuns means that an unload waits for running requests, and that
+	// DrainsBeforeUnload means that an unload waits for running requests, and that
 	// requests for an item being loaded or unloaded are rejected as not run.
 	DrainsBeforeUnload bool
-	// KnowsByName means that a replica identifies a controller by its name alone: after a restart
+	// IdentifiesControllerByName means that a replica identifies a controller by its name alone: after a restart
 	// it is still the same controller.
 	IdentifiesControllerByName bool
 	// ReportLag is how old a report may be when the replica returns it.
 	ReportLag time.Duration
 	// ServicesReport means that replicas without models provide reports too.
 	ServicesReport bool
-	// TellsBusy means that a report shows whether an order is being executed.
+	// ReportsBusy means that a report shows whether an order is being executed.
 	ReportsBusy bool
-	// OneOrder means that a replica refuses an order while it executes another.
+	// RejectsConcurrentOrders means that a replica refuses an order while it executes another.
 	RejectsConcurrentOrders bool
-	// KeepsOnDisk means that a replica keeps models it has held on its own disk.
+	// CachesModelsOnDisk means that a replica keeps the models that it has loaded on its own disk.
 	CachesModelsOnDisk bool
-	// AdaptersUnpaced means that loads of adapters are exempt from the rate limiter of the weight store.
+	// AdapterLoadsUnlimited means that loads of adapters are exempt from the rate limiter of the weight store.
 	AdapterLoadsUnlimited bool
 }
 
--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -36,8 +36,8 @@
 	waitTimeout         = 60 * time.Second
 	outstandingInterval = time.Second
 	etaTolerance        = 500 * time.Millisecond // an estimate is republished only if it changes by at least this much
-	// outcomeTimeout is how long an order with an unknown outcome counts as carried out. outcomeMargin is added to
-	// the report lag instead where reports show orders that are being carried out.
+	// outcomeTimeout is how long an order with an unknown outcome counts as executed. outcomeMargin is added to
+	// the report lag instead where reports show orders that are being executed.
 	outcomeTimeout = 3 * time.Second
 	outcomeMargin  = 150 * time.Millisecond
 )
--- a/internal/place/order/execute.go
+++ b/internal/place/order/execute.go
@@ -203,7 +203,7 @@
 	if now-c.reportAt > maxReportAge {
 		return
 	}
-	// The order that is being carried out may come from a previous lease holder and use room that looks free.
+	// The order that is being executed may come from a previous lease holder and use room that looks free.
 	if c.report.Busy && c.traits.RejectsConcurrentOrders {
 		return
 	}
--- a/internal/place/order/poll.go
+++ b/internal/place/order/poll.go
@@ -68,7 +68,7 @@
 }
 
 // outcomeUnknownFor returns how long after its order a load that no report shows counts
-// as carried out.
+// as executed.
 func (c *Controller) outcomeUnknownFor(e *entry) time.Duration {
 	if c.traits.ReportsBusy && !e.unanswered && !e.inherited {
 		return c.traits.ReportLag + outcomeMargin
@@ -79,7 +79,7 @@
 // longSilence is the time without reports after which an order to the replica may be delayed in the network.
 const longSilence = time.Second
 
-// visibleFrom returns the time from which reports would show a load if it was carried out. An order of a previous
+// visibleFrom returns the time from which reports would show a load if it was executed. An order of a previous
 // lease holder, or one that got no answer, may be delayed by a partition and arrive when the replica is reachable again.
 func (c *Controller) visibleFrom(e *entry) time.Duration {
 	if e.inherited || e.unanswered {
@@ -145,7 +145,7 @@
 		if _, present := v.Items[item]; present || c.hasTaskFor(item) {
 			continue
 		}
-		// An order with an unknown outcome counts as carried out until a later report shows otherwise. A load that
+		// An order with an unknown outcome counts as executed until a later report shows otherwise. A load that
 		// a previous lease holder may have ordered has a Reserved entry and may be running now.
 		if requestedAt-c.visibleFrom(e) < c.outcomeUnknownFor(e) || v.Busy && (e.State == backend.Loading || e.inherited) {
 			continue
--- a/internal/place/order/takeover_test.go
+++ b/internal/place/order/takeover_test.go
@@ -26,7 +26,7 @@
 	return backend.Traits{DrainsBeforeUnload: true, ReportsBusy: true, RejectsConcurrentOrders: true, ReportLag: 100 * time.Millisecond}
 }
 
-// The lease changes hands while the replica carries out a load that the previous holder ordered.
+// The lease passes to another holder while the replica executes a load that the previous holder ordered.
 // The room for the load is not free until a report shows that no order is in progress.
 func TestTakeoverKeepsMemoryOfPredecessorsLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -68,7 +68,7 @@
 }
 
 const (
-	// minContendedRequests is how many recent requests for an item must have gone to crowded replicas for its copies to count as in use.
+	// minContendedRequests is how many recent requests for an item must have been sent to replicas under pressure for its copies to count as in use.
 	minContendedRequests = 4
 	// firstUseGrace is how long an item that was just loaded counts as in use before its first request.
 	firstUseGrace = time.Second
--- a/internal/place/pace/resume_test.go
+++ b/internal/place/pace/resume_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// A slot that is taken over, and soon handed to the core that should hold it, must not make
+// A slot that is taken over, and soon passed to the core that should hold it, must not make
 // loads wait for two windows.
 func TestSecondTakeoverAddsNoSecondWindow(t *testing.T) {
 	previous := Resume(0, Window, []time.Duration{0, 0})
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -49,12 +49,12 @@
 	Reports  *report.Table
 	Conf     func() conf.Effective
 	Statuses func() order.Statuses
-	// Ask asks the controller of a replica, on any core, about a load.
+	// Consider asks the controller of a replica, on any core, about a load.
 	Consider func(ctx context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error)
-	// AskAll asks the controller of several replicas in one call, without ordering a load; order.Unheard stands for a
-	// missing answer. If nil, replicas are asked one by one.
+	// ConsiderAll asks the controller of several replicas in one call, without ordering a load; order.NoAnswer stands for
+	// a missing answer. If nil, replicas are asked one by one.
 	ConsiderAll func(ctx context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse
-	// Tell sends predictions to the other cores.
+	// SharePredictions sends predictions to the other cores.
 	SharePredictions func(ctx context.Context, s SharedPredictions)
 	// Busy reports whether this core has no processor time to spare; nil means never.
 	Busy func() bool
--- a/internal/place/plan/work.go
+++ b/internal/place/plan/work.go
@@ -74,7 +74,7 @@
 // share returns the average as of the last update.
 func (w *workRate) share() float64 { return float64(w.sum) / float64(workTimeConstant) }
 
-// prune drops models that are no longer requested and reporters that are gone.
+// prune drops models that are no longer requested and reporters that are no longer alive.
 func (w *workRates) prune(alive map[string]bool, now time.Duration) {
 	for model := range w.byModel {
 		if w.share(model, now) < 1e-3 {
--- a/internal/proxy/dispatch_test.go
+++ b/internal/proxy/dispatch_test.go
@@ -27,11 +27,11 @@
 		table := gossip.NewTable()
 		routes := route.NewRouter(route.Deps{Group: g, Gossip: table, Clock: tick.Machine(), Zone: func() string { return "a" },
 			SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 64 }})
-		serial := uint64(0)
+		version := uint64(0)
 		announce := func(id string, dark bool) {
-			serial++
+			version++
 			n := order.Status{Listed: inventory.Listed{ID: id, Model: true, Slots: 12}, Slots: 12, Stale: dark, Items: map[string]string{"m": backend.Loaded}}
-			table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: serial}, Value: wire.Pack(n)})
+			table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: version}, Value: wire.Pack(n)})
 			time.Sleep(time.Second)
 		}
 		p := &Proxy{routes: routes, budget: attempt.NewBudget(1)}
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -134,7 +134,7 @@
 	return true
 }
 
-// delta returns a report relative to the base, or whole if the agent holds none.
+// delta returns a report relative to the base, or the full report if the agent holds none.
 func (f *feedState) delta(r report.Report) report.Report {
 	if f.base.Version == 0 {
 		return r
@@ -143,7 +143,7 @@
 }
 
 // updateBase records which report the agent holds after an exchange, in which one may have been sent.
-// The agent may have been replaced in the meantime, or may accept whole reports only.
+// The agent may have been replaced in the meantime, or may accept full reports only.
 func (f *feedState) updateBase(sent report.Report, holds uint64) {
 	before := f.base
 	switch {
--- a/internal/proxy/feed_test.go
+++ b/internal/proxy/feed_test.go
@@ -14,7 +14,7 @@
 // A proxy sends deltas only against the report that its agent says it holds, and the whole
 // report as soon as the agent has lost that one.
 func TestReportBaseFollowsAgent(t *testing.T) {
-	reportOf := func(serial uint64) report.Report { return report.Report{Boot: "b", Version: serial} }
+	reportOf := func(version uint64) report.Report { return report.Report{Boot: "b", Version: version} }
 	for name, c := range map[string]struct {
 		base, sent, holds uint64
 		want              uint64 // version of the new base
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -27,11 +27,11 @@
 
 // Vitals reports whether this proxy serves requests, with its node name, active configuration and counters.
 func (p *Proxy) Vitals(context.Context) (map[string]string, error) {
-	serial, serving := p.ActiveConfig()
+	version, serving := p.ActiveConfig()
 	if !serving || p.draining.Load() {
 		return nil, (&Refusal{Reason: Unavailable, Detail: "not serving yet, or no more", Outcome: attempt.NotRun, RetryAfter: time.Second}).goaError()
 	}
-	return map[string]string{"node": p.settings.Name, "conf": strconv.FormatUint(serial, 10), "shots": strconv.FormatInt(p.admission.Attempts(), 10),
+	return map[string]string{"node": p.settings.Name, "conf": strconv.FormatUint(version, 10), "shots": strconv.FormatInt(p.admission.Attempts(), 10),
 		"cut": strconv.FormatInt(p.truncated.Load(), 10)}, nil
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -246,16 +246,16 @@
 // Draining reports whether a planned stop has started.
 func (p *Proxy) Draining() bool { return p.draining.Load() }
 
-// headerConfSerial names the response header that holds the serial of the configuration active here when the request
+// headerConfVersion names the response header that holds the version of the configuration active here when the request
 // arrived.
 const headerConfVersion = "Drumstall-Conf"
 
-// withResponseHeaders adds the configuration serial to each response and, during a planned stop, closes the connection
+// withResponseHeaders adds the configuration version to each response and, during a planned stop, closes the connection
 // after it.
 func (p *Proxy) withResponseHeaders(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if serial, serves := p.ActiveConfig(); serves {
-			w.Header().Set(headerConfVersion, strconv.FormatUint(serial, 10))
+		if version, serves := p.ActiveConfig(); serves {
+			w.Header().Set(headerConfVersion, strconv.FormatUint(version, 10))
 		}
 		if p.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -283,7 +283,7 @@
 // Thaw resumes after Freeze.
 func (p *Proxy) Thaw() { p.rootGroup.Thaw() }
 
-// ActiveConfig returns the serial of the configuration that requests are served by, and
+// ActiveConfig returns the version of the configuration that requests are served by, and
 // whether requests are served at all.
 func (p *Proxy) ActiveConfig() (uint64, bool) {
 	return p.routes.Current().Serial, p.confirmed.Load()
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -73,7 +73,7 @@
 	if len(ranked) == 0 {
 		ranked = c.silent
 	}
-	// Services have no prefix cache. Home replicas by prompt digest would send all requests to one replica,
+	// Services have no prefix cache. Rendezvous hashing by prompt digest would send all requests to one replica,
 	// whatever its zone.
 	if len(ranked) > 0 && t.Route.Kind == "model" {
 		ranked = rt.addPromptCosts(t, s, ranked, now)
--- a/internal/route/conf_rest_test.go
+++ b/internal/route/conf_rest_test.go
@@ -28,24 +28,24 @@
 		table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: version}, Value: conf.Kept{Serial: version, Objects: map[string][]byte{}}.Pack()})
 		router.renew()
 	}
-	checkSerial := func(when string, want uint64) {
+	checkVersion := func(when string, want uint64) {
 		t.Helper()
 		if got := router.Current().Serial; got != want {
 			t.Errorf("%s: configuration %d is in force, want %d", when, got, want)
 		}
 	}
 	apply(1)
-	checkSerial("first configuration", 1)
+	checkVersion("first configuration", 1)
 	apply(2)
-	checkSerial("while the router rests", 1)
+	checkVersion("while the router rests", 1)
 	apply(3)
-	checkSerial("while the router rests", 1)
+	checkVersion("while the router rests", 1)
 	clock.now += time.Duration(conf.ReadingRest().Times) * clockStep
 	router.renew()
-	checkSerial("after the rest", 3)
+	checkVersion("after the rest", 3)
 	clock.now += time.Second
 	apply(4)
-	checkSerial("a configuration after a long pause", 4)
+	checkVersion("a configuration after a long pause", 4)
 }
 
 // On a machine so slow that reading a configuration takes a second, the next one must not wait for several seconds.
--- a/internal/route/live.go
+++ b/internal/route/live.go
@@ -26,7 +26,7 @@
 	mu                  sync.Mutex
 	itemInflight        map[string]int
 	tenantInflight      map[string]int           // in-flight requests of each tenant; empty without tenants
-	missingAt           map[string]time.Duration // when it last said that it does not hold an item
+	missingAt           map[string]time.Duration // when it last reported that it does not hold an item
 }
 
 // loadHint is the load of a replica as stated in one of its answers.
@@ -145,7 +145,7 @@
 // missingTTL is how long a replica's statement that it does not hold an item counts.
 const missingTTL = 300 * time.Millisecond
 
-// RecordMissing records that a replica said it does not hold an item. It gets no request
+// RecordMissing records that a replica reported that it does not hold an item. It gets no request
 // for the item for missingTTL.
 func (rt *Router) RecordMissing(r *Replica, item conf.Item) {
 	now := rt.clock.Since()
@@ -157,7 +157,7 @@
 	r.Live.missingAt[item.String()] = now
 }
 
-// reportedMissing reports whether the replica said within missingTTL that it does not hold an item.
+// reportedMissing reports whether the replica reported within missingTTL that it does not hold an item.
 func (l *Live) reportedMissing(item string, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -119,7 +119,7 @@
 	PollReplicas bool
 	// Log receives infrequent decisions; nil discards them.
 	Log *slog.Logger
-	// Deaf is how long contact may be lost before no more requests are sent; 0 is the default.
+	// IsolationLimit is how long contact may be lost before no more requests are sent; 0 is the default.
 	IsolationLimit time.Duration
 }
 
@@ -162,7 +162,7 @@
 	Item   conf.Item
 	Prompt Prompt
 	Avoid  string // a replica that is chosen only if no other can be
-	// Counted is set once the work of this request has been counted while it waited.
+	// WorkCounted is set once the work of this request has been counted while it waited.
 	WorkCounted bool
 }
 
@@ -184,7 +184,7 @@
 	return !inventory.Marked(rt.gossip, id) && !rt.Isolated()
 }
 
-// MonotonicNow reads the clock that the times in Snapshot.Coming refer to.
+// MonotonicNow reads the clock that the times in Snapshot.LoadingReadyAt refer to.
 func (rt *Router) MonotonicNow() time.Duration { return rt.clock.Since() }
 
 // Isolated reports whether contact with all sources that announce leaving replicas has been lost for too long.
--- a/internal/state/acceptor/acceptor_test.go
+++ b/internal/state/acceptor/acceptor_test.go
@@ -62,7 +62,7 @@
 	})
 }
 
-// A write that reached only a minority is either carried over by the next owner or never
+// A write that reached only a minority is either adopted by the next owner or never
 // returned again, also for a key that no other voter has stored.
 func TestMinorityWriteDoesNotReappear(t *testing.T) {
 	withAcceptors(t, func(t *testing.T, as []*Acceptor) {
--- a/internal/state/acceptor/slot.go
+++ b/internal/state/acceptor/slot.go
@@ -54,7 +54,7 @@
 }
 
 // excludes reports whether the slot is reserved for a core other than from. Cores may briefly disagree about the
-// set of voters; without a reservation another core would take the free slot and then hand it on again.
+// set of voters; without a reservation another core would acquire the free slot and then release it again.
 func (m reservation) excludes(from state.Core, now time.Duration) bool {
 	return m.core != "" && m.core != from.Name && now < m.until
 }
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -49,7 +49,7 @@
 	// Live returns the cores that are believed to be alive, with the phase that each reports.
 	Live func() map[state.Core]acceptor.Phase
 	Addr func(state.Core) (string, bool)
-	// Gone reports whether a voter has left deliberately, and how long it has been absent.
+	// Absence reports whether a voter has left deliberately, and how long it has been absent.
 	Absence func(state.Core) (left bool, away time.Duration)
 	// SinceContact returns the time since a voter last answered this core; an hour or more means never.
 	SinceContact func(state.Core) time.Duration
--- a/internal/state/coremembers/messages.go
+++ b/internal/state/coremembers/messages.go
@@ -5,7 +5,7 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// SetUpdate carries a core set, sent to cores that may have an older one and returned by /state/set.
+// SetUpdate contains a core set, sent to cores that may have an older one and returned by /state/set.
 type SetUpdate struct {
 	Set      state.CoreSet  `cbor:"1,keyasint"`
 	Previous state.CoreSet  `cbor:"2,keyasint"`
--- a/internal/state/owner/acquire.go
+++ b/internal/state/owner/acquire.go
@@ -137,7 +137,7 @@
 // lastHeldByThisCore reports whether this core was the last to hold the slot. A holder
 // first writes the full table to a majority, at least one member of which has answered; a
 // promise alone does not prove that the slot was held. Orders of this process need no quarantine, and those sent
-// before a restart only OwnQuarantine.
+// before a restart only RestartQuarantine.
 func (s *slot) lastHeldByThisCore(accepted []state.Reply) bool {
 	var last state.Reply
 	for _, r := range accepted {
--- a/internal/state/owner/changes.go
+++ b/internal/state/owner/changes.go
@@ -135,7 +135,7 @@
 
 // applyChange computes the new record of a change from the current records of the slot.
 func (s *slot) applyChange(c *change, version uint64) (state.Record, error) {
-	// A caller whose context has ended may have been told that nothing was written, so its change must not be made now.
+	// A caller whose context has ended may have received the error that nothing was written, so its change must not be made now.
 	if c.ctx.Err() != nil {
 		return state.Record{}, errors.Wrap(state.ErrNoQuorum, "caller gave up waiting")
 	}
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -29,7 +29,7 @@
 	callTimeout = 900 * time.Millisecond
 	// takeoverDelay, times a core's rank for a slot, is how long the slot must be unleased before that core may acquire it.
 	takeoverDelay = time.Second
-	// idleHandbackDelay bounds HandbackDelay for a slot that can be handed over without delaying orders.
+	// idleHandbackDelay bounds HandbackDelay for a slot that can be transferred without delaying orders.
 	idleHandbackDelay = 3 * time.Second
 	// repairTicks is the number of ticks between two checks of a slot for missed writes.
 	repairTicks = 8
@@ -48,18 +48,18 @@
 	Addr func(state.Core) (string, bool)
 	// Rank lists the live voters in order of preference for the slot, the preferred holder first.
 	Rank func(slot int) []state.Core
-	// Behind is called when a voter refuses a request because its core set is older.
+	// OnVoterBehind is called when a voter refuses a request because its core set is older.
 	OnVoterBehind func(state.Core)
 	// Quarantine is how long a new holder of a slot sends no orders, because orders of the
 	// previous holder may still be in flight.
 	Quarantine time.Duration
-	// OwnQuarantine is how long after its start a core sends no orders for slots that
+	// RestartQuarantine is how long after its start a core sends no orders for slots that
 	// it held before the restart; 0 where replicas identify a controller by its name alone.
 	RestartQuarantine time.Duration
 	// HandbackDelay is how long a slot is kept after another core has become its preferred holder. A slot that was
 	// idle for Quarantine is kept for at most idleHandbackDelay, because its next holder may send orders at once.
 	HandbackDelay time.Duration
-	// OnTake is called in the slot's actor after the slot has been acquired.
+	// OnAcquire is called in the slot's actor after the slot has been acquired.
 	OnAcquire func(slot int, records []state.Record)
 }
 
