--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -36,8 +36,8 @@
 	waitTimeout         = 60 * time.Second
 	outstandingInterval = time.Second
 	etaTolerance        = 500 * time.Millisecond // an estimate is republished only if it changes by at least this much
-	// outcomeTimeout is how long an order with an unknown outcome counts as carried out. outcomeMargin is added to
-	// the report lag instead where reports show orders that are being carried out.
+	// outcomeTimeout is how long an order with an unknown outcome counts as executed. outcomeMargin is added to
+	// the report lag instead where reports show orders that are being executed.
 	outcomeTimeout = 3 * time.Second
 	outcomeMargin  = 150 * time.Millisecond
 )
@@ -79,11 +79,11 @@
 	Reports           *report.Table
 	Conf              func() conf.Effective
 	PredictedRequests func(item string) float64 // predicted requests for an item over the horizon
-	Others            func() Statuses
+	Statuses          func() Statuses
 	LiveAgents        func() map[string]bool // agents that are considered alive
 	PlatformAge       func() time.Duration   // time since the last contact with the platform
 	Grant             func(ctx context.Context, r GrantRequest) (wait time.Duration, ok bool)
-	Afloat            func(ctx context.Context, loadID string) // reports a load that may still start to the rate limiter of the store
+	ReportOutstanding func(ctx context.Context, loadID string) // reports a load that may still start to the rate limiter of the store
 }
 
 // entry is an Entry with the facts that are not stored.
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -17,7 +17,7 @@
 // and not pinned by a claim. used is the total size of the items that only fail to qualify because they are in use.
 func (c *Controller) idleItems(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.IdleItem, used int) {
 	now := c.d.Clock.Since()
-	others := c.d.Others()
+	others := c.d.Statuses()
 	facts := map[string]judge.IdleItem{}
 	for item, e := range c.entries {
 		if (item.Adapter != "") != adapters || e.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
@@ -68,7 +68,7 @@
 }
 
 const (
-	// minContendedRequests is how many recent requests for an item must have gone to crowded replicas for its copies to count as in use.
+	// minContendedRequests is how many recent requests for an item must have been sent to replicas under pressure for its copies to count as in use.
 	minContendedRequests = 4
 	// firstUseGrace is how long an item that was just loaded counts as in use before its first request.
 	firstUseGrace = time.Second
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -134,7 +134,7 @@
 	return true
 }
 
-// delta returns a report relative to the base, or whole if the agent holds none.
+// delta returns a report relative to the base, or the full report if the agent holds none.
 func (f *feedState) delta(r report.Report) report.Report {
 	if f.base.Version == 0 {
 		return r
@@ -143,7 +143,7 @@
 }
 
 // updateBase records which report the agent holds after an exchange, in which one may have been sent.
-// The agent may have been replaced in the meantime, or may accept whole reports only.
+// The agent may have been replaced in the meantime, or may accept full reports only.
 func (f *feedState) updateBase(sent report.Report, holds uint64) {
 	before := f.base
 	switch {
@@ -188,7 +188,7 @@
 // for these only if replicas do not finish running requests before an unload; otherwise each change at a replica would
 // needlessly change the report of every edge.
 func acknowledgedStatuses(traits backend.Traits, versions map[string]state.Stamp) map[string]state.Stamp {
-	if traits.WaitsForRuns {
+	if traits.DrainsBeforeUnload {
 		return nil
 	}
 	return versions
--- a/internal/proxy/feed_test.go
+++ b/internal/proxy/feed_test.go
@@ -14,7 +14,7 @@
 // A proxy sends deltas only against the report that its agent says it holds, and the whole
 // report as soon as the agent has lost that one.
 func TestReportBaseFollowsAgent(t *testing.T) {
-	reportOf := func(serial uint64) report.Report { return report.Report{Boot: "b", Version: serial} }
+	reportOf := func(version uint64) report.Report { return report.Report{Boot: "b", Version: version} }
 	for name, c := range map[string]struct {
 		base, sent, holds uint64
 		want              uint64 // version of the new base
@@ -82,7 +82,7 @@
 // fleet this was most of the report traffic to the cores.
 func TestStatusIsNotAcknowledgedWhenReplicasDrainOnUnload(t *testing.T) {
 	versions := map[string]state.Stamp{"m-1": {Epoch: 1, Version: 2}}
-	if got := acknowledgedStatuses(backend.Traits{WaitsForRuns: true}, versions); len(got) > 0 {
+	if got := acknowledgedStatuses(backend.Traits{DrainsBeforeUnload: true}, versions); len(got) > 0 {
 		t.Errorf("acknowledged needlessly: %v", got)
 	}
 	if got := acknowledgedStatuses(backend.Traits{}, versions); len(got) != 1 {
--- a/internal/route/live.go
+++ b/internal/route/live.go
@@ -26,7 +26,7 @@
 	mu                  sync.Mutex
 	itemInflight        map[string]int
 	tenantInflight      map[string]int           // in-flight requests of each tenant; empty without tenants
-	missingAt           map[string]time.Duration // when it last said that it does not hold an item
+	missingAt           map[string]time.Duration // when it last reported that it does not hold an item
 }
 
 // loadHint is the load of a replica as stated in one of its answers.
@@ -109,7 +109,7 @@
 // isResponsive reports whether a report that was requested after the last silence has arrived or,
 // for a replica that is not polled, whether the penalty for the silence is over.
 func (r *Replica) isResponsive(now time.Duration) bool {
-	if r.Told {
+	if r.ViaController {
 		return now-time.Duration(r.Live.silentAt.Load()) > failurePenalty
 	}
 	return time.Duration(r.Live.silentAt.Load()) < r.reportedAt
@@ -118,7 +118,7 @@
 // isOverloaded reports whether the replica refused to run a request and has not reported since or,
 // if it is not polled, whether the penalty for that is still in force.
 func (r *Replica) isOverloaded(now time.Duration) bool {
-	if r.Told {
+	if r.ViaController {
 		return now-time.Duration(r.Live.overloadedAt.Load()) < failurePenalty/4
 	}
 	return time.Duration(r.Live.overloadedAt.Load()) >= r.reportedAt
@@ -145,7 +145,7 @@
 // missingTTL is how long a replica's statement that it does not hold an item counts.
 const missingTTL = 300 * time.Millisecond
 
-// RecordMissing records that a replica said it does not hold an item. It gets no request
+// RecordMissing records that a replica reported that it does not hold an item. It gets no request
 // for the item for missingTTL.
 func (rt *Router) RecordMissing(r *Replica, item conf.Item) {
 	now := rt.clock.Since()
@@ -157,7 +157,7 @@
 	r.Live.missingAt[item.String()] = now
 }
 
-// reportedMissing reports whether the replica said within missingTTL that it does not hold an item.
+// reportedMissing reports whether the replica reported within missingTTL that it does not hold an item.
 func (l *Live) reportedMissing(item string, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/state/owner/acquire.go
+++ b/internal/state/owner/acquire.go
@@ -44,8 +44,8 @@
 		return
 	}
 	o.d.Log.Info("slot taken", "slot", s.index, "epoch", q.Epoch, "records", len(recs))
-	if o.d.OnTake != nil {
-		o.d.OnTake(s.index, recs)
+	if o.d.OnAcquire != nil {
+		o.d.OnAcquire(s.index, recs)
 	}
 }
 
@@ -87,7 +87,7 @@
 	case epoch == 1:
 		orderFrom = wonAt
 	case s.lastHeldByThisCore(accepted):
-		orderFrom = max(wonAt, o.startedAt+o.d.OwnQuarantine)
+		orderFrom = max(wonAt, o.startedAt+o.d.RestartQuarantine)
 	}
 	// Whatever the core did before its restart ended when this process started; leases held by this process did not.
 	if firstTime && (epoch == 1 || s.lastHeldByThisCore(accepted)) {
@@ -137,7 +137,7 @@
 // lastHeldByThisCore reports whether this core was the last to hold the slot. A holder
 // first writes the full table to a majority, at least one member of which has answered; a
 // promise alone does not prove that the slot was held. Orders of this process need no quarantine, and those sent
-// before a restart only OwnQuarantine.
+// before a restart only RestartQuarantine.
 func (s *slot) lastHeldByThisCore(accepted []state.Reply) bool {
 	var last state.Reply
 	for _, r := range accepted {
