--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -241,7 +241,7 @@
 	if fed := a.fed.Load(); fed != nil {
 		base = *fed
 	}
-	whole, ok := r.On(base)
+	whole, ok := r.ApplyTo(base)
 	if !ok {
 		a.fed.Store(nil)
 		return
--- a/internal/agent/relays.go
+++ b/internal/agent/relays.go
@@ -113,7 +113,7 @@
 	}
 	var out []member.Node
 	for _, c := range cores {
-		if !slices.Contains(r.vouched, relay.Key(c.Name)) {
+		if !slices.Contains(r.vouched, relay.CoreKey(c.Name)) {
 			out = append(out, c)
 		}
 	}
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -139,7 +139,7 @@
 	if f.base.Version == 0 {
 		return r
 	}
-	return r.Since(f.base)
+	return r.DeltaFrom(f.base)
 }
 
 // updateBase records which report the agent holds after an exchange, in which one may have been sent.
@@ -179,8 +179,8 @@
 func (p *Proxy) buildReport() report.Report {
 	snap := p.routes.Current()
 	tenants, version := p.tenantReport()
-	return report.Report{Boot: p.boot, Version: p.reports.Add(1), Conf: snap.Serial, Demand: p.demandCounts(), Inflight: p.routes.Inflight(),
-		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
+	return report.Report{Boot: p.boot, Version: p.reports.Add(1), ConfigSerial: snap.Serial, Demand: p.demandCounts(), Inflight: p.routes.Inflight(),
+		Waiting: p.admission.Waiting(), Contended: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
 		Tenants: tenants, TenantsVersion: version}
 }
 
--- a/internal/sim/capacity/messages_test.go
+++ b/internal/sim/capacity/messages_test.go
@@ -35,7 +35,7 @@
 }
 
 func aReport(node, replicas, demand, inflight int) report.Report {
-	r := report.Report{Agent: NodeName(node), Boot: "0123456789abcdef", Version: 100000, Conf: 1000, Demand: map[string]uint64{}, Inflight: map[string]map[string]int{},
+	r := report.Report{Agent: NodeName(node), Boot: "0123456789abcdef", Version: 100000, ConfigSerial: 1000, Demand: map[string]uint64{}, Inflight: map[string]map[string]int{},
 		Waiting: map[string]int{}, Acked: map[string]state.Stamp{}, Zone: zone(node), Serving: true}
 	for i := range replicas {
 		r.Acked[ReplicaID(i)] = stamp(i)
