--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -215,7 +215,7 @@
 	asked := a.env.Clock.Since()
 	got, err := wire.Call[cbor.RawMessage, report.Response](ctx, a.caller, addr, reportPath, packed)
 	if err == nil {
-		a.touch.Told(asked, got.ContactAge)
+		a.touch.Observe(asked, got.ContactAge)
 		a.spread.Fetch(addr, conf.Key, got.ConfigStamp)
 	}
 	return got, err
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -94,7 +94,7 @@
 	own            *owner.Owner
 	set            *coremembers.Manager
 	members        *member.Table
-	touch          *touch.Keeper
+	touch          *touch.Tracker
 	gossip         *gossip.Table
 	spread         *gossip.Spreader
 	planner        *plan.Planner
@@ -259,7 +259,7 @@
 }
 
 // Reseed names other seeds.
-func (c *Core) Reseed(seeds []string) { c.members.Reseed(seeds) }
+func (c *Core) Reseed(seeds []string) { c.members.SetSeeds(seeds) }
 
 // Stop ends cleanly: slots are handed over, then all is let go.
 func (c *Core) Stop(ctx context.Context) error {
--- a/internal/core/serve.go
+++ b/internal/core/serve.go
@@ -54,7 +54,7 @@
 // takeReport takes an agent's report from the agent itself.
 func (c *Core) takeReport(ctx context.Context, r report.Report) (report.Response, error) {
 	// Why: the word is of the moment before; what was learned since is told with the next.
-	taken := report.Response{ContactAge: c.touch.Word(), SupportsDeltas: true, SupportsInflightDeltas: true, ConfigStamp: c.gossip.StampOf(conf.Key), Busy: c.lag.Busy()}
+	taken := report.Response{ContactAge: c.touch.Age(), SupportsDeltas: true, SupportsInflightDeltas: true, ConfigStamp: c.gossip.StampOf(conf.Key), Busy: c.lag.Busy()}
 	outcome, err := c.planner.ApplyReport(ctx, r)
 	if err != nil {
 		return taken, err
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -34,9 +34,9 @@
 // Diff says how two tables differ: in nothing, or what the sums of the buckets of who
 // answers are. It names the buckets that differ to who has sent its own.
 type Diff struct {
-	Bucket []int      `cbor:"1,keyasint"`
-	Touch  touch.Word `cbor:"2,keyasint,omitempty"` // how long who answers has been out of touch
-	Sums   [][]byte   `cbor:"3,keyasint,omitempty"`
+	Bucket []int     `cbor:"1,keyasint"`
+	Touch  touch.Age `cbor:"2,keyasint,omitempty"` // how long who answers has been out of touch
+	Sums   [][]byte  `cbor:"3,keyasint,omitempty"`
 	// ReadsTotal says that who answers compares totals; one of an earlier version does not.
 	ReadsTotal bool `cbor:"4,keyasint,omitempty"`
 }
@@ -158,7 +158,7 @@
 
 // Mend makes a table and a peer's know what either knows. It gives the peer's word
 // on how long it has been out of touch, or 0 where that could not be done.
-func Mend(ctx context.Context, caller *wire.Caller, t *Table, addr, self string) touch.Word {
+func Mend(ctx context.Context, caller *wire.Caller, t *Table, addr, self string) touch.Age {
 	d, err := wire.Call[Digest, Diff](ctx, caller, addr, digestPath, Digest{Total: t.total()})
 	if err == nil && !d.ReadsTotal {
 		d, err = wire.Call[Digest, Diff](ctx, caller, addr, digestPath, t.digest())
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -42,7 +42,7 @@
 // NewSpreader starts to pass news on and to take it, until g stops. self and peers
 // give addresses as they are now, and tree whom this node tells in a large fleet; in is
 // this node's word on how long it has been out of touch.
-func NewSpreader(g *run.Group, t *Table, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Keeper) *Spreader {
+func NewSpreader(g *run.Group, t *Table, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Tracker) *Spreader {
 	s := &Spreader{t: t, g: g, log: log, post: post, caller: caller, self: self, peers: peers, tree: tree, turns: make(chan struct{}, mostPulls)}
 	for range mostPulls {
 		s.turns <- struct{}{}
@@ -66,7 +66,7 @@
 }
 
 // answer serves the other nodes' spreaders on mux.
-func (s *Spreader) answer(mux *wire.Mux, in *touch.Keeper) {
+func (s *Spreader) answer(mux *wire.Mux, in *touch.Tracker) {
 	t := s.t
 	wire.Handle(mux, "/news/push", func(_ context.Context, b bundle) (Pushed, error) {
 		p := Pushed{}
@@ -80,7 +80,7 @@
 	wire.HandlePrepared(mux, pullPath, func(_ context.Context, g Gap) (wire.Large, error) { return s.packed.of(t.pick(g.Want)), nil })
 	wire.Handle(mux, digestPath, func(_ context.Context, d Digest) (Diff, error) {
 		out := t.compare(d)
-		out.Touch = in.Word()
+		out.Touch = in.Age()
 		return out, nil
 	})
 	wire.HandleLarge(mux, "/news/gap", func(_ context.Context, h Heads) (Gap, error) { return t.gap(h), nil })
--- a/internal/member/start_test.go
+++ b/internal/member/start_test.go
@@ -28,7 +28,7 @@
 }
 
 // When a large fleet starts, all of it asks the seeds, whose links and processors are as small as any.
-func TestSeedsAreNotAskedForWholeTablesWhileTheyStillAnswer(t *testing.T) {
+func TestSeedsAreNotAskedAgainBeforeTheyAnswer(t *testing.T) {
 	const (
 		cores    = 3
 		agents   = 117
--- a/internal/place/report/report.go
+++ b/internal/place/report/report.go
@@ -55,8 +55,8 @@
 
 // Taken is a core's answer to a report.
 type Response struct {
-	ContactAge      touch.Word `cbor:"1,keyasint,omitempty"` // how long the core has been out of touch
-	NeedsFullReport bool       `cbor:"2,keyasint,omitempty"` // the core does not have what the report is the difference from
+	ContactAge      touch.Age `cbor:"1,keyasint,omitempty"` // how long the core has been out of touch
+	NeedsFullReport bool      `cbor:"2,keyasint,omitempty"` // the core does not have what the report is the difference from
 	// Differences says that the core reads differences; one of an earlier version does not.
 	SupportsDeltas bool `cbor:"3,keyasint,omitempty"`
 	// InflightDifferences says that it reads those of Inflight too.
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -45,13 +45,13 @@
 	// Some peers may be down as well; one response is enough.
 	peers := sample.Of(known, peerPullCount)
 	askedAt := p.env.Clock.Since()
-	results := run.Fan(p.group, len(peers), func(ctx context.Context, i int) touch.Word {
+	results := run.Fan(p.group, len(peers), func(ctx context.Context, i int) touch.Age {
 		ctx, cancel := context.WithTimeout(ctx, peerPullInterval)
 		defer cancel()
 		return gossip.Mend(ctx, p.caller, p.gossip, peers[i], "")
 	})
 	for range peers {
-		p.contact.Told(askedAt, <-results)
+		p.contact.Observe(askedAt, <-results)
 	}
 }
 
@@ -109,7 +109,7 @@
 		p.peers.Store(&down.Peers)
 	}
 	p.agentSeenAt.Store(int64(askedAt))
-	p.contact.Told(askedAt, touch.Word(down.HeardMs+1))
+	p.contact.Observe(askedAt, touch.Age(down.HeardMs+1))
 	if !p.confirmed.Load() && isTableCurrent(down, p.routes.Current()) {
 		p.confirmed.Store(true)
 	}
