--- a/internal/place/report/delta.go
+++ b/internal/place/report/delta.go
@@ -2,9 +2,8 @@
 
 import "maps"
 
-// Since is a report as the difference from an earlier one of the same boot: what
-// only grows or seldom changes is left out where it has not changed, and what is
-// of the moment stays whole.
+// DeltaFrom returns the report as a delta from an earlier report of the same boot: unchanged entries of
+// counters and of rarely changing fields are omitted, and fields that describe the current moment stay complete.
 func (r Report) DeltaFrom(base Report) Report {
 	out := r
 	out.Base = base.Version
@@ -22,8 +21,8 @@
 	return out
 }
 
-// SinceInflight is Since with what is in flight as a difference too, where that is
-// less. Only who says that it reads such a report may be sent one.
+// DeltaWithInflight is DeltaFrom with Inflight as a delta too, where that is smaller. Such a report
+// may be sent only to a receiver that declares support for it.
 func (r Report) DeltaWithInflight(base Report) Report {
 	out := r.DeltaFrom(base)
 	if changes := inflightDelta(r.Inflight, base.Inflight); countEntries(changes) < countEntries(r.Inflight) {
@@ -32,8 +31,8 @@
 	return out
 }
 
-// On is the whole report that a difference makes of its base; false where the
-// base is another one. A whole report needs none.
+// ApplyTo applies a delta to its base and returns the full report, or false if base is not the report
+// that the delta was made from. A full report is returned as it is.
 func (r Report) ApplyTo(base Report) (Report, bool) {
 	if r.Base == 0 {
 		return r, true
@@ -61,6 +60,8 @@
 	return out, true
 }
 
+// changedEntries returns the entries of now that are missing from before or differ there.
+// changedEntries returns the entries of now that are missing from before or differ there.
 func changedEntries[V comparable](now, before map[string]V) map[string]V {
 	out := map[string]V{}
 	for key, value := range now {
@@ -71,7 +72,7 @@
 	return out
 }
 
-// merged lays changes over what was; neither is changed, as readers may hold them.
+// mergedEntries returns before with changes applied. Neither map is modified, since readers may hold them.
 func mergedEntries[V any](before, changes map[string]V) map[string]V {
 	if len(changes) == 0 {
 		return before
@@ -82,13 +83,13 @@
 	return out
 }
 
-// inflightChanges is what is in flight now and was not, or in another number; 0 is
-// what is no longer in flight.
+// inflightDelta returns the entries of now that are missing from before or differ there, and an entry
+// with a count of 0 for each that is only in before.
 func inflightDelta(now, before map[string]map[string]int) map[string]map[string]int {
 	out := map[string]map[string]int{}
 	for replica, items := range now {
-		if different := changedEntries(items, before[replica]); len(different) > 0 {
-			out[replica] = different
+		if changedItems := changedEntries(items, before[replica]); len(changedItems) > 0 {
+			out[replica] = changedItems
 		}
 	}
 	for replica, items := range before {
@@ -105,7 +106,7 @@
 	return out
 }
 
-// inflightMerged lays changes of what is in flight over what was; neither is changed.
+// applyInflightDelta returns before with changes applied. Neither map is modified.
 func applyInflightDelta(before, changes map[string]map[string]int) map[string]map[string]int {
 	out := make(map[string]map[string]int, len(before)+len(changes))
 	maps.Copy(out, before)
@@ -121,7 +122,7 @@
 	return out
 }
 
-// places counts items on replicas.
+// countEntries returns the number of (replica, item) entries.
 func countEntries(inflight map[string]map[string]int) (n int) {
 	for _, items := range inflight {
 		n += len(items)
--- a/internal/place/report/delta_test.go
+++ b/internal/place/report/delta_test.go
@@ -11,7 +11,7 @@
 	"drumstall.example/internal/state"
 )
 
-// edge draws the successive reports of one proxy.
+// reportGenerator generates successive random reports of one proxy.
 type reportGenerator struct {
 	rnd    *rand.Rand
 	latest Report
@@ -53,7 +53,7 @@
 	return out
 }
 
-// sent is a report as it comes out at the other end.
+// roundTrip encodes and decodes a report.
 func roundTrip(t *testing.T, r Report) Report {
 	t.Helper()
 	var out Report
@@ -63,24 +63,24 @@
 	return out
 }
 
-// Differences, of which some are lost, make the same table as whole reports.
+// Deltas, some of which are lost, produce the same table as full reports.
 func TestAppliedDeltasEqualFullReports(t *testing.T) {
 	for seed := range uint64(200) {
 		e, core := newReportGenerator(seed), NewTable()
-		var taken Report
+		var acked Report
 		for range 30 {
 			r := e.next()
-			what := r
-			if taken.Version > 0 {
-				what = r.DeltaFrom(taken)
+			message := r
+			if acked.Version > 0 {
+				message = r.DeltaFrom(acked)
 			}
 			if e.rnd.IntN(4) == 0 {
-				continue // lost on the way, or its answer: the next one is from the same base
+				continue // the report or its response is lost: the next delta has the same base
 			}
-			if outcome := core.Put(roundTrip(t, what), 0); outcome != Stored {
-				t.Fatalf("seed %d: report %d on %d: outcome %d", seed, r.Version, taken.Version, outcome)
+			if outcome := core.Put(roundTrip(t, message), 0); outcome != Stored {
+				t.Fatalf("seed %d: report %d, base %d: outcome %d", seed, r.Version, acked.Version, outcome)
 			}
-			taken = r
+			acked = r
 			got := core.All()["edge-1"].Report
 			if !reflect.DeepEqual(roundTrip(t, got), roundTrip(t, r)) {
 				t.Fatalf("seed %d: got %+v, want %+v", seed, got, r)
@@ -94,26 +94,26 @@
 	first, second, third := e.next(), e.next(), e.next()
 	core := NewTable()
 	if outcome := core.Put(second.DeltaFrom(first), 0); outcome != MissingBase {
-		t.Errorf("without any report: %d", outcome)
+		t.Errorf("empty table: outcome %d", outcome)
 	}
 	core.Put(first, 0)
 	if outcome := core.Put(third.DeltaFrom(second), 0); outcome != MissingBase {
-		t.Errorf("from a report that was never taken: %d", outcome)
+		t.Errorf("base that was never stored: outcome %d", outcome)
 	}
 	other := second.DeltaFrom(first)
 	other.Boot = "b2"
 	if outcome := core.Put(other, 0); outcome != MissingBase {
-		t.Errorf("from another life of the proxy: %d", outcome)
+		t.Errorf("base of another boot of the proxy: outcome %d", outcome)
 	}
 	if outcome := core.Put(second.DeltaFrom(first), 0); outcome != Stored {
-		t.Errorf("from what is there: %d", outcome)
+		t.Errorf("stored base: outcome %d", outcome)
 	}
 	if outcome := core.Put(second.DeltaFrom(first), 0); outcome != Stale {
-		t.Errorf("the same again: %d", outcome)
+		t.Errorf("repeated delta: outcome %d", outcome)
 	}
 }
 
-// What a reader of the table was given never changes under its hands.
+// A report returned by the table is never modified afterwards.
 func TestApplyingADeltaDoesNotChangeEarlierSnapshots(t *testing.T) {
 	e, core := newReportGenerator(3), NewTable()
 	last := e.next()
@@ -125,13 +125,13 @@
 		core.Put(r.DeltaFrom(last), 0)
 		last = r
 		if !reflect.DeepEqual(roundTrip(t, before), want) {
-			t.Fatal("an earlier snapshot has changed")
+			t.Fatal("a report returned earlier has changed")
 		}
 	}
 }
 
-// A report that was passed on may come after a later one that was not: of another life of
-// the proxy, it would count what is no more.
+// A relayed report may arrive after a later one that was sent directly. If it stems from an earlier boot
+// of the proxy, storing it would count requests that no longer exist.
 func TestOlderReportIsStaleRegardlessOfArrivalOrder(t *testing.T) {
 	table := NewTable()
 	put := func(boot string, version uint64, agentBoot string, order uint64) Outcome {
@@ -148,12 +148,12 @@
 		{"second life", 1, "a", 9, Stored},
 		{"first life", 8, "a", 8, Stale},
 		{"second life", 2, "a", 10, Stored},
-		{"third life", 1, "b", 1, Stored}, // the agent began anew as well
+		{"third life", 1, "b", 1, Stored}, // the agent restarted as well
 		{"fourth life", 1, "", 0, Stored}, // an agent of an earlier version
 		{"fifth life", 1, "b", 2, Stored},
 	} {
 		if got := put(c.boot, c.version, c.agentBoot, c.order); got != c.want {
-			t.Errorf("%d: %v, want %v", i, got, c.want)
+			t.Errorf("report %d: outcome %v, want %v", i, got, c.want)
 		}
 	}
 }
--- a/internal/place/report/relay/messages.go
+++ b/internal/place/report/relay/messages.go
@@ -10,31 +10,31 @@
 	"drumstall.example/internal/place/report"
 )
 
-// Path is where a core takes batches from other cores.
+// Path is the path at which a core accepts batches from other cores.
 const Path = "/place/reports"
 
-// Batch is reports of agents, whole or as differences from what the receiver has.
+// Batch holds reports of agents, each in full or as a delta from the report that the receiver has.
 type Batch struct {
 	Reports []cbor.RawMessage `cbor:"1,keyasint"`
 }
 
-// Taken is a core's answer to a batch.
+// Response is a core's response to a batch.
 type Response struct {
-	// NotTaken are the reports, as indexes of the batch, that the core cannot lay on what it has of their agents.
+	// Rejected lists the indexes in the batch of the reports that cannot be decoded or whose base the core lacks.
 	Rejected []int `cbor:"1,keyasint,omitempty"`
 }
 
-// Take lays a batch in a core's table by put, and answers it.
+// Apply stores the reports of a batch with put and returns the response to the sender.
 func Apply(ctx context.Context, b Batch, put func(context.Context, []report.Report) ([]report.Outcome, error)) (Response, error) {
-	var taken Response
-	reports, at := make([]report.Report, 0, len(b.Reports)), make([]int, 0, len(b.Reports))
+	var response Response
+	reports, indexes := make([]report.Report, 0, len(b.Reports)), make([]int, 0, len(b.Reports))
 	for i, packed := range b.Reports {
 		var r report.Report
 		if wire.Unpack(packed, &r) != nil {
-			taken.Rejected = append(taken.Rejected, i)
+			response.Rejected = append(response.Rejected, i)
 			continue
 		}
-		reports, at = append(reports, r), append(at, i)
+		reports, indexes = append(reports, r), append(indexes, i)
 	}
 	outcomes, err := put(ctx, reports)
 	if err != nil {
@@ -42,11 +42,12 @@
 	}
 	for k, outcome := range outcomes {
 		if outcome == report.MissingBase {
-			taken.Rejected = append(taken.Rejected, at[k])
+			response.Rejected = append(response.Rejected, indexes[k])
 		}
 	}
-	return taken, nil
+	return response, nil
 }
 
-// Key stands for a core's name in answers to agents; it must never change.
+// CoreKey returns the key that identifies a core in responses to agents. Agents and cores of different versions
+// compare these keys, so the function must never change.
 func CoreKey(core string) uint32 { return uint32(share.Draw([]byte("relay"), core)) }
--- a/internal/place/report/relay/random_test.go
+++ b/internal/place/report/relay/random_test.go
@@ -13,10 +13,10 @@
 	"drumstall.example/internal/state"
 )
 
-// life is an agent that counts, begins and ends requests, and acknowledges.
+// simulatedAgent generates reports with random request counts, in-flight requests and acknowledgements.
 type simulatedAgent struct {
 	latest report.Report
-	base   report.Report // what the relay's core has
+	base   report.Report // the last report sent to the relay's core
 }
 
 func (l *simulatedAgent) step(rnd *rand.Rand, boot string) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// added is a map with one entry more; the one before is left as it is.
+// withEntry returns a copy of a map with one entry added or replaced.
 func withEntry[V any](before map[string]V, key string, value V) map[string]V {
 	out := map[string]V{key: value}
 	for k, v := range before {
@@ -45,16 +45,16 @@
 	return out
 }
 
-// Whatever is lost on the way, cores that are silent or begin anew, agents and proxies that
-// begin anew among it, in the end every core has the newest report of every agent.
+// Cores that stop responding or restart, and proxies that restart, lose batches and bases at random. Afterwards
+// every core must hold the latest report of every agent.
 func TestAllCoresEventuallyHaveEveryReport(t *testing.T) {
 	for seed := range uint64(30) {
 		runWithPeers(t, func(t *testing.T, p *testPeers) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
-			lives := []*simulatedAgent{{latest: report.Report{Agent: "e"}}, {latest: report.Report{Agent: "f"}}, {latest: report.Report{Agent: "g"}}}
+			agents := []*simulatedAgent{{latest: report.Report{Agent: "e"}}, {latest: report.Report{Agent: "f"}}, {latest: report.Report{Agent: "g"}}}
 			boots := map[string]int{}
 			round := func() {
-				for _, l := range lives {
+				for _, l := range agents {
 					l.step(rnd, fmt.Sprint(l.latest.Agent, boots[l.latest.Agent]))
 					p.reportRandomly(t, l, rnd)
 				}
@@ -70,7 +70,7 @@
 				case 3:
 					p.restart(core)
 				case 4:
-					boots[lives[rnd.IntN(len(lives))].latest.Agent]++
+					boots[agents[rnd.IntN(len(agents))].latest.Agent]++
 				}
 				round()
 			}
@@ -81,7 +81,7 @@
 			}
 			time.Sleep(time.Second)
 			for name, table := range p.tables {
-				for _, l := range lives {
+				for _, l := range agents {
 					got, want := table.Get(l.latest.Agent).Report, l.latest
 					want.RelayRequested = false
 					if !reflect.DeepEqual(canonical(got), canonical(want)) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// sorted is a report as its bytes, which are the same for reports that are.
+// canonical returns an encoding that is the same for equal reports.
 func canonical(r report.Report) []byte {
 	if len(r.Waiting) == 0 {
 		r.Waiting = nil
@@ -101,7 +101,7 @@
 	return wire.Pack(r)
 }
 
-// tell lays an agent's report in the relay's core, as the difference or whole, and tells the relay.
+// reportRandomly sends an agent's report to the relay's core, as a delta or in full.
 func (p *testPeers) reportRandomly(t *testing.T, l *simulatedAgent, rnd *rand.Rand) {
 	t.Helper()
 	sent := l.latest
@@ -112,7 +112,8 @@
 	p.putAndRelay(t, sent)
 }
 
-// FuzzTake holds that no batch breaks a core, and that what is not taken is named once, of the batch's reports.
+// FuzzApply checks that no batch makes Apply fail, that rejected indexes are within the batch and that there are no
+// more of them than reports.
 func FuzzApply(f *testing.F) {
 	whole := report.Report{Agent: "e", Boot: "x", Version: 2, Demand: map[string]uint64{"m": 1}}
 	f.Add(wire.Pack(whole), wire.Pack(whole.DeltaFrom(report.Report{Agent: "e", Boot: "x", Version: 1})))
@@ -128,14 +129,14 @@
 		}
 		for _, i := range got.Rejected {
 			if i < 0 || i >= len(b.Reports) {
-				t.Errorf("report %d of %d was not taken", i, len(b.Reports))
+				t.Errorf("rejected index %d is out of range for %d reports", i, len(b.Reports))
 			}
 		}
 		if len(got.Rejected) > len(b.Reports) {
-			t.Errorf("%d of %d were not taken", len(got.Rejected), len(b.Reports))
+			t.Errorf("%d rejected reports in a batch of %d", len(got.Rejected), len(b.Reports))
 		}
 		if d := table.Get("e"); d.Version == 0 && !bytes.Contains(append(first, second...), []byte("e")) {
-			t.Error("a sound report was not taken")
+			t.Error("a valid report was not stored")
 		}
 	})
 }
--- a/internal/place/report/relay/relay.go
+++ b/internal/place/report/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay passes reports of agents on to the other cores. In a large fleet
-// an agent reports to one core, which asks for a relay; the relay of that core sends what
-// is new to every other core, in one batch for all its agents, and vouches to each agent
-// for the cores that have taken its report. An agent tells those itself that nobody vouches for.
+// Package relay forwards reports of agents to the other cores. In a large fleet an agent sends its
+// report to one core and asks for a relay. The relay of that core sends new reports to every other
+// core, in one batch for all its agents, and confirms to each agent which cores have accepted its
+// report. The agent itself reports to the cores that are not confirmed.
 //
-// The relay keeps no reports of its own and decides nothing: it reads the core's
-// table, and whatever it loses the agents make good.
+// The relay owns no authoritative state and takes no decisions: it reads the core's report table, and the
+// agents make up for whatever it loses.
 package relay
 
 import (
@@ -22,56 +22,57 @@
 )
 
 const (
-	// roundEvery is the time between two rounds of batches. A report by which requests wait for
-	// an item that they did not wait for in the one before does not wait for the next.
+	// roundInterval is the time between two rounds of batches. A report with requests waiting for an item
+	// that had none waiting in the previous report is sent in an early round.
 	roundInterval = 100 * time.Millisecond
-	// answerWithin is how long a core may take to answer a batch.
+	// sendTimeout is the time limit for a core's response to a batch.
 	sendTimeout = 900 * time.Millisecond
-	// askedFor is how long an agent's report is passed on after the agent last asked for it.
+	// requestTTL is how long an agent's reports are relayed after its last request for it.
 	requestTTL = 1500 * time.Millisecond
-	// vouchedFor is how long after a core has taken an agent's report it is vouched for.
+	// confirmationTTL is how long a core stays confirmed after an accepted report was sent to it.
 	confirmationTTL = 1200 * time.Millisecond
-	// batchBytes is the size from which a batch takes no more reports; the rest goes with the next.
+	// batchSizeLimit is the size in bytes from which a batch takes no more reports; the rest goes into the next batch.
 	batchSizeLimit = 256 << 10
 )
 
-// Deps is what a relay needs from its core.
+// Deps holds the dependencies of a relay.
 type Deps struct {
 	Group *run.Group
 	Clock tick.Clock
-	// Cores are the live cores, this one among them.
+	// Cores returns the live cores, including this one.
 	Cores func() []member.Node
 	Self  string // this core's name
-	// Newest is the newest report of an agent.
+	// LatestReport returns the latest report of an agent.
 	LatestReport func(agent string) report.Received
-	Send         func(ctx context.Context, addr string, b Batch) (Response, error)
-	// Busy says that this core has no processor time to spare; nil is never.
+	// Send sends a batch to the core at an address.
+	Send func(ctx context.Context, addr string, b Batch) (Response, error)
+	// Busy reports whether this core has no spare processor time; nil means never.
 	Busy func() bool
 }
 
-// Relay passes on the reports of the agents that ask this core for it.
+// Relay forwards the reports of the agents that ask this core for it.
 type Relay struct {
 	deps          Deps
 	actor         *run.Actor
 	earlyRound    *run.Nudge
-	lastRequested map[string]time.Duration // by agent: when it last asked
-	waiting       map[string]waitCounts    // by agent that asks
+	lastRequested map[string]time.Duration // by agent: time of its last request to relay
+	waiting       map[string]waitCounts    // by relayed agent, from its latest report
 	peers         map[string]*peer         // the other cores, by address
-	agentCount    atomic.Int64             // of the agents that ask
+	agentCount    atomic.Int64             // len(lastRequested), readable outside the actor
 }
 
-// peer is another core as the relay knows it.
+// peer is the delivery state of another core.
 type peer struct {
 	name         string
-	sending      bool                // a batch is under way
-	skippedRound bool                // a round has passed it over for that
-	delivered    map[string]delivery // by agent
+	sending      bool                // a batch is in flight
+	skippedRound bool                // a round skipped the peer because of that
+	delivered    map[string]delivery // by agent: last accepted report
 }
 
-// waiting is how many requests wait for each item at an edge.
+// waitCounts is the number of waiting requests at an edge by item.
 type waitCounts map[string]int
 
-// isNew says that an item is waited for that was not in the report before.
+// hasNewItem reports whether requests wait for an item that none waited for in the previous report.
 func (w waitCounts) hasNewItem(before waitCounts) bool {
 	for item := range w {
 		if before[item] == 0 {
@@ -81,13 +82,13 @@
 	return false
 }
 
-// taken is the newest report of an agent that a peer has taken.
+// delivery is the latest report of an agent that a peer has accepted.
 type delivery struct {
 	report report.Report
-	sentAt time.Duration // when it was sent
+	sentAt time.Duration // when the report was sent
 }
 
-// New passes nothing on until an agent asks.
+// New starts a relay. It sends nothing until an agent asks for it.
 func New(d Deps) *Relay {
 	r := &Relay{deps: d, lastRequested: map[string]time.Duration{}, waiting: map[string]waitCounts{}, peers: map[string]*peer{}}
 	r.actor = run.NewActor(d.Group, 256, roundInterval, r.round)
@@ -95,18 +96,18 @@
 	return r
 }
 
-// Agents is how many agents' reports are passed on.
+// Agents returns the number of agents whose reports are relayed.
 func (r *Relay) Agents() int64 { return r.agentCount.Load() }
 
-// Reported is told of a report that this core has taken from its agent, and gives the
-// keys of the cores that it vouches for: they have the agent's report of a moment before.
+// OnReport registers a report that this core has stored from its agent. It returns the keys of the
+// confirmed cores, which hold a recent report of the agent.
 func (r *Relay) OnReport(ctx context.Context, rep report.Report) ([]uint32, error) {
-	// Why: in a small fleet nobody asks, and there is nothing to forget.
+	// In a small fleet no agent asks for a relay and there is no state to remove.
 	if !rep.RelayRequested && r.Agents() == 0 {
 		return nil, nil
 	}
-	var vouched []uint32
-	urgent := false
+	var confirmed []uint32
+	hasNewItem := false
 	err := r.actor.Ask(ctx, func() {
 		defer func() { r.agentCount.Store(int64(len(r.lastRequested))) }()
 		if !rep.RelayRequested {
@@ -116,29 +117,29 @@
 		}
 		now := r.deps.Clock.Since()
 		r.lastRequested[rep.Agent] = now
-		urgent = waitCounts(rep.Waiting).hasNewItem(r.waiting[rep.Agent])
+		hasNewItem = waitCounts(rep.Waiting).hasNewItem(r.waiting[rep.Agent])
 		r.waiting[rep.Agent] = rep.Waiting
 		if rep.Base == 0 {
-			// Why: whatever went wrong with differences ends with a whole report, at every core.
+			// A full report from the agent resets every core, so that any inconsistency from deltas ends here.
 			r.discardBase(rep.Agent)
 		}
-		vouched = r.confirmedCores(rep.Agent, now)
+		confirmed = r.confirmedCores(rep.Agent, now)
 	})
-	if err == nil && urgent {
+	if err == nil && hasNewItem {
 		r.requestEarlyRound()
 	}
-	return vouched, err
+	return confirmed, err
 }
 
-// outOfTurn has a round at once. Why: where most reports tell of a miss, a batch for each is more work than all of them
-// in the next round; a core without time to spare sends no more than its rounds.
+// requestEarlyRound starts a round immediately, unless this core is busy. When most reports contain a miss, a batch
+// for each of them is more work than one batch for all in the next round, so a busy core sends only its regular rounds.
 func (r *Relay) requestEarlyRound() {
 	if r.deps.Busy == nil || !r.deps.Busy() {
 		r.earlyRound.Now()
 	}
 }
 
-// forget has a whole report of an agent sent next. The cores are vouched for all the same.
+// discardBase makes the next relayed report of an agent a full one. The cores stay confirmed.
 func (r *Relay) discardBase(agent string) {
 	for _, p := range r.peers {
 		if has, found := p.delivered[agent]; found {
@@ -147,6 +148,7 @@
 	}
 }
 
+// confirmedCores returns the keys of the cores that have accepted a report of the agent within confirmationTTL.
 func (r *Relay) confirmedCores(agent string, now time.Duration) []uint32 {
 	var out []uint32
 	for _, p := range r.peers {
@@ -157,27 +159,27 @@
 	return out
 }
 
-// round sends every other core what it does not have.
+// round sends each other core the reports that it does not have.
 func (r *Relay) round() {
 	if len(r.lastRequested) == 0 {
 		return
 	}
 	now := r.deps.Clock.Since()
-	newest := r.reportsToRelay(now)
+	latest := r.reportsToRelay(now)
 	r.updatePeers()
-	packed := map[encodingKey]cbor.RawMessage{}
+	encoded := map[encodingKey]cbor.RawMessage{}
 	for addr, p := range r.peers {
 		if p.sending {
 			p.skippedRound = true
 			continue
 		}
-		if b, of := p.nextBatch(newest, packed); len(of) > 0 {
-			r.send(addr, p, b, of, now)
+		if b, reports := p.nextBatch(latest, encoded); len(reports) > 0 {
+			r.send(addr, p, b, reports, now)
 		}
 	}
 }
 
-// newest is the reports that are to be passed on.
+// reportsToRelay returns the latest reports to relay and removes agents whose request has expired.
 func (r *Relay) reportsToRelay(now time.Duration) []report.Report {
 	var out []report.Report
 	for agent, at := range r.lastRequested {
@@ -189,7 +191,7 @@
 			}
 			continue
 		}
-		// Why: a core that stood still must not pass on what was true before.
+		// A core that resumes after a pause must not relay outdated reports.
 		if d := r.deps.LatestReport(agent); d.Version > 0 && now-d.At < requestTTL {
 			out = append(out, d.Report)
 		}
@@ -198,7 +200,7 @@
 	return out
 }
 
-// follow takes up the cores that are new and lets go of those that are gone.
+// updatePeers adds new cores to the peers and removes those that are no longer live.
 func (r *Relay) updatePeers() {
 	live := map[string]bool{}
 	for _, n := range r.deps.Cores() {
@@ -217,16 +219,17 @@
 	}
 }
 
-// variant is a form of an agent's report: whole, or the difference from a version.
+// encodingKey identifies an encoded form of an agent's latest report: full, or a delta from a version.
 type encodingKey struct {
 	agent string
-	base  uint64 // 0 is the whole report
+	base  uint64 // 0 for the full report
 }
 
-// batch is what a peer does not have, and the reports that are in it.
-func (p *peer) nextBatch(newest []report.Report, packed map[encodingKey]cbor.RawMessage) (b Batch, of []report.Report) {
+// nextBatch returns a batch of the reports that the peer does not have, and the full reports it was made from.
+// encoded caches encoded reports across peers.
+func (p *peer) nextBatch(reports []report.Report, encoded map[encodingKey]cbor.RawMessage) (b Batch, included []report.Report) {
 	size := 0
-	for _, latest := range newest {
+	for _, latest := range reports {
 		base := p.delivered[latest.Agent].report
 		if base.Boot != latest.Boot {
 			base = report.Report{}
@@ -234,31 +237,31 @@
 		if base.Version == latest.Version || size >= batchSizeLimit {
 			continue
 		}
-		form := encodingKey{latest.Agent, base.Version}
-		if _, done := packed[form]; !done {
-			packed[form] = encode(latest, base)
+		key := encodingKey{latest.Agent, base.Version}
+		if _, done := encoded[key]; !done {
+			encoded[key] = encode(latest, base)
 		}
-		b.Reports, of = append(b.Reports, packed[form]), append(of, latest)
-		size += len(packed[form])
+		b.Reports, included = append(b.Reports, encoded[key]), append(included, latest)
+		size += len(encoded[key])
 	}
-	return b, of
+	return b, included
 }
 
-// pack packs a report for a core that has another, or none.
+// encode encodes a report for a core that has base, as a full report if base is empty.
 func encode(latest, base report.Report) cbor.RawMessage {
-	latest.RelayRequested = false // it goes no further
+	latest.RelayRequested = false // the receiver does not relay it again
 	if base.Version == 0 {
 		return wire.Pack(latest)
 	}
 	return wire.Pack(latest.DeltaWithInflight(base))
 }
 
-// send sends a batch with the reports of it.
-func (r *Relay) send(addr string, p *peer, b Batch, of []report.Report, now time.Duration) {
+// send sends a batch to a peer and records the delivery of its reports.
+func (r *Relay) send(addr string, p *peer, b Batch, reports []report.Report, now time.Duration) {
 	p.sending = true
 	r.deps.Group.Go(func(ctx context.Context) {
-		one, cancel := context.WithTimeout(ctx, sendTimeout)
-		got, err := r.deps.Send(one, addr, b)
+		sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
+		response, err := r.deps.Send(sendCtx, addr, b)
 		cancel()
 		_ = r.actor.Ask(ctx, func() {
 			p.sending = false
@@ -266,25 +269,26 @@
 				p.skippedRound = false
 				r.requestEarlyRound()
 			}
-			// Why: whether it was taken is not known without an answer; the next batch shows it.
+			// Without a response it is unknown whether the peer accepted the batch; the response to the next batch
+			// shows it.
 			if err == nil {
-				p.recordDelivery(of, got, now)
+				p.recordDelivery(reports, response, now)
 			}
 		})
 	})
 }
 
-// settle notes what a peer has taken of a batch.
-func (p *peer) recordDelivery(of []report.Report, got Response, at time.Duration) {
-	not := map[int]bool{}
-	for _, i := range got.Rejected {
-		not[i] = true
+// recordDelivery records which reports of a batch the peer accepted. A rejected report is sent in full next.
+func (p *peer) recordDelivery(reports []report.Report, response Response, sentAt time.Duration) {
+	rejected := map[int]bool{}
+	for _, i := range response.Rejected {
+		rejected[i] = true
 	}
-	for i, rep := range of {
-		if not[i] {
+	for i, rep := range reports {
+		if rejected[i] {
 			delete(p.delivered, rep.Agent)
 			continue
 		}
-		p.delivered[rep.Agent] = delivery{rep, at}
+		p.delivered[rep.Agent] = delivery{rep, sentAt}
 	}
 }
--- a/internal/place/report/relay/relay_test.go
+++ b/internal/place/report/relay/relay_test.go
@@ -21,7 +21,7 @@
 	"drumstall.example/internal/sim/simhost"
 )
 
-// peers are cores without relays of their own, by address.
+// testPeers simulates the cores that a relay sends to. They have no relays themselves; maps are keyed by address.
 type testPeers struct {
 	mu             sync.Mutex
 	relay          *Relay
@@ -30,16 +30,16 @@
 	own            *report.Table
 	tables         map[string]*report.Table
 	silent         map[string]bool
-	responseDelay  time.Duration              // a batch takes to be answered
-	busy           atomic.Bool                // the relay's own core has no time to spare
-	received       map[string][]report.Report // as they were sent
+	responseDelay  time.Duration              // delay of each response
+	busy           atomic.Bool                // the relay's own core has no spare processor time
+	received       map[string][]report.Report // reports as they were sent
 	lastReceivedAt map[string]time.Duration
 	batches        map[string]int
-	largestBatch   int // bytes of a batch
+	largestBatch   int // bytes of the largest batch
 	version        uint64
 }
 
-// among runs a relay beside the cores b and c.
+// runWithPeers runs a test with a relay on core a and the peers b and c.
 func runWithPeers(t *testing.T, do func(t *testing.T, p *testPeers)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -76,14 +76,14 @@
 	p.silent[addr] = silent
 }
 
-// batchesTo counts the batches that a core has taken.
+// batchesTo returns the number of batches a core has received.
 func (p *testPeers) batchesTo(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.batches[addr]
 }
 
-// lose has a core start anew, without any reports.
+// restart restarts a core with an empty table.
 func (p *testPeers) restart(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,20 +114,21 @@
 	})
 }
 
-// take lays a report in the table of the relay's core and tells the relay, which gives the keys of those it vouches for.
+// putAndRelay stores a report in the table of the relay's core, passes it to the relay and returns the keys of the
+// confirmed cores.
 func (p *testPeers) putAndRelay(t *testing.T, r report.Report) []uint32 {
 	t.Helper()
 	if p.own.Put(r, p.clock.Since()) != report.Stored {
-		t.Fatalf("report %d of %s was not kept", r.Version, r.Agent)
+		t.Fatalf("report %d of %s was not stored", r.Version, r.Agent)
 	}
-	vouched, err := p.relay.OnReport(t.Context(), r)
+	confirmed, err := p.relay.OnReport(t.Context(), r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return vouched
+	return confirmed
 }
 
-// reportDifference has an agent report what differs from its report before: that so many requests were counted.
+// reportDifference sends a delta report of an agent with a request count of n.
 func (p *testPeers) reportDifference(t *testing.T, agent string, n uint64) {
 	t.Helper()
 	p.version++
@@ -137,34 +138,34 @@
 	p.putAndRelay(t, next.DeltaFrom(before))
 }
 
-// report has an agent report to the relay's core, and gives the names of the cores that are vouched for.
+// report sends a report of an agent to the relay's core and returns the names of the confirmed cores.
 func (p *testPeers) report(t *testing.T, r report.Report) string {
 	t.Helper()
 	p.version++
 	r.Boot, r.Version = "x", p.version
-	vouched := p.putAndRelay(t, r)
+	confirmed := p.putAndRelay(t, r)
 	var names []string
 	for _, name := range []string{"b", "c"} {
-		if slices.Contains(vouched, CoreKey(name)) {
+		if slices.Contains(confirmed, CoreKey(name)) {
 			names = append(names, name)
 		}
 	}
 	return strings.Join(names, " ")
 }
 
-// counted is a report of requests that were counted, to be passed on.
+// demandReport returns a report with a request count of n that is to be relayed.
 func demandReport(agent string, n uint64) report.Report {
 	return report.Report{Agent: agent, RelayRequested: true, Demand: map[string]uint64{"m": n, "other": 1}}
 }
 
-// have checks what the cores know of an agent's requests.
+// checkDemand checks the request count of an agent at each core.
 func (p *testPeers) checkDemand(t *testing.T, agent string, want map[string]uint64) {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, n := range want {
 		if got := p.tables[name].Get(agent).Demand["m"]; got != n {
-			t.Errorf("%s has %d requests of %s, want %d", name, got, agent, n)
+			t.Errorf("core %s has %d requests of %s, want %d", name, got, agent, n)
 		}
 	}
 }
@@ -172,12 +173,12 @@
 func TestReportsAreRelayedAsDeltas(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		if got := p.report(t, demandReport("e", 1)); got != "" {
-			t.Errorf("%s vouched for before anything was passed on", got)
+			t.Errorf("cores %s confirmed before any report was relayed", got)
 		}
-		// Between two rounds: a round at the same moment may find the report in the table before the relay is told of it.
+		// Between two rounds: a simultaneous round may find the report in the table before OnReport is called.
 		time.Sleep(500*time.Millisecond + roundInterval/2)
 		if got := p.report(t, demandReport("e", 2)); got != "b c" {
-			t.Errorf("vouched for: %q", got)
+			t.Errorf("confirmed cores: %q", got)
 		}
 		time.Sleep(500 * time.Millisecond)
 		p.checkDemand(t, "e", map[string]uint64{"b": 2, "c": 2})
@@ -186,7 +187,7 @@
 				t.Fatalf("%s was sent %+v", name, got)
 			}
 		}
-		// The second report was whole at this core, so it was passed on whole.
+		// The second report arrived at this core in full, so it was relayed in full.
 		p.reportDifference(t, "e", 3)
 		time.Sleep(200 * time.Millisecond)
 		p.checkDemand(t, "e", map[string]uint64{"b": 3, "c": 3})
@@ -196,7 +197,7 @@
 	})
 }
 
-// A report by which requests wait is passed on at once.
+// A report with newly waiting requests is relayed immediately.
 func TestNewlyWaitingRequestsAreRelayedImmediately(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		time.Sleep(10 * time.Millisecond)
@@ -207,12 +208,12 @@
 		synctest.Wait()
 		p.checkDemand(t, "e", map[string]uint64{"b": 1, "c": 1})
 		if took := p.lastReceivedAt["b"] - now; took != 0 {
-			t.Errorf("it took %v", took)
+			t.Errorf("relaying took %v", took)
 		}
 	})
 }
 
-// Cores that were short of processor time sent a batch for each report that told of a miss, to each other core.
+// Guards against a core without spare processor time sending a batch to each other core for every report with a miss.
 func TestBusyCoreRelaysMissesInRegularRounds(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		p.busy.Store(true)
@@ -226,18 +227,18 @@
 		}
 		time.Sleep(2 * roundInterval)
 		if batches := p.batchesTo("b"); batches > 3 {
-			t.Errorf("%d batches for the misses of one round", batches)
+			t.Errorf("%d batches for the misses of one round, want at most 3", batches)
 		}
 		p.checkDemand(t, fmt.Sprint("e", misses-1), map[string]uint64{"b": 1, "c": 1})
 	})
 }
 
-// What is waited for still is told with the next round. Where requests wait all the time, each report of each edge
-// once had a batch of its own.
+// Requests that wait for the same items as in the previous report are relayed in the next regular round. Guards
+// against a batch for each report of each edge while requests wait all the time.
 func TestOnlyNewlyWaitingItemsTriggerAnEarlyRound(t *testing.T) {
 	for name, c := range map[string]struct {
 		waiting map[string]int
-		atOnce  bool
+		early   bool
 	}{
 		"the same":         {map[string]int{"m": 1}, false},
 		"more for it":      {map[string]int{"m": 9}, false},
@@ -256,14 +257,15 @@
 			p.report(t, r)
 			time.Sleep(roundInterval)
 			p.checkDemand(t, "e", map[string]uint64{"b": 2, "c": 2})
-			if took := p.lastReceivedAt["b"] - now; (took == 0) != c.atOnce {
-				t.Errorf("%s: it took %v", name, took)
+			if took := p.lastReceivedAt["b"] - now; (took == 0) != c.early {
+				t.Errorf("%s: relaying took %v", name, took)
 			}
 		})
 	}
 }
 
-// Nor does it wait for the next round where a batch was under way.
+// A report with newly waiting requests is also relayed early when a batch to the peer is in flight: an early
+// round follows as soon as the peer responds.
 func TestEarlyRoundFollowsABatchInFlight(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		p.responseDelay = 20 * time.Millisecond
@@ -278,47 +280,47 @@
 		time.Sleep(3 * p.responseDelay)
 		p.checkDemand(t, "f", map[string]uint64{"b": 1, "c": 1})
 		if took := p.lastReceivedAt["b"] - now; took > 2*p.responseDelay {
-			t.Errorf("it took %v", took)
+			t.Errorf("relaying took %v", took)
 		}
 	})
 }
 
-// A core that does not answer is not vouched for; when it answers again it gets what it lacks, whole where it
-// has lost what it had.
+// A core that does not respond is not confirmed. When it responds again it receives the reports it lacks, in full
+// if it lost its table.
 func TestUnresponsiveCoreIsNotConfirmed(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		runWithPeers(t, func(t *testing.T, p *testPeers) {
-			n, vouched := uint64(0), ""
-			tell := func(seconds int) {
+			n, confirmed := uint64(0), ""
+			reportFor := func(seconds int) {
 				for range 2 * seconds {
 					n++
-					vouched = p.report(t, demandReport("e", n))
+					confirmed = p.report(t, demandReport("e", n))
 					time.Sleep(500 * time.Millisecond)
 				}
 			}
-			tell(2)
-			if vouched != "b c" {
-				t.Fatalf("vouched for: %q", vouched)
+			reportFor(2)
+			if confirmed != "b c" {
+				t.Fatalf("confirmed cores: %q", confirmed)
 			}
 			p.setSilent("b", true)
-			tell(3)
-			if vouched != "c" {
-				t.Errorf("vouched for while b is silent: %q", vouched)
+			reportFor(3)
+			if confirmed != "c" {
+				t.Errorf("confirmed cores while b does not respond: %q", confirmed)
 			}
 			p.checkDemand(t, "e", map[string]uint64{"c": n})
 			if p.setSilent("b", false); lost {
 				p.restart("b")
 			}
-			tell(3)
-			if vouched != "b c" {
-				t.Errorf("vouched for after b was silent: %q", vouched)
+			reportFor(3)
+			if confirmed != "b c" {
+				t.Errorf("confirmed cores after b responds again: %q", confirmed)
 			}
 			p.checkDemand(t, "e", map[string]uint64{"b": n, "c": n})
 		})
 	}
 }
 
-// A core that started anew in between has none of the reports, and says so.
+// A core that restarted in between rejects deltas, since it has no base for them, and receives full reports.
 func TestRestartedCoreReceivesFullReports(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		first := demandReport("e", 1)
@@ -331,12 +333,12 @@
 		}
 		p.checkDemand(t, "e", map[string]uint64{"b": 4, "c": 4})
 		if got := p.tables["b"].Get("e").Demand["other"]; got != 1 {
-			t.Errorf("b has %d requests of what did not change", got)
+			t.Errorf("b has %d requests for the unchanged item, want 1", got)
 		}
 	})
 }
 
-// What an agent no longer asks for is not passed on, nor what was true before this core stood still.
+// Reports are not relayed after the agent stops asking for it, nor reports from before a pause of this core.
 func TestOutdatedReportsAreNotRelayed(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		p.report(t, demandReport("e", 1))
@@ -344,7 +346,7 @@
 		direct := demandReport("e", 2)
 		direct.RelayRequested = false
 		if got := p.report(t, direct); got != "" {
-			t.Errorf("vouched for: %q", got)
+			t.Errorf("confirmed cores: %q", got)
 		}
 		time.Sleep(300 * time.Millisecond)
 		p.checkDemand(t, "e", map[string]uint64{"b": 1, "c": 1})
@@ -358,7 +360,7 @@
 	})
 }
 
-// Many large reports go in several batches.
+// Many large reports are split into several batches.
 func TestBatchSizeIsBounded(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		const agents, items = 40, 2000
@@ -375,7 +377,7 @@
 		}
 		one := len(wire.Pack(p.own.Get("e1").Report))
 		if p.largestBatch > batchSizeLimit+one {
-			t.Errorf("a batch of %d bytes", p.largestBatch)
+			t.Errorf("the largest batch has %d bytes, above the limit", p.largestBatch)
 		}
 		if p.largestBatch < batchSizeLimit/2 {
 			t.Errorf("the largest batch has %d bytes: the test does not reach the bound", p.largestBatch)
@@ -383,7 +385,7 @@
 	})
 }
 
-// A batch that cannot be read in part is taken for the rest.
+// The readable reports of a batch are stored when others cannot be decoded or lack their base.
 func TestUnreadableReportsAreRejected(t *testing.T) {
 	table := report.NewTable()
 	good := wire.Pack(report.Report{Agent: "e", Boot: "x", Version: 1})
@@ -394,7 +396,7 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := Apply(t.Context(), b, func(context.Context, []report.Report) ([]report.Outcome, error) { return nil, io.EOF }); err == nil {
-		t.Error("a core that could not keep them answered that it has")
+		t.Error("Apply returned no error although put failed")
 	}
 }
 
--- a/internal/place/report/report.go
+++ b/internal/place/report/report.go
@@ -1,5 +1,6 @@
-// Package report is what edges tell the cores of their traffic: requests
-// counted per item, those in flight and those waiting, and what is in force.
+// Package report defines the periodic traffic reports that edges send to the cores: request
+// counts per item, requests in flight and waiting, and the configuration in force. It also owns
+// the table in which a core keeps the latest report of each agent.
 package report
 
 import (
@@ -11,91 +12,91 @@
 	"drumstall.example/internal/state"
 )
 
-// Fresh is how long a report counts as the present.
+// FreshFor is how long a report counts as current.
 const FreshFor = 2 * time.Second
 
-// Report is one edge's word; counts only ever grow under one boot.
+// Report is the status of one edge. Its counters never decrease under one boot.
 type Report struct {
 	Agent        string                    `cbor:"1,keyasint"`
-	Boot         string                    `cbor:"2,keyasint"` // of the proxy: who did the counting
-	Version      uint64                    `cbor:"3,keyasint"` // of reports under this boot
+	Boot         string                    `cbor:"2,keyasint"` // boot ID of the proxy, which maintains the counters
+	Version      uint64                    `cbor:"3,keyasint"` // increases with each report under this boot
 	ConfigSerial uint64                    `cbor:"4,keyasint"` // serial of the configuration in force
-	Demand       map[string]uint64         `cbor:"5,keyasint"` // item: requests so far
-	Inflight     map[string]map[string]int `cbor:"6,keyasint"` // replica: item: requests now
-	Waiting      map[string]int            `cbor:"7,keyasint"` // item: requests held now for want of a replica
-	Acked        map[string]state.Stamp    `cbor:"8,keyasint"` // replica: its status in force at the proxy
+	Demand       map[string]uint64         `cbor:"5,keyasint"` // item: total requests so far
+	Inflight     map[string]map[string]int `cbor:"6,keyasint"` // replica: item: requests in flight
+	Waiting      map[string]int            `cbor:"7,keyasint"` // item: requests waiting for a replica
+	Acked        map[string]state.Stamp    `cbor:"8,keyasint"` // replica: stamp of the status in force at the proxy
 	Zone         string                    `cbor:"9,keyasint"`
 	Serving      bool                      `cbor:"10,keyasint"`
-	Contended    map[string]int            `cbor:"11,keyasint,omitempty"` // item: requests that went where many are, of late
-	WorkMs       map[string]uint64         `cbor:"12,keyasint,omitempty"` // model: replicas' time to read its prompts, so far
-	Base         uint64                    `cbor:"13,keyasint,omitempty"` // version of the report that this one is the difference from; 0 is a whole one
-	RemovedAcks  []string                  `cbor:"14,keyasint,omitempty"` // replicas that are no longer in Acked, in a difference
-	// InflightSince says that Inflight holds, in a difference, only what has changed; 0 is no longer in flight.
+	Contended    map[string]int            `cbor:"11,keyasint,omitempty"` // item: recent requests sent to highly loaded replicas
+	WorkMs       map[string]uint64         `cbor:"12,keyasint,omitempty"` // model: total time replicas spent reading its prompts
+	Base         uint64                    `cbor:"13,keyasint,omitempty"` // version of the report that this delta applies to; 0 for a full report
+	RemovedAcks  []string                  `cbor:"14,keyasint,omitempty"` // in a delta: replicas no longer in Acked
+	// InflightIsDelta means that Inflight of a delta holds only changed entries; a count of 0 removes an entry.
 	InflightIsDelta bool              `cbor:"15,keyasint,omitempty"`
 	Tenants         map[string]Tenant `cbor:"16,keyasint,omitempty"`
-	// TenantsVersion is another one whenever Tenants is; a difference leaves out what its base has.
+	// TenantsVersion changes whenever Tenants does; a delta omits Tenants when its base has the same version.
 	TenantsVersion uint64 `cbor:"17,keyasint,omitempty"`
-	// Relay asks the core to pass the report on to the other cores.
+	// RelayRequested asks the core to relay the report to the other cores.
 	RelayRequested bool `cbor:"18,keyasint,omitempty"`
-	// AgentBoot and Order tell which of an agent's reports is newer, whichever way each came: Order rises under one
-	// boot of the agent. Agents of earlier versions send neither.
+	// AgentBoot and Sequence order an agent's reports regardless of the path each arrived by: Sequence increases under
+	// one boot of the agent. Agents of earlier versions send neither.
 	AgentBoot string `cbor:"19,keyasint,omitempty"`
 	Sequence  uint64 `cbor:"20,keyasint,omitempty"`
 }
 
-// Tenant is what one tenant has at one proxy.
+// Tenant holds the statistics of one tenant at one proxy.
 type Tenant struct {
 	Share           int    `cbor:"1,keyasint"`
-	CachedPrefixes  int    `cbor:"2,keyasint"` // prefixes remembered as warm
-	EvictedPrefixes uint64 `cbor:"3,keyasint"` // prefixes that gave way, so far
-	PromptTokens    uint64 `cbor:"4,keyasint"` // of prompts that were sent, so far
-	WarmTokens      uint64 `cbor:"5,keyasint"` // of those, expected warm where they were sent
-	Bulk            bool   `cbor:"6,keyasint"` // it sends more new prompts than its share of the replicas' caches
+	CachedPrefixes  int    `cbor:"2,keyasint"` // prompt prefixes recorded as warm
+	EvictedPrefixes uint64 `cbor:"3,keyasint"` // prefixes evicted so far
+	PromptTokens    uint64 `cbor:"4,keyasint"` // prompt tokens sent so far
+	WarmTokens      uint64 `cbor:"5,keyasint"` // of PromptTokens, those expected to be cached at the chosen replica
+	Bulk            bool   `cbor:"6,keyasint"` // sends more new prompt tokens than its share of the replicas' caches
 }
 
-// Taken is a core's answer to a report.
+// Response is a core's response to a report.
 type Response struct {
-	ContactAge      touch.Age `cbor:"1,keyasint,omitempty"` // how long the core has been out of touch
-	NeedsFullReport bool      `cbor:"2,keyasint,omitempty"` // the core does not have what the report is the difference from
-	// Differences says that the core reads differences; one of an earlier version does not.
+	ContactAge      touch.Age `cbor:"1,keyasint,omitempty"` // how long the core has been without contact
+	NeedsFullReport bool      `cbor:"2,keyasint,omitempty"` // the core lacks the base of the delta
+	// SupportsDeltas means that the core reads deltas; cores of earlier versions do not.
 	SupportsDeltas bool `cbor:"3,keyasint,omitempty"`
-	// InflightDifferences says that it reads those of Inflight too.
+	// SupportsInflightDeltas means that the core also reads deltas of Inflight.
 	SupportsInflightDeltas bool `cbor:"4,keyasint,omitempty"`
-	// Relayed are the keys of the other cores that have the agent's report of a moment before (package relay).
+	// RelayedTo lists the keys (relay.CoreKey) of the other cores that hold a recent report of the agent.
 	RelayedTo []uint32 `cbor:"5,keyasint,omitempty"`
-	// Conf is the stamp of the configuration that the core has, so that an agent whose is older gets it there.
+	// ConfigStamp is the stamp of the core's configuration; an agent with an older one fetches it from this core.
 	ConfigStamp state.Stamp `cbor:"6,keyasint,omitempty"`
-	// Busy says that the core has no processor time to spare: it is to be told no more than it must.
+	// Busy means that the core has no spare processor time; agents should send it only what is required.
 	Busy bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Dated is a report and when it came, on this core's clock.
+// Received is a report with its arrival time on this core's clock.
 type Received struct {
 	Report
 	At time.Duration
 }
 
-// Table holds the newest report of each agent, and what they count together.
-// Its methods may be called from anywhere.
+// Table holds the latest report of each agent and totals over these reports.
+// Its methods are safe for concurrent use.
 type Table struct {
 	mu        sync.Mutex
-	latest    map[string]*Received // by agent; a report is never changed
+	latest    map[string]*Received // by agent; stored reports are immutable
 	totals    totals
 	recent    window
 	extended  window
-	lastPrune time.Duration // when agents that were not heard for long were last let go of
+	lastPrune time.Duration // when expired agents were last removed
 }
 
 const (
-	// forgetEvery is the time between two looks for agents that were not heard for long.
+	// pruneInterval is the time between two scans for expired agents.
 	pruneInterval = time.Minute
-	// latelyFresh is how long what an edge that went silent had in flight counts.
+	// extendedFreshFor is how long the in-flight requests of a silent edge still count.
 	extendedFreshFor = 5 * FreshFor
-	// keptFor is how long an agent's report is kept that has sent no other.
+	// retention is how long the last report of an agent is kept.
 	retention = time.Hour
 )
 
-// NewTable holds none.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{latest: map[string]*Received{}, totals: newTotals()}
 	t.recent = newWindow(FreshFor, t.totals.accumulateRecent)
@@ -103,40 +104,40 @@
 	return t
 }
 
-// Outcome is what became of a report.
+// Outcome is the result of Table.Put.
 type Outcome int
 
 const (
-	// Kept says that the report is the newest of its agent now.
+	// Stored means that the report is now the latest of its agent.
 	Stored Outcome = iota
-	// Stale says that one as new was there.
+	// Stale means that the table already holds a report that is at least as new.
 	Stale
-	// NoBase says that the report is a difference from one that is not there.
+	// MissingBase means that the report is a delta whose base is not in the table.
 	MissingBase
 )
 
-// follows says that a report was made by its agent after another. Why: reports
-// that are passed on may come after later ones that were not.
+// isNewerThan reports whether the agent produced r after other. The versions do not show this
+// across boots of the proxy, and a relayed report may arrive after a later one that was sent directly.
 func (r Report) isNewerThan(other Report) bool {
 	return r.AgentBoot != "" && r.AgentBoot == other.AgentBoot && r.Sequence > other.Sequence
 }
 
-// Put keeps a report if it is newer; its one caller is the planner's actor, so times never go back.
+// Put stores a report if it is newer than the stored one. Its only caller is the planner's actor, so at never decreases.
 func (t *Table) Put(r Report, at time.Duration) Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was, found := t.latest[r.Agent]
+	previous, found := t.latest[r.Agent]
 	switch {
 	case !found:
-		was = &Received{}
-	case was.Boot == r.Boot && was.Version >= r.Version, was.isNewerThan(r):
+		previous = &Received{}
+	case previous.Boot == r.Boot && previous.Version >= r.Version, previous.isNewerThan(r):
 		return Stale
 	}
-	whole, ok := r.ApplyTo(was.Report)
+	full, ok := r.ApplyTo(previous.Report)
 	if !ok {
 		return MissingBase
 	}
-	d := &Received{whole, at}
+	d := &Received{full, at}
 	t.prune(at)
 	t.latest[r.Agent] = d
 	t.recent.put(d)
@@ -144,7 +145,7 @@
 	return Stored
 }
 
-// forget lets go of agents that were not heard for long.
+// prune removes agents that have sent no report within the retention time.
 func (t *Table) prune(now time.Duration) {
 	if now-t.lastPrune < pruneInterval {
 		return
@@ -157,7 +158,7 @@
 	}
 }
 
-// All is the newest report of each agent.
+// All returns the latest report of each agent.
 func (t *Table) All() map[string]Received {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,7 +169,7 @@
 	return out
 }
 
-// Of is the newest report of an agent; an empty one if there is none.
+// Get returns the latest report of an agent, or an empty one if there is none.
 func (t *Table) Get(agent string) Received {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,8 +179,8 @@
 	return Received{}
 }
 
-// Inflight is the number of requests of an item on a replica by all edges heard
-// lately; an edge that went silent counts until it is heard again or an age passes.
+// Inflight returns the number of in-flight requests for an item on a replica over all edges. The last
+// report of a silent edge counts until its next report arrives or extendedFreshFor has passed.
 func (t *Table) Inflight(replica, item string, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,7 +188,7 @@
 	return t.totals.inflightByItem[replicaItem{replica, item}]
 }
 
-// InflightOn is the number of requests on a replica.
+// InflightOn returns the number of in-flight requests on a replica, from fresh reports.
 func (t *Table) InflightOn(replica string, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -195,7 +196,7 @@
 	return t.totals.inflightByReplica[replica]
 }
 
-// Pressed sums the requests that had to go where many are, by item.
+// Contended returns, by item, the number of requests that had to be sent to highly loaded replicas.
 func (t *Table) Contended(now time.Duration) map[conf.Item]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,7 +204,7 @@
 	return copyCounters(t.totals.contended)
 }
 
-// Waiting sums what waits, by item.
+// Waiting returns the number of waiting requests by item.
 func (t *Table) Waiting(now time.Duration) map[conf.Item]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,9 +212,9 @@
 	return copyCounters(t.totals.waiting)
 }
 
-// Demand is how many requests for an item wait, and how many had to go where many
-// are. Why: a controller asks about the few items of its replica, many times a second;
-// copies of all that wait in a large fleet took half of its time.
+// WaitingAndContended returns the waiting and the contended requests of one item. A controller queries the
+// few items of its replica many times a second; copying the totals of all items in a large fleet took half
+// of its processor time.
 func (t *Table) WaitingAndContended(item conf.Item, now time.Duration) (waiting, pressed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/place/report/totals.go
+++ b/internal/place/report/totals.go
@@ -9,16 +9,16 @@
 	"drumstall.example/internal/conf"
 )
 
-// window is the newest report of each edge that was heard within a span; count is
-// told of each that comes in (1) and of each that is replaced or too old (-1).
+// window holds the latest report of each edge that reported within a time span. accumulate is called
+// with sign 1 for each report that enters the window, and with -1 for each that is replaced or expires.
 type window struct {
 	span       time.Duration
 	accumulate func(d *Received, sign int)
 	current    map[string]*Received // by agent
-	arrivals   deque.Deque[arrival] // oldest first; those of replaced reports too
+	arrivals   deque.Deque[arrival] // oldest first; includes those of replaced reports
 }
 
-// arrival is when a report of an edge came.
+// arrival is the arrival time of a report of an agent.
 type arrival struct {
 	agent string
 	at    time.Duration
@@ -28,10 +28,10 @@
 	return window{span: span, accumulate: count, current: map[string]*Received{}}
 }
 
-// put takes a report in place of the one before of its edge.
+// put replaces the previous report of the edge.
 func (w *window) put(d *Received) {
-	if was := w.current[d.Agent]; was != nil {
-		w.accumulate(was, -1)
+	if previous := w.current[d.Agent]; previous != nil {
+		w.accumulate(previous, -1)
 	}
 	w.accumulate(d, 1)
 	w.current[d.Agent] = d
@@ -39,33 +39,33 @@
 	w.expire(d.At)
 }
 
-// expire takes out what is too old.
+// expire removes reports older than the span.
 func (w *window) expire(now time.Duration) {
 	for w.arrivals.Len() > 0 && now-w.arrivals.Front().at >= w.span {
-		old := w.arrivals.PopFront()
-		if d := w.current[old.agent]; d != nil && d.At == old.at {
+		oldest := w.arrivals.PopFront()
+		if d := w.current[oldest.agent]; d != nil && d.At == oldest.at {
 			w.accumulate(d, -1)
-			delete(w.current, old.agent)
+			delete(w.current, oldest.agent)
 		}
 	}
 }
 
-// place is an item on a replica.
+// replicaItem identifies an item on a replica.
 type replicaItem struct{ replica, item string }
 
-// sums are what the reports within a window count together.
+// totals are sums over the reports within the windows of a table.
 type totals struct {
 	waiting           map[conf.Item]int
 	contended         map[conf.Item]int
 	inflightByReplica map[string]int      // requests in flight, by replica
-	inflightByItem    map[replicaItem]int // requests in flight by the reports of a longer span, by replica and item
+	inflightByItem    map[replicaItem]int // requests in flight within the extended window, by replica and item
 }
 
 func newTotals() totals {
 	return totals{waiting: map[conf.Item]int{}, contended: map[conf.Item]int{}, inflightByReplica: map[string]int{}, inflightByItem: map[replicaItem]int{}}
 }
 
-// countPresent counts what is of the moment.
+// accumulateRecent adds or subtracts the current values of a report.
 func (s *totals) accumulateRecent(d *Received, sign int) {
 	for item, n := range d.Waiting {
 		add(s.waiting, conf.ParseItem(item), sign*n)
@@ -80,7 +80,7 @@
 	}
 }
 
-// countLately counts what may still run though its edge went silent.
+// accumulateExtended adds or subtracts requests that may still run although their edge is silent.
 func (s *totals) accumulateExtended(d *Received, sign int) {
 	for replica, items := range d.Inflight {
 		for item, n := range items {
@@ -89,7 +89,7 @@
 	}
 }
 
-// add changes a counter; one that is at zero is not kept.
+// add changes a counter and removes it when it reaches zero.
 func add[K comparable](counters map[K]int, key K, by int) {
 	if n := counters[key] + by; n != 0 {
 		counters[key] = n
@@ -98,7 +98,7 @@
 	}
 }
 
-// copied is counters that whoever asked may change.
+// copyCounters returns a copy that the caller may modify.
 func copyCounters(counters map[conf.Item]int) map[conf.Item]int {
 	out := make(map[conf.Item]int, len(counters))
 	maps.Copy(out, counters)
--- a/internal/place/report/totals_test.go
+++ b/internal/place/report/totals_test.go
@@ -10,7 +10,7 @@
 	"drumstall.example/internal/conf"
 )
 
-// summed adds up anew what the reports heard within a span count by item.
+// recomputedTotals sums counts by item over the reports that arrived within a span.
 func recomputedTotals(all map[string]Received, now, span time.Duration, counts func(Report) map[string]int) map[conf.Item]int {
 	out := map[conf.Item]int{}
 	for _, r := range all {
@@ -23,7 +23,7 @@
 	return out
 }
 
-// drawn is a report of the moment.
+// randomReport returns a report with random waiting, contended and in-flight requests.
 func randomReport(rnd *rand.Rand, agent string, version uint64) Report {
 	r := Report{Agent: agent, Boot: "b", Version: version, Waiting: map[string]int{}, Contended: map[string]int{}, Inflight: map[string]map[string]int{}}
 	for range rnd.IntN(4) {
@@ -34,8 +34,8 @@
 	return r
 }
 
-// Sums that are kept are those of the newest reports, as they come, are replaced, and
-// get too old.
+// The incrementally maintained totals equal sums over the latest reports as reports arrive, are
+// replaced and expire.
 func TestTotalsMatchTheLatestReports(t *testing.T) {
 	for seed := range uint64(100) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -51,12 +51,12 @@
 				t.Fatalf("seed %d, report %d: waiting %v, want %v", seed, version, got, want)
 			}
 			if got, want := table.Contended(now), recomputedTotals(all, now, FreshFor, func(r Report) map[string]int { return r.Contended }); !maps.Equal(got, want) {
-				t.Fatalf("seed %d, report %d: pressed %v, want %v", seed, version, got, want)
+				t.Fatalf("seed %d, report %d: contended %v, want %v", seed, version, got, want)
 			}
 			for m := range 6 {
 				item := conf.Item{Model: fmt.Sprint("m", m)}
 				if w, p := table.WaitingAndContended(item, now); w != table.Waiting(now)[item] || p != table.Contended(now)[item] {
-					t.Fatalf("seed %d, report %d: %v: %d waiting, %d pressed", seed, version, item, w, p)
+					t.Fatalf("seed %d, report %d: %v: %d waiting, %d contended, unlike the totals", seed, version, item, w, p)
 				}
 			}
 			for r := range 3 {
@@ -67,32 +67,32 @@
 					sum += n
 				}
 				if got := table.InflightOn(replica, now); got != sum {
-					t.Fatalf("seed %d, report %d: on %s %d, want %d", seed, version, replica, got, sum)
+					t.Fatalf("seed %d, report %d: in flight on %s: %d, want %d", seed, version, replica, got, sum)
 				}
 				for item, want := range recomputedTotals(all, now, 5*FreshFor, on) {
 					if got := table.Inflight(replica, item.String(), now); got != want {
-						t.Fatalf("seed %d, report %d: %s on %s %d, want %d", seed, version, item, replica, got, want)
+						t.Fatalf("seed %d, report %d: in flight for %s on %s: %d, want %d", seed, version, item, replica, got, want)
 					}
 				}
 			}
 		}
 		if now += 5 * FreshFor; table.Inflight("r1", "m9", now) != 0 || len(table.Waiting(now)) != 0 {
-			t.Errorf("seed %d: something counts after all are too old", seed)
+			t.Errorf("seed %d: totals are not zero after all reports have expired", seed)
 		}
 	}
 }
 
-// What a reader was given is its own.
+// A caller may modify the totals it was given.
 func TestReturnedTotalsAreCopies(t *testing.T) {
 	table := NewTable()
 	table.Put(Report{Agent: "e", Boot: "b", Version: 1, Waiting: map[string]int{"m": 2}}, 0)
 	table.Waiting(0)[conf.Item{Model: "m"}] = 7
 	if n := table.Waiting(0)[conf.Item{Model: "m"}]; n != 2 {
-		t.Errorf("%d wait, want 2", n)
+		t.Errorf("%d waiting, want 2", n)
 	}
 }
 
-// A report of one of 64 edges, and what one decision asks of the table.
+// Measures storing a report of one of 64 edges, and the queries of one placement decision.
 func BenchmarkTable(b *testing.B) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	table, version := NewTable(), uint64(0)
@@ -121,7 +121,7 @@
 	})
 }
 
-// What a controller asks about the items of its replica while many items wait.
+// Measures a controller's queries for the items of its replica while requests wait for many items.
 func BenchmarkWaitingAndContended(b *testing.B) {
 	table := NewTable()
 	r := Report{Agent: "edge", Boot: "b", Version: 1, Waiting: map[string]int{}}
