--- a/internal/member/fanout/fanout.go
+++ b/internal/member/fanout/fanout.go
@@ -1,5 +1,5 @@
-// Package fanout says whom a node of a large fleet passes news on to, from what it
-// knows of the members. Cores and agents ask it in each round of passing on; it keeps no state.
+// Package fanout computes the targets to which a node of a large fleet forwards gossip updates, from its
+// view of the membership. Cores and agents use it in each gossip round; it keeps no state.
 package fanout
 
 import (
@@ -10,21 +10,21 @@
 	"drumstall.example/internal/member"
 )
 
-// HeardWithin is how long ago a core must have answered this core to be left to tell
-// the agents below it. Why: a core that is cut off from the other cores alone is alive to the agents and has
-// nothing new for them.
+// AckedWithin is the maximum time since another core's last acknowledgement for that core to stay responsible
+// for its agents. A core that is partitioned only from the other cores appears alive to the agents but has no
+// updates for them.
 const AckedWithin = 2500 * time.Millisecond
 
-// View is what a node knows of the fleet.
+// View is a node's view of the fleet.
 type View struct {
 	Self  member.Node
 	Nodes []member.Node
-	// HeardFor is how long ago another core answered this core's probe; nil on an agent.
+	// SinceLastAck returns the time since another core acknowledged a probe of this core; nil on an agent.
 	SinceLastAck func(core string) time.Duration
 }
 
-// Tree is whom this node tells its news. Each agent is below one core: by rendezvous,
-// one of its zone if there is any.
+// Tree returns the forwarding targets of this node. Each agent is assigned to one core by rendezvous hashing,
+// among the cores of its zone if there are any.
 func (v View) Tree() gossip.Tree {
 	tree := gossip.Tree{IsCore: v.Self.Role == member.RoleCore}
 	for _, n := range v.Nodes {
@@ -40,19 +40,19 @@
 	return tree
 }
 
-// below is the agents that this core tells.
+// assignedAgents returns the addresses of the agents assigned to this core.
 func (v View) assignedAgents() []string {
-	tellers := v.distributingCores()
+	cores := v.distributingCores()
 	var out []string
 	for _, n := range v.Nodes {
-		if n.Role == member.RoleAgent && n.PresumedAlive() && AssignedCore(n, tellers) == v.Self.Name {
+		if n.Role == member.RoleAgent && n.PresumedAlive() && AssignedCore(n, cores) == v.Self.Name {
 			out = append(out, n.Addr)
 		}
 	}
 	return out
 }
 
-// tellers is the cores that have news for the agents below them, this one among them.
+// distributingCores returns the cores that can forward updates to agents, including this one.
 func (v View) distributingCores() []member.Node {
 	out := []member.Node{v.Self}
 	for _, n := range v.Nodes {
@@ -63,20 +63,20 @@
 	return out
 }
 
-// CoreOf is the name of the one of some cores that an agent is below.
-func AssignedCore(agent member.Node, tellers []member.Node) string {
+// AssignedCore returns the name of the core to which an agent is assigned.
+func AssignedCore(agent member.Node, cores []member.Node) string {
 	key := []byte(agent.Name)
-	best, bestNear, bestDraw := "", false, uint64(0)
-	for _, core := range tellers {
-		near, draw := core.Zone == agent.Zone, share.Draw(key, core.Name)
-		if best == "" || near && !bestNear || near == bestNear && draw > bestDraw {
-			best, bestNear, bestDraw = core.Name, near, draw
+	best, bestInZone, bestDraw := "", false, uint64(0)
+	for _, core := range cores {
+		inZone, draw := core.Zone == agent.Zone, share.Draw(key, core.Name)
+		if best == "" || inZone && !bestInZone || inZone == bestInZone && draw > bestDraw {
+			best, bestInZone, bestDraw = core.Name, inZone, draw
 		}
 	}
 	return best
 }
 
-// neighbours is the other live agents of this node's zone.
+// neighbours returns the addresses of the other live agents in this node's zone.
 func (v View) neighbours() []string {
 	var out []string
 	for _, n := range v.Nodes {
--- a/internal/member/fanout/fanout_test.go
+++ b/internal/member/fanout/fanout_test.go
@@ -9,7 +9,7 @@
 	"drumstall.example/internal/member"
 )
 
-// fleet is cores and agents, spread over zones in turn.
+// fleet returns cores and agents, assigned to zones in turn.
 func fleet(zones, cores, agents int) []member.Node {
 	var out []member.Node
 	add := func(role string, count int) {
@@ -27,7 +27,7 @@
 	return func(core string) time.Duration { return ages[core] }
 }
 
-// told counts by how many cores each agent is told.
+// sendersPerAgent returns, by agent address, the number of given cores that send to the agent.
 func sendersPerAgent(nodes []member.Node, heardFor func(string) time.Duration, cores ...int) map[string]int {
 	out := map[string]int{}
 	for _, i := range cores {
@@ -43,17 +43,17 @@
 	got := sendersPerAgent(nodes, ackAges(nil), 0, 1, 2, 3, 4, 5)
 	for _, n := range nodes[6:] {
 		if got[n.Addr] != 1 {
-			t.Errorf("%s is told by %d cores", n.Name, got[n.Addr])
+			t.Errorf("%s is assigned to %d cores, want 1", n.Name, got[n.Addr])
 		}
 	}
 	for i := range 6 {
 		tree := View{Self: nodes[i], Nodes: nodes, SinceLastAck: ackAges(nil)}.Tree()
 		if len(tree.Cores) != 5 || !tree.IsCore || len(tree.Below) < 4 {
-			t.Errorf("%s tells %d cores and %d agents", nodes[i].Name, len(tree.Cores), len(tree.Below))
+			t.Errorf("%s sends to %d cores and %d agents", nodes[i].Name, len(tree.Cores), len(tree.Below))
 		}
 		for _, n := range nodes[6:] {
 			if slices.Contains(tree.Below, n.Addr) && n.Zone != nodes[i].Zone {
-				t.Errorf("%s of %s is told by %s of %s", n.Name, n.Zone, nodes[i].Name, nodes[i].Zone)
+				t.Errorf("%s in %s is assigned to %s in %s", n.Name, n.Zone, nodes[i].Name, nodes[i].Zone)
 			}
 		}
 	}
@@ -63,11 +63,11 @@
 	nodes := fleet(5, 3, 40)
 	for addr, n := range sendersPerAgent(nodes, ackAges(nil), 0, 1, 2) {
 		if n != 1 {
-			t.Errorf("%s is told by %d cores", addr, n)
+			t.Errorf("%s is assigned to %d cores, want 1", addr, n)
 		}
 	}
 	if got := sendersPerAgent(nodes, ackAges(nil), 0, 1, 2); len(got) != 40 {
-		t.Errorf("%d agents of 40 are told", len(got))
+		t.Errorf("%d of 40 agents are assigned", len(got))
 	}
 }
 
@@ -76,17 +76,17 @@
 		nodes := fleet(3, 6, 64)
 		nodes[2].State = state
 		if got := sendersPerAgent(nodes, ackAges(nil), 0, 1, 3, 4, 5); len(got) != 64 {
-			t.Errorf("%v: %d agents of 64 are told", state, len(got))
+			t.Errorf("%v: %d of 64 agents are assigned", state, len(got))
 		}
 	}
 }
 
-// A core that the other cores cannot reach, and the agents can, is alive to all.
+// A core that the agents can reach but the other cores cannot appears alive to all nodes.
 func TestAgentsOfAPartitionedCoreAreReassigned(t *testing.T) {
 	nodes := fleet(3, 6, 64)
 	cut := ackAges(map[string]time.Duration{nodes[2].Name: AckedWithin})
 	if got := sendersPerAgent(nodes, cut, 0, 1, 3, 4, 5); len(got) != 64 {
-		t.Errorf("%d agents of 64 are told by the others", len(got))
+		t.Errorf("%d of 64 agents are assigned to the other cores", len(got))
 	}
 }
 
--- a/internal/member/fanout/fleet_test.go
+++ b/internal/member/fanout/fleet_test.go
@@ -22,7 +22,7 @@
 	gossipPort = ":7000"
 )
 
-// node is a core or an agent without anything but members and gossip.
+// node is a core or an agent that runs only membership and gossip.
 type node struct {
 	*simnode.Node
 	name  string
@@ -31,7 +31,7 @@
 	table *gossip.Table
 }
 
-// simulated is a fleet of such nodes on a simulated network.
+// testFleet is a fleet of nodes on a simulated network.
 type testFleet struct {
 	t       *testing.T
 	fabric  *simnet.Fabric
@@ -75,14 +75,14 @@
 	s.group.Stop()
 }
 
-// kill ends a node without a word.
+// kill stops a node without notice to the others.
 func (s *testFleet) kill(name string) {
 	i := slices.IndexFunc(s.nodes, func(n *node) bool { return n.name == name })
 	s.nodes[i].Stop()
 	s.nodes = slices.Delete(s.nodes, i, i+1)
 }
 
-// sent counts the datagrams of all nodes.
+// sent returns the number of datagrams sent by all nodes.
 func (s *testFleet) sent() (count int64) {
 	for _, n := range s.nodes {
 		count += n.Post.Sent()
@@ -90,7 +90,7 @@
 	return count
 }
 
-// put enters something new at a node.
+// put stores a new entry at a node.
 func (s *testFleet) put(at string) gossip.Entry {
 	s.version++
 	e := gossip.Entry{Key: fmt.Sprintf("replica/r-%d", s.version), Stamp: state.Stamp{Epoch: 1, Version: s.version}, Value: make([]byte, 300)}
@@ -98,7 +98,7 @@
 	return e
 }
 
-// lacking is the nodes that have not got an entry.
+// missing returns the names of the nodes that do not have an entry.
 func (s *testFleet) missing(e gossip.Entry) (out []string) {
 	for _, n := range s.nodes {
 		if _, found := n.table.Get(e.Key); !found {
@@ -108,23 +108,23 @@
 	return out
 }
 
-// arrives checks that an entry put at a node is everywhere within a time.
+// checkDelivery checks that an entry stored at a node reaches all nodes within a time.
 func (s *testFleet) checkDelivery(when, at string, within time.Duration) {
 	s.t.Helper()
 	e := s.put(at)
 	time.Sleep(within)
 	synctest.Wait()
-	if lack := s.missing(e); len(lack) > 0 {
-		s.t.Errorf("%s: %v after it was put at %s, %d nodes lack it: %v", when, within, at, len(lack), lack)
+	if missing := s.missing(e); len(missing) > 0 {
+		s.t.Errorf("%s: %v after it was stored at %s, %d nodes lack the entry: %v", when, within, at, len(missing), missing)
 	}
 }
 
 const (
-	// settled is until all nodes know one another.
+	// settleTime is the time until all nodes know one another.
 	settleTime = 8 * time.Second
-	// twoRounds and some time on the way is what an entry takes down the tree.
+	// twoRounds covers two gossip rounds and network delay, the time an entry takes along the tree.
 	twoRounds = 300 * time.Millisecond
-	// mended is within what digests bring what the tree does not.
+	// repairTime is the time within which digests deliver entries that the tree did not.
 	repairTime = 6 * time.Second
 )
 
@@ -138,7 +138,8 @@
 	})
 }
 
-// Each entry was once some 1000 datagrams, and a node of a fleet like this sent and took 130 a second.
+// Guards against floods: without the tree an entry took about 1000 datagrams, and a node of a fleet of this size sent
+// and received 130 a second.
 func TestUpdatesTakeFewDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := start(t)
@@ -161,7 +162,8 @@
 	})
 }
 
-// Every node once exchanged the whole table of members, 6 KB each way here, with another every 2 s.
+// Guards against synchronization of whole member tables when they are equal: 6 KB each way at this size, from every
+// node every 2 s.
 func TestIdleFleetSendsLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := start(t)
@@ -178,7 +180,7 @@
 		before := called()
 		time.Sleep(span * time.Second)
 		if each := float64(called()-before) / span / float64(len(s.nodes)); each > 2000 {
-			t.Errorf("a node's calls take %.0f bytes a second", each)
+			t.Errorf("a node's calls take %.0f bytes a second, want at most 2000", each)
 		} else {
 			t.Logf("a node's calls take %.0f bytes a second", each)
 		}
@@ -208,12 +210,12 @@
 			}
 		}
 		s.checkDelivery("just after", "core-4", repairTime)
-		// Why: the core itself has no other way than digests; all others are told by the tree again.
+		// The partitioned core receives updates only through digests; all other nodes receive them along the tree again.
 		e := s.put("core-2")
 		time.Sleep(twoRounds)
 		synctest.Wait()
-		if lack := s.missing(e); len(lack) > 1 || len(lack) == 1 && lack[0] != "core-1" {
-			t.Errorf("%d nodes lack it: %v", len(lack), lack)
+		if missing := s.missing(e); len(missing) > 1 || len(missing) == 1 && missing[0] != "core-1" {
+			t.Errorf("%d nodes lack the entry: %v", len(missing), missing)
 		}
 	})
 }
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -7,7 +7,7 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// roll is the whole table as it is told to others.
+// wholeTable returns all known nodes, including this one unless another process uses its name.
 func (t *Table) wholeTable() SyncMessage {
 	r := SyncMessage{}
 	if !t.nameTaken {
@@ -19,7 +19,7 @@
 	return r
 }
 
-// mergeAll takes what others say of nodes.
+// mergeAll merges node records received from others.
 func (t *Table) mergeAll(nodes []Node) {
 	changed := false
 	for _, n := range nodes {
@@ -30,7 +30,7 @@
 	}
 }
 
-// merge takes one opinion, and says whether it changed the table.
+// merge merges one node record and reports whether it changed the table.
 func (t *Table) merge(n Node) bool {
 	if n.Name == "" || n.Addr == "" || n.State > Left {
 		t.post.Bad()
@@ -59,12 +59,13 @@
 	return true
 }
 
-// overrides says that an opinion of a node takes the place of another.
+// overrides reports whether the record replaces another record of the same node.
 func (n Node) overrides(old Node) bool {
 	return n.Inc > old.Inc || n.Inc == old.Inc && n.State > old.State
 }
 
-// aboutSelf answers what others say of this node.
+// handleSelfUpdate handles a record of this node received from others: it refutes outdated ones and detects another
+// process with the same name.
 func (t *Table) handleSelfUpdate(n Node) {
 	if n.Inc < t.self.Inc || t.self.State == Left || n.Boot == t.self.Boot && n.State == Alive {
 		return
@@ -74,7 +75,8 @@
 		t.publish()
 		return
 	}
-	// Why: another process goes by our name. If it answers, it has replaced us; if not, it is our past.
+	// Another process uses or used this node's name. If it responds, it has replaced this one; if not, the record is
+	// of an earlier process of this node.
 	t.self.Inc = max(t.self.Inc, n.Inc)
 	t.group.Go(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -8,63 +8,65 @@
 	"drumstall.example/internal/member/touch"
 )
 
-// note is one datagram: a probe, its answer, or the wish for a second opinion.
+// message is the body of a datagram: a probe, an acknowledgement or a request for an indirect probe.
 type message struct {
 	Seq    uint64 `cbor:"1,keyasint"`
-	From   string `cbor:"2,keyasint"` // address to answer to
+	From   string `cbor:"2,keyasint"` // address to respond to
 	Target string `cbor:"3,keyasint,omitempty"`
-	Name   string `cbor:"4,keyasint,omitempty"` // whom the probe is for
+	Name   string `cbor:"4,keyasint,omitempty"` // name of the probed node
 	Boot   string `cbor:"5,keyasint,omitempty"`
 	Nodes  []Node `cbor:"6,keyasint,omitempty"`
-	// In an answer: how long its sender has been out of touch.
+	// ContactAge, in an acknowledgement, is how long its sender has been without contact.
 	ContactAge touch.Age `cbor:"7,keyasint,omitempty"`
 }
 
-// Roll is a whole table, given and taken, or its sum alone.
+// SyncMessage is the request or response of a table synchronization: a whole table, or only its checksum.
 type SyncMessage struct {
 	Nodes []Node `cbor:"1,keyasint"`
-	// Sum stands for the live nodes of the sender's table; 0 is a sender of an earlier
-	// version, which tells its nodes and wants all of ours.
+	// Checksum covers the live nodes of the sender's table. It is 0 from a sender of an earlier version, which
+	// sends its nodes and expects the whole table in return.
 	Checksum uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// same says that a sender's live nodes are those of a sum.
-func (r SyncMessage) matches(sum uint64) bool { return r.Checksum == sum && len(r.Nodes) == 0 }
+// matches reports whether the sender's live nodes have the given checksum.
+func (r SyncMessage) matches(checksum uint64) bool {
+	return r.Checksum == checksum && len(r.Nodes) == 0
+}
 
-// returned says that a sender has our nodes already and tells its own in return.
+// isReturn reports whether the sender already has this node's table and sends the nodes missing from it.
 func (r SyncMessage) isReturn() bool { return r.Checksum != 0 && len(r.Nodes) > 0 }
 
-// none asks for nothing in particular.
+// empty is a request without parameters.
 type empty struct{}
 
-// Who answers whose process listens at an address.
+// Identity identifies the process that listens at an address.
 type Identity struct {
 	Name string `cbor:"1,keyasint"`
 	Boot string `cbor:"2,keyasint"`
 }
 
-// send sends a note with this node's own entry and the newest changes on it.
+// send sends a message that also carries this node's own entry and the most recent changes.
 func (t *Table) send(addr, kind string, n message) {
 	n.From = t.self.Addr
 	if !t.nameTaken {
 		n.Nodes = append(n.Nodes, t.self)
 	}
-	// Why: the least told go first, so that a change reaches all in a few intervals.
-	hot := make([]*entry, 0, 8)
+	// The changes sent least often go first, so that a change reaches all nodes within a few intervals.
+	pending := make([]*entry, 0, 8)
 	for _, e := range t.nodes {
 		if e.transmitsLeft > 0 {
-			hot = append(hot, e)
+			pending = append(pending, e)
 		}
 	}
-	sort.Slice(hot, func(i, j int) bool { return hot[i].transmitsLeft > hot[j].transmitsLeft })
-	for _, e := range hot[:min(len(hot), updatesPerDatagram)] {
+	sort.Slice(pending, func(i, j int) bool { return pending[i].transmitsLeft > pending[j].transmitsLeft })
+	for _, e := range pending[:min(len(pending), updatesPerDatagram)] {
 		e.transmitsLeft--
 		n.Nodes = append(n.Nodes, e.node)
 	}
 	t.post.Send(addr, kind, wire.Pack(n))
 }
 
-// onPing answers a probe that is for this node.
+// onPing acknowledges a probe of this node.
 func (t *Table) onPing(n message) {
 	if n.Name != "" && n.Name != t.self.Name {
 		return
@@ -72,7 +74,7 @@
 	t.send(n.From, "ack", message{Seq: n.Seq, Boot: t.self.Boot, Name: t.self.Name, ContactAge: t.contact.Age()})
 }
 
-// onAck takes the answer to a probe, or passes it on to whom it was sent for.
+// onAck processes the acknowledgement of a probe, or forwards that of an indirect probe to its requester.
 func (t *Table) onAck(n message) {
 	p, found := t.probes[n.Seq]
 	if !found {
@@ -85,19 +87,20 @@
 	}
 	t.contact.Observe(p.at, n.ContactAge)
 	e := t.nodes[p.name]
-	// Why: a second opinion is no word between the two of us.
+	// An indirect probe does not show that this node and the core can reach each other.
 	if e != nil && e.node.Role == RoleCore && n.Name == p.name && !p.indirect {
 		next := maps.Clone(*t.lastAcked.Load())
 		next[p.name] = max(next[p.name], p.at)
 		t.lastAcked.Store(&next)
 	}
 	if e != nil && e.node.State == Suspect {
-		// Why: it answered, so it lives; only it may raise its incarnation, which our ping makes it do.
+		// The node responded, so it is alive, but only the node itself may raise its incarnation. A ping with the
+		// suspicion makes it do so.
 		t.send(e.node.Addr, "ping", message{Name: e.node.Name, Nodes: []Node{e.node}})
 	}
 }
 
-// onAsk probes a third party for a peer.
+// onIndirectProbe probes a node on behalf of a peer.
 func (t *Table) onIndirectProbe(n message) {
 	t.seq++
 	t.probes[t.seq] = probe{name: n.Name, addr: n.Target, at: t.clock.Since(), requester: n.From, requesterSeq: n.Seq}
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -9,24 +9,24 @@
 	"drumstall.example/internal/kernel/sample"
 )
 
-// probe is one that has no answer yet.
+// probe is a pending probe.
 type probe struct {
 	name         string
 	addr         string
 	at           time.Duration
 	indirect     bool
-	requester    string // the probe is a second opinion for this peer
+	requester    string // address of the peer that asked for this indirect probe; empty for this node's own probes
 	requesterSeq uint64
 }
 
-// ping probes a node.
+// ping sends a probe to a node.
 func (t *Table) ping(n Node, now time.Duration) {
 	t.seq++
 	t.probes[t.seq] = probe{name: n.Name, addr: n.Addr, at: now}
 	t.send(n.Addr, "ping", message{Seq: t.seq, Name: n.Name})
 }
 
-// probeNext probes the nodes in a shuffled turn, the dead more seldom.
+// probeNext probes the next node in a shuffled order, dead nodes less often.
 func (t *Table) probeNext(now time.Duration) {
 	for range 2 {
 		if len(t.probeOrder) == 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// probeCore probes the other cores in turn.
+// probeCore probes the next live core in a shuffled order.
 func (t *Table) probeCore(now time.Duration) {
 	if len(t.coreProbeOrder) == 0 {
 		for name, e := range t.nodes {
@@ -71,18 +71,18 @@
 	}
 }
 
-// some picks up to n live nodes by chance, without the one of a name.
-func (t *Table) randomLive(n int, not string) []Node {
+// randomLive returns up to n random live nodes, without the named one.
+func (t *Table) randomLive(n int, exclude string) []Node {
 	picked := sample.NewReservoir[Node](n)
 	for _, e := range t.nodes {
-		if e.node.State == Alive && e.node.Name != not {
+		if e.node.State == Alive && e.node.Name != exclude {
 			picked.Show(e.node)
 		}
 	}
 	return picked.Picked()
 }
 
-// someOf picks a live node of a role by chance; no name means that there is none.
+// randomLiveOfRole returns a random live node of a role, or an empty node if there is none.
 func (t *Table) randomLiveOfRole(role string) Node {
 	picked := sample.NewReservoir[Node](1)
 	for _, e := range t.nodes {
@@ -96,8 +96,8 @@
 	return Node{}
 }
 
-// ageProbes asks for second opinions where an answer is late, and suspects whom
-// nobody has heard; it says whether that changed the table.
+// ageProbes requests indirect probes where a response is late and suspects nodes whose probes have timed
+// out. It reports whether the table changed.
 func (t *Table) ageProbes(now time.Duration) (changed bool) {
 	for seq, p := range t.probes {
 		age := now - p.at
@@ -106,7 +106,7 @@
 			delete(t.probes, seq)
 		case p.requester == "" && age > probeTimeout:
 			delete(t.probes, seq)
-			// Why: a long gap means that we slept, not that the other did.
+			// A much longer gap means that this process was paused, not that the other node failed.
 			if e := t.nodes[p.name]; e != nil && e.node.State == Alive && age < 2*probeTimeout {
 				e.node.State, e.since, e.transmitsLeft = Suspect, now, updateTransmissions
 				changed = true
@@ -115,16 +115,16 @@
 		case p.requester == "" && age > directTimeout && !p.indirect:
 			p.indirect = true
 			t.probes[seq] = p
-			for _, h := range t.randomLive(indirectProbers, p.name) {
-				t.send(h.Addr, "ask", message{Seq: seq, Target: p.addr, Name: p.name})
+			for _, helper := range t.randomLive(indirectProbers, p.name) {
+				t.send(helper.Addr, "ask", message{Seq: seq, Target: p.addr, Name: p.name})
 			}
 		}
 	}
 	return changed
 }
 
-// ageNodes declares suspects dead and forgets who is long gone; it says whether
-// that changed the table.
+// ageNodes declares expired suspects dead and removes nodes after their retention time. It reports
+// whether the table changed.
 func (t *Table) ageNodes(now time.Duration) (changed bool) {
 	for name, e := range t.nodes {
 		switch {
--- a/internal/member/snapshot.go
+++ b/internal/member/snapshot.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// snapshot is what is known of the nodes at one moment, as it is asked for from
-// outside the actor. It is never changed; its slices are shared by all who ask.
+// snapshot is a copy of the table for readers outside the actor. It is immutable; its slices are shared
+// by all readers.
 type snapshot struct {
 	self  Node
-	nodes []Node // all, by name
-	live  map[string][]Node
-	peers []string // addresses of the live nodes but this one
+	nodes []Node            // all known nodes, sorted by name
+	live  map[string][]Node // nodes presumed alive, by role
+	peers []string          // addresses of the other nodes presumed alive
 }
 
-// anyRole is the key of the live nodes of all roles.
+// anyRole is the key in snapshot.live for nodes of all roles.
 const anyRole = ""
 
-// publish makes what is known now readable from outside the actor.
+// publish replaces the snapshot with the current state.
 func (t *Table) publish() {
 	s := &snapshot{self: t.self, nodes: make([]Node, 0, len(t.nodes)+1), live: map[string][]Node{}}
 	if !t.nameTaken {
@@ -40,14 +40,14 @@
 	t.snapshot.Store(s)
 }
 
-// Self is this node as the others are told of it.
+// Self returns this node's own entry.
 func (t *Table) Self() Node { return t.snapshot.Load().self }
 
-// Nodes are all known nodes, this one among them, by name. The slice is not to be changed.
+// Nodes returns all known nodes, including this one, sorted by name. The caller must not modify the slice.
 func (t *Table) Nodes() []Node { return t.snapshot.Load().nodes }
 
-// Live are the nodes of a role thought to be there; "" is any role. The slice is not to be changed.
+// Live returns the nodes of a role that are presumed alive; "" selects all roles. The caller must not modify the slice.
 func (t *Table) Live(role string) []Node { return slices.Clip(t.snapshot.Load().live[role]) }
 
-// Peers are the addresses of the live nodes other than this one. The slice is not to be changed.
+// Peers returns the addresses of the other nodes presumed alive. The caller must not modify the slice.
 func (t *Table) Peers() []string { return slices.Clip(t.snapshot.Load().peers) }
--- a/internal/member/start_test.go
+++ b/internal/member/start_test.go
@@ -12,10 +12,10 @@
 	"drumstall.example/internal/sim/simnode"
 )
 
-// syncPath is where whole tables are exchanged.
+// syncPath is the path for table synchronization.
 const syncPath = "/member/sync"
 
-// startNode starts a node on a simulated network, and gives the address of its machine too.
+// startNode starts a node on a simulated network and also returns the IP address of its machine.
 func startNode(t *testing.T, group *run.Group, fabric *simnet.Fabric, number int, role string, seeds []string) (*simnode.Node, string) {
 	ip := fmt.Sprintf("10.0.%d.%d", number/200, number%200+1)
 	self := member.Node{Name: fmt.Sprintf("node-%d", number), Role: role, Zone: "zone", Addr: ip + ":7000", Boot: fmt.Sprintf("boot-of-node-%d", number), Inc: 1}
@@ -27,13 +27,14 @@
 	return n, ip
 }
 
-// When a large fleet starts, all of it asks the seeds, whose links and processors are as small as any.
+// When a large fleet starts, all nodes synchronize with the seeds, whose links and processors are no larger than those
+// of other nodes. Guards against repeated requests to a seed that is still responding.
 func TestSeedsAreNotAskedAgainBeforeTheyAnswer(t *testing.T) {
 	const (
 		cores    = 3
 		agents   = 117
 		seedLink = 400_000 // bytes a second
-		// tables is how many whole tables of the fleet a node may be told by the seeds, and tableBytes the size of one.
+		// tables is how many whole tables the seeds may send per node, and tableBytes the size of one.
 		tables     = 5
 		tableBytes = (cores + agents) * 70
 	)
@@ -47,7 +48,7 @@
 				n.Stop()
 			}
 			group.Stop()
-			// Why: net/http lets dials go on that nobody waits for any more; they end within their own 2 s.
+			// net/http continues dials after their requests have been canceled; they end within their own 2 s limit.
 			time.Sleep(3 * time.Second)
 		}()
 		for i := range cores + agents {
@@ -60,13 +61,13 @@
 			fabric.Rate(ip, seedLink)
 		}
 		time.Sleep(4 * time.Second)
-		told := int64(0)
+		sent := int64(0)
 		for _, n := range nodes[:cores] {
-			told += n.Mux.Served()[syncPath].Out
+			sent += n.Mux.Served()[syncPath].Out
 		}
-		t.Logf("%d bytes told by the seeds, %d a node", told, told/(cores+agents))
-		if most := int64(cores+agents) * tables * tableBytes; told > most {
-			t.Errorf("%d bytes told by the seeds, %d at most", told, most)
+		t.Logf("%d bytes sent by the seeds, %d per node", sent, sent/(cores+agents))
+		if most := int64(cores+agents) * tables * tableBytes; sent > most {
+			t.Errorf("%d bytes sent by the seeds, want at most %d", sent, most)
 		}
 		for _, n := range nodes {
 			if live := len(n.Members.Live("")); live != cores+agents {
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// smallTable is up to how many nodes a table is packed anew for each who asks for it.
+	// maxUncachedNodes is the size up to which a table is encoded anew for each request.
 	maxUncachedNodes = 24
-	// packedFor is how long a larger one is told as it was packed. Why: when a large fleet starts, every
-	// node asks the seeds for the whole table again and again, while it changes all the time.
+	// syncCacheTTL is how long the encoding of a larger table is reused. When a large fleet starts, every node
+	// repeatedly requests the whole table from the seeds, while it changes all the time.
 	syncCacheTTL = 100 * time.Millisecond
 )
 
-// packedRoll is the whole table as it was told last.
+// cachedSync is the last encoded response with the whole table.
 type cachedSync struct {
 	answer wire.Large
-	at     time.Duration // 0 is never
+	at     time.Duration // 0 if there is none
 }
 
-// sync exchanges whole tables with one peer, and with a seed now and then.
+// sync starts a synchronization with a random peer, with a seed if seed is set or no peer is known, and with some of
+// the previous peers.
 func (t *Table) sync(seed bool) {
 	var addrs []string
 	if p := t.randomLive(1, ""); len(p) > 0 {
@@ -38,40 +39,40 @@
 		}
 		addrs = append(addrs, t.previousPeers[n])
 	}
-	sum := t.checksum()
+	checksum := t.checksum()
 	for _, addr := range addrs {
-		// Why: a peer that has not answered yet is busy; asking it again makes it busier.
+		// A peer that has not responded yet is busy; another request would add to its load.
 		if addr == t.self.Addr || t.syncing[addr] {
 			continue
 		}
 		t.syncing[addr] = true
 		t.group.Go(func(ctx context.Context) {
-			t.syncWith(ctx, addr, sum)
+			t.syncWith(ctx, addr, checksum)
 			_ = t.actor.Ask(ctx, func() { delete(t.syncing, addr) })
 		})
 	}
 }
 
-// syncWith exchanges tables with one peer where they differ.
-func (t *Table) syncWith(ctx context.Context, addr string, sum uint64) {
+// syncWith exchanges tables with one peer if the checksums differ.
+func (t *Table) syncWith(ctx context.Context, addr string, checksum uint64) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	theirs, err := wire.Call[SyncMessage, SyncMessage](ctx, t.caller, addr, syncPath, SyncMessage{Checksum: sum})
-	if err != nil || theirs.Checksum == sum {
+	theirs, err := wire.Call[SyncMessage, SyncMessage](ctx, t.caller, addr, syncPath, SyncMessage{Checksum: checksum})
+	if err != nil || theirs.Checksum == checksum {
 		return
 	}
-	var lacking SyncMessage
+	var missing SyncMessage
 	if t.actor.Ask(ctx, func() {
-		lacking = SyncMessage{Nodes: t.missingFrom(theirs.Nodes), Checksum: sum}
+		missing = SyncMessage{Nodes: t.missingFrom(theirs.Nodes), Checksum: checksum}
 		t.mergeAll(theirs.Nodes)
-	}) != nil || len(lacking.Nodes) == 0 {
+	}) != nil || len(missing.Nodes) == 0 {
 		return
 	}
-	// Why: what the peer lacks is its own loss; what we lacked is here.
-	_, _ = wire.Call[SyncMessage, SyncMessage](ctx, t.caller, addr, syncPath, lacking)
+	// An error is ignored: this node already has the peer's nodes, and a later synchronization brings the peer up to date.
+	_, _ = wire.Call[SyncMessage, SyncMessage](ctx, t.caller, addr, syncPath, missing)
 }
 
-// lackedBy is the nodes of this table that another does not know, or knows as they were before.
+// missingFrom returns the nodes of this table that are missing from another table or newer than there.
 func (t *Table) missingFrom(theirs []Node) []Node {
 	known := make(map[string]Node, len(theirs))
 	for _, n := range theirs {
@@ -86,7 +87,7 @@
 	return out
 }
 
-// answerSync is the packed answer to a peer's table, or to the sum of it.
+// answerSync returns the encoded response to a synchronization request.
 func (t *Table) answerSync(q SyncMessage) wire.Large {
 	now := t.clock.Since()
 	if t.canUseCachedSync(q, now) {
@@ -101,12 +102,13 @@
 	return packed
 }
 
-// toldAsPacked says that who asks lacks the whole table and is told it as it was packed last.
+// canUseCachedSync reports whether the request needs the whole table and a recent encoding of it exists.
 func (t *Table) canUseCachedSync(q SyncMessage, now time.Duration) bool {
 	return t.cachedSync.at != 0 && now-t.cachedSync.at < syncCacheTTL && !q.isReturn() && !q.matches(t.checksum())
 }
 
-// onSync answers a peer's table, or the sum of it.
+// onSync merges the nodes of a synchronization request and returns the response: the whole table, or only the
+// checksum if the tables match or the request is a return.
 func (t *Table) onSync(q SyncMessage) SyncMessage {
 	t.mergeAll(q.Nodes)
 	answer := SyncMessage{Checksum: t.checksum()}
@@ -116,8 +118,8 @@
 	return answer
 }
 
-// sum stands for the live nodes of this table; it is never 0. Why: nodes that are gone are
-// remembered by some and were never known to others.
+// checksum covers the nodes of this table that are presumed alive; it is never 0. Dead and departed nodes are
+// excluded, since some tables still hold them and others never did.
 func (t *Table) checksum() uint64 {
 	total := uint64(1)
 	if !t.nameTaken && t.self.PresumedAlive() {
@@ -131,13 +133,13 @@
 	return max(total, 1)
 }
 
-// nodeSum keeps the hash of what is known of a node until that changes.
+// hashCache caches the hash of a node until the node's record changes.
 type hashCache struct {
 	node Node
 	hash uint64
 }
 
-// of is the hash of a node.
+// of returns the hash of a node.
 func (s *hashCache) of(n Node) uint64 {
 	if s.hash == 0 || s.node != n {
 		s.node, s.hash = n, n.hash()
@@ -145,7 +147,7 @@
 	return s.hash
 }
 
-// hash is of all that is known of a node.
+// hash returns a hash of all fields of a node.
 func (n Node) hash() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(wire.Pack(n))
--- a/internal/member/sync_test.go
+++ b/internal/member/sync_test.go
@@ -9,7 +9,7 @@
 	"drumstall.example/internal/sim/simhost"
 )
 
-// tableOf is a table that knows some nodes and takes part in nothing.
+// newTestTable returns a table with the given nodes that is not connected to any network.
 func newTestTable(self string, others ...Node) *Table {
 	t := &Table{clock: simhost.NewClock(), log: ring.New(nil, 10).Logger(), self: Node{Name: self, Addr: "at-" + self, Role: RoleAgent, Boot: self, Inc: 1}, nodes: map[string]*entry{}}
 	for _, n := range others {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// bothKnow makes two tables that know all that a and b know of each other and of others.
+// matchingTables returns the tables of nodes a and b with equal contents.
 func matchingTables(others ...Node) (a, b *Table) {
 	a, b = newTestTable("a", others...), newTestTable("b", others...)
 	a.nodes["b"], b.nodes["a"] = &entry{node: b.self}, &entry{node: a.self}
@@ -37,7 +37,7 @@
 func TestEqualTablesAreNotTransferred(t *testing.T) {
 	a, b := matchingTables(testNodes(70)...)
 	if answer := b.onSync(SyncMessage{Checksum: a.checksum()}); len(answer.Nodes) != 0 || answer.Checksum != a.checksum() {
-		t.Errorf("%d nodes told", len(answer.Nodes))
+		t.Errorf("%d nodes sent", len(answer.Nodes))
 	}
 }
 
@@ -48,22 +48,22 @@
 		a, b := matchingTables(testNodes(3)...)
 		b.nodes[n.Name] = &entry{node: n}
 		if answer := b.onSync(SyncMessage{Checksum: a.checksum()}); len(answer.Nodes) != len(b.nodes)+1 {
-			t.Errorf("%s: %d nodes told", name, len(answer.Nodes))
+			t.Errorf("%s: %d nodes sent", name, len(answer.Nodes))
 		}
 	}
 }
 
-// A node that is gone is remembered by those who knew it; that alone is no difference.
+// A departed node stays in the tables of nodes that knew it; that alone must not change the checksum.
 func TestDepartedNodesDoNotAffectTheChecksum(t *testing.T) {
 	a, b := matchingTables(testNodes(3)...)
 	b.nodes["gone"] = &entry{node: Node{Name: "gone", Addr: "at-gone", State: Dead}, since: time.Second}
 	if a.checksum() != b.checksum() {
-		t.Error("tables differ by a node that is gone")
+		t.Error("a departed node changes the checksum")
 	}
 	c := newTestTable("c", testNodes(3)...)
 	c.nodes["node-1"].node.State = Dead
 	if c.checksum() == newTestTable("c", testNodes(3)...).checksum() {
-		t.Error("a node that is gone for one and lives for another makes no difference")
+		t.Error("a node that is dead in one table and alive in the other does not change the checksum")
 	}
 }
 
@@ -73,14 +73,14 @@
 	q := a.wholeTable()
 	q.Checksum = a.checksum()
 	if answer := b.onSync(q); len(answer.Nodes) != 0 || b.nodes["x"] == nil {
-		t.Errorf("%d nodes told; taken: %v", len(answer.Nodes), b.nodes["x"] != nil)
+		t.Errorf("%d nodes sent; returned node stored: %v", len(answer.Nodes), b.nodes["x"] != nil)
 	}
 }
 
-// An earlier version tells its nodes without a sum and needs all of ours.
+// A node of an earlier version sends its table without a checksum and expects the whole table.
 func TestRequestWithoutChecksumReceivesTheWholeTable(t *testing.T) {
 	a, b := matchingTables(testNodes(3)...)
 	if answer := b.onSync(a.wholeTable()); len(answer.Nodes) != 5 {
-		t.Errorf("%d nodes told", len(answer.Nodes))
+		t.Errorf("%d nodes sent", len(answer.Nodes))
 	}
 }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -13,16 +13,16 @@
 	"drumstall.example/internal/member/touch"
 )
 
-// entry is one other node.
+// entry is the record of one other node.
 type entry struct {
 	node          Node
-	since         time.Duration // since when it has its state
-	transmitsLeft int           // times it is still to be told
+	since         time.Duration // time of the last state change
+	transmitsLeft int           // datagrams that are still to carry the entry
 	hash          hashCache
 }
 
-// Table is the one owner of what is known of nodes. Its methods may be called from
-// anywhere; its plain fields belong to its actor.
+// Table holds the known nodes. Its methods are safe for concurrent use; fields without
+// synchronization of their own belong to its actor.
 type Table struct {
 	actor          *run.Actor
 	group          *run.Group
@@ -31,28 +31,28 @@
 	post           *wire.Post
 	caller         *wire.Caller
 	seeds          []string
-	previousPeers  []string // whom an earlier process of this node knew
+	previousPeers  []string // addresses known to an earlier process of this node
 	self           Node
 	selfHash       hashCache
 	nodes          map[string]*entry
-	syncing        map[string]bool // addresses with which tables are being exchanged
+	syncing        map[string]bool // addresses with a table synchronization in progress
 	cachedSync     cachedSync
 	probes         map[uint64]probe
 	seq            uint64
 	probeOrder     []string
 	ticks          int
-	nameTaken      bool // another process has taken this node's name
+	nameTaken      bool // another process uses this node's name
 	snapshot       atomic.Pointer[snapshot]
 	contact        *touch.Tracker
-	coreProbeOrder []string                                 // whom a core has still to probe this round
-	lastAcked      atomic.Pointer[map[string]time.Duration] // cores: when the probe was sent that each answered last
+	coreProbeOrder []string                                 // on a core: the cores still to probe in this round
+	lastAcked      atomic.Pointer[map[string]time.Duration] // by core: send time of the last direct probe that it acknowledged
 }
 
-// New starts to look for the others, and answers them on post and mux, until g
-// stops. in tells the others how long this node has been out of touch.
-func New(g *run.Group, clock tick.Clock, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self Node, seeds []string, in *touch.Tracker) *Table {
+// New starts a table, which discovers other nodes and responds to them on post and mux until g stops.
+// contact supplies the contact age that acknowledgements carry.
+func New(g *run.Group, clock tick.Clock, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self Node, seeds []string, contact *touch.Tracker) *Table {
 	t := &Table{group: g, clock: clock, log: log, post: post, caller: caller, seeds: seeds, self: self,
-		nodes: map[string]*entry{}, syncing: map[string]bool{}, probes: map[uint64]probe{}, seq: rand.Uint64N(1 << 40), contact: in}
+		nodes: map[string]*entry{}, syncing: map[string]bool{}, probes: map[uint64]probe{}, seq: rand.Uint64N(1 << 40), contact: contact}
 	t.lastAcked.Store(&map[string]time.Duration{})
 	t.publish()
 	for kind, f := range map[string]func(message){"ping": t.onPing, "ack": t.onAck, "ask": t.onIndirectProbe} {
@@ -77,12 +77,12 @@
 		return Identity{Name: self.Name, Boot: self.Boot}, nil
 	})
 	t.actor = run.NewActor(g, 1024, probeInterval, t.onTick)
-	// Why: a node that starts knows nobody, and need not wait for that.
+	// A starting node knows no others and starts discovery without waiting for the first interval.
 	_ = t.actor.Tell(t.onTick)
 	return t
 }
 
-// SetSelf changes what this node tells of itself.
+// SetSelf changes this node's own entry and raises its incarnation if the entry differs.
 func (t *Table) SetSelf(f func(*Node)) {
 	_ = t.actor.Tell(func() {
 		before := t.self
@@ -94,16 +94,16 @@
 	})
 }
 
-// Reseed names other seeds.
+// SetSeeds replaces the addresses of the seeds.
 func (t *Table) SetSeeds(seeds []string) { _ = t.actor.Tell(func() { t.seeds = seeds }) }
 
-// Meet names those whom an earlier process of this node knew. Why: all seeds
-// may be down just now, and a node that starts then must not stay alone.
+// SetPreviousPeers sets the addresses that an earlier process of this node knew. A node that starts while
+// all seeds are down finds the other nodes through these.
 func (t *Table) SetPreviousPeers(addrs []string) {
 	_ = t.actor.Tell(func() { t.previousPeers = addrs })
 }
 
-// Leave tells peers that this node goes on purpose.
+// Leave announces to the peers that this node is shutting down deliberately.
 func (t *Table) Leave(ctx context.Context) {
 	_ = t.actor.Ask(ctx, func() {
 		t.self.State = Left
@@ -116,8 +116,8 @@
 	})
 }
 
-// HeardFor is how long ago a core was asked a probe that it has answered;
-// touch.Never if it never has.
+// SinceLastAck returns the time since this node sent the last direct probe that a core acknowledged, or
+// touch.Never if there is none.
 func (t *Table) SinceLastAck(core string) time.Duration {
 	at, found := (*t.lastAcked.Load())[core]
 	if !found {
@@ -126,8 +126,8 @@
 	return t.clock.Since() - at
 }
 
-// onTick ages probes and opinions, sends the next probes, and exchanges whole
-// tables now and then.
+// onTick checks pending probes and node states for expiry, sends the next probes and starts periodic
+// table synchronizations.
 func (t *Table) onTick() {
 	t.ticks++
 	now := t.clock.Since()
@@ -138,10 +138,10 @@
 	}
 	t.probeNext(now)
 	if t.self.Role == RoleCore {
-		// Why: the cores hand over slots by these opinions, so they look at each other more often.
+		// Cores take over slots based on these states, so they probe each other more often.
 		t.probeCore(now)
 	}
-	// Why: a node that knows one other knows nobody yet; until it knows a core it asks for whole tables.
+	// Knowing one other node is not enough: until the node knows a core, it synchronizes tables at each tick.
 	if t.ticks%syncIntervalTicks == 1 || t.ticks < syncIntervalTicks || t.randomLiveOfRole(RoleCore).Name == "" {
 		t.sync(t.ticks < syncIntervalTicks || rand.IntN(4) == 0)
 	}
--- a/internal/member/touch/touch.go
+++ b/internal/member/touch/touch.go
@@ -1,6 +1,5 @@
-// Package touch tells whether a node could still learn what anyone learns: how
-// long ago the platform was heard, or most of the cores, at first hand or by the
-// word of others.
+// Package touch tracks whether a node can still receive updates: the time since the last contact with the
+// platform or a majority of the cores, made by the node itself or reported by other nodes.
 package touch
 
 import (
@@ -11,37 +10,36 @@
 	"drumstall.example/internal/kernel/tick"
 )
 
-// Never is how long ago something was heard that never was.
+// Never is the contact age when there was no contact.
 const Never = 1 << 62 * time.Nanosecond
 
-// Word is what one node tells another: for how many ms it had been out of touch
-// when it answered, and one; 0 is no word at all, as older builds give.
+// Age is the wire form of a node's contact age when it responded, in milliseconds plus one. 0 means that
+// there is none, as in messages of older builds.
 type Age uint64
 
-// Keeper keeps the newest moment at which this node was in touch.
+// Tracker records the time of this node's most recent contact.
 type Tracker struct {
 	clock       tick.Clock
 	lastContact atomic.Int64
 	sources     []func() time.Duration
 }
 
-// New has never been in touch. Each of first tells how long ago a source was heard at first hand.
-func New(clock tick.Clock, first ...func() time.Duration) *Tracker {
-	k := &Tracker{clock: clock, sources: first}
+// New returns a tracker without any reported contact. Each of sources returns the time since a direct contact.
+func New(clock tick.Clock, sources ...func() time.Duration) *Tracker {
+	k := &Tracker{clock: clock, sources: sources}
 	k.lastContact.Store(int64(-Never))
 	return k
 }
 
-// Told takes a peer's word in the answer to what it was asked at a moment.
-// Why: counted from the question, so an answer that lay unread while this machine
-// stood still tells nothing newer than the question; and an age is only ever passed on, so
-// nodes that hear nobody but each other grow old together.
-func (k *Tracker) Observe(asked time.Duration, w Age) {
-	// Why: a wrong message must not overflow what it is counted back from.
-	if w == 0 || w > 1<<42 {
+// Observe records the contact age from a peer's response to a request that was sent at asked. The age counts from
+// the request, so that a response that stayed unread while this machine was paused does not appear newer. Ages are
+// only passed on, so they keep growing on nodes that reach only each other.
+func (k *Tracker) Observe(asked time.Duration, age Age) {
+	// An invalid value must not overflow the subtraction below.
+	if age == 0 || age > 1<<42 {
 		return
 	}
-	at := int64(asked - time.Duration(w-1)*time.Millisecond)
+	at := int64(asked - time.Duration(age-1)*time.Millisecond)
 	for {
 		old := k.lastContact.Load()
 		if at <= old || k.lastContact.CompareAndSwap(old, at) {
@@ -50,27 +48,27 @@
 	}
 }
 
-// For is how long this node has been out of touch.
+// SinceContact returns how long this node has been without contact.
 func (k *Tracker) SinceContact() time.Duration {
 	ago := k.clock.Since() - time.Duration(k.lastContact.Load())
-	for _, f := range k.sources {
-		ago = min(ago, f())
+	for _, source := range k.sources {
+		ago = min(ago, source())
 	}
 	return max(0, ago)
 }
 
-// Word is this node's own.
+// Age returns this node's contact age in wire form, or 0 from an hour on.
 func (k *Tracker) Age() Age {
 	ago := k.SinceContact()
 	if ago >= time.Hour {
 		return 0
 	}
-	// Why: rounded up, or each hop would make it younger.
+	// Rounded up, since otherwise each hop would make the age smaller.
 	return Age((ago+time.Millisecond-1)/time.Millisecond) + 1
 }
 
-// Most is how long ago the last of a majority was heard, this node among them;
-// ago holds how long ago each of the other voters was.
+// QuorumAge returns the smallest age within which a quorum of voters, including this node, was in contact. ago holds
+// the time since the last contact with each of the other voters.
 func QuorumAge(quorum int, ago []time.Duration) time.Duration {
 	if quorum <= 1 {
 		return 0
--- a/internal/member/touch/touch_test.go
+++ b/internal/member/touch/touch_test.go
@@ -15,7 +15,7 @@
 	heard := time.Duration(0)
 	a, b := New(c, func() time.Duration { return c.now - heard }), New(c)
 	if b.Age() != 0 {
-		t.Error("one that never was in touch gives its word")
+		t.Error("a tracker without any contact returns an age")
 	}
 	heard = c.now
 	b.Observe(c.now, a.Age())
@@ -25,21 +25,21 @@
 		b.Observe(c.now, a.Age())
 	}
 	if a.SinceContact() < 5*time.Second || b.SinceContact() < 5*time.Second {
-		t.Errorf("5 s after the last first-hand word they are out of touch for %v and %v", a.SinceContact(), b.SinceContact())
+		t.Errorf("5 s after the last direct contact the ages are %v and %v", a.SinceContact(), b.SinceContact())
 	}
-	// An answer that lay unread while the machine stood still.
+	// A response that stayed unread while the machine was paused.
 	asked := c.now
 	heard = c.now
 	w := a.Age()
 	c.now += 10 * time.Second
 	if b.Observe(asked, w); b.SinceContact() < 10*time.Second {
-		t.Errorf("a word 10 s old counts as %v", b.SinceContact())
+		t.Errorf("a response that was unread for 10 s gives an age of %v", b.SinceContact())
 	}
 	heard = c.now
 	b.Observe(c.now, a.Age())
 	for _, bad := range []Age{0, 1<<64 - 1, 1 << 50} {
 		if b.Observe(c.now, bad); b.SinceContact() != 0 {
-			t.Errorf("word %d: out of touch for %v", bad, b.SinceContact())
+			t.Errorf("age %d on the wire: contact age is %v", bad, b.SinceContact())
 		}
 	}
 }
