--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -7,10 +7,10 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// roll is the whole table as it is told to others.
-func (t *Table) roll() Roll {
-	r := Roll{}
-	if !t.yielded {
+// wholeTable returns all known nodes, including this one unless another process uses its name.
+func (t *Table) wholeTable() SyncMessage {
+	r := SyncMessage{}
+	if !t.nameTaken {
 		r.Nodes = append(r.Nodes, t.self)
 	}
 	for _, e := range t.nodes {
@@ -19,7 +19,7 @@
 	return r
 }
 
-// mergeAll takes what others say of nodes.
+// mergeAll merges node records received from others.
 func (t *Table) mergeAll(nodes []Node) {
 	changed := false
 	for _, n := range nodes {
@@ -30,22 +30,22 @@
 	}
 }
 
-// merge takes one opinion, and says whether it changed the table.
+// merge merges one node record and reports whether it changed the table.
 func (t *Table) merge(n Node) bool {
 	if n.Name == "" || n.Addr == "" || n.State > Left {
 		t.post.Bad()
 		return false
 	}
 	if n.Name == t.self.Name {
-		t.aboutSelf(n)
+		t.handleSelfUpdate(n)
 		return false
 	}
 	old := t.nodes[n.Name]
 	if old == nil {
-		if len(t.nodes) >= maxNodes || !n.Thought() {
+		if len(t.nodes) >= maxNodes || !n.PresumedAlive() {
 			return false
 		}
-		t.nodes[n.Name] = &entry{node: n, since: t.clock.Since(), tell: retell}
+		t.nodes[n.Name] = &entry{node: n, since: t.clock.Since(), transmitsLeft: updateTransmissions}
 		return true
 	}
 	if !n.overrides(old.node) {
@@ -55,17 +55,18 @@
 		old.since = t.clock.Since()
 		t.log.Info("member", "name", n.Name, "state", n.State.String(), "inc", n.Inc)
 	}
-	old.node, old.tell = n, retell
+	old.node, old.transmitsLeft = n, updateTransmissions
 	return true
 }
 
-// overrides says that an opinion of a node takes the place of another.
+// overrides reports whether the record replaces another record of the same node.
 func (n Node) overrides(old Node) bool {
 	return n.Inc > old.Inc || n.Inc == old.Inc && n.State > old.State
 }
 
-// aboutSelf answers what others say of this node.
-func (t *Table) aboutSelf(n Node) {
+// handleSelfUpdate handles a record of this node received from others: it refutes outdated ones and detects another
+// process with the same name.
+func (t *Table) handleSelfUpdate(n Node) {
 	if n.Inc < t.self.Inc || t.self.State == Left || n.Boot == t.self.Boot && n.State == Alive {
 		return
 	}
@@ -74,18 +75,19 @@
 		t.publish()
 		return
 	}
-	// Why: another process goes by our name. If it answers, it has replaced us; if not, it is our past.
+	// Another process uses or used this node's name. If it responds, it has replaced this one; if not, the record is
+	// of an earlier process of this node.
 	t.self.Inc = max(t.self.Inc, n.Inc)
 	t.group.Go(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		w, err := wire.Call[none, Who](ctx, t.caller, n.Addr, "/member/who", none{})
+		w, err := wire.Call[empty, Identity](ctx, t.caller, n.Addr, "/member/who", empty{})
 		_ = t.actor.Tell(func() {
 			if err == nil && w.Name == t.self.Name && w.Boot != t.self.Boot {
-				if !t.yielded {
+				if !t.nameTaken {
 					t.log.Error("another process has taken this node's name", "addr", n.Addr)
 				}
-				t.yielded = true
+				t.nameTaken = true
 			} else {
 				t.self.Inc++
 			}
