--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -56,7 +56,7 @@
 	group     *run.Group
 	base      *run.Group
 	gossip    *gossip.Table
-	spread    *gossip.Spreader
+	spread    *gossip.Disseminator
 	members   *member.Table
 	watch     *inventory.Watch
 	caller    *wire.Caller
@@ -109,11 +109,11 @@
 		_, _ = ln.Close(), pc.Close()
 		return nil, errors.Wrap(err, "agent: feed address")
 	}
-	a.gossip.OnNew(a.onGossip)
+	a.gossip.OnUpdate(a.onGossip)
 	a.post = wire.NewPost(pc)
 	self := member.Node{Name: s.Name, Role: member.RoleAgent, Zone: s.Zone, Addr: s.Addr, Boot: a.boot, Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), Build: env.BuildName()}
 	a.members = member.New(a.group, env.Clock, a.log, a.post, a.caller, a.mux, self, s.Seeds, a.touch)
-	a.spread = gossip.NewSpreader(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
+	a.spread = gossip.NewDisseminator(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
 	a.watch.Start(a.group, s.Cadence.List, a.asksPlatform)
 	wire.Handle(a.feedMux, feed.Path, a.exchange)
 	wire.Handle(a.feedMux, feed.UrgentPath, a.takeUrgent)
@@ -187,10 +187,10 @@
 }
 
 // takeUrgent passes a report on at once.
-func (a *Agent) takeUrgent(_ context.Context, r report.Report) (feed.Taken, error) {
+func (a *Agent) takeUrgent(_ context.Context, r report.Report) (feed.UrgentReply, error) {
 	a.keepReport(r)
 	a.urgent.Now()
-	return feed.Taken{}, nil
+	return feed.UrgentReply{}, nil
 }
 
 func (a *Agent) keepReport(r report.Report) {
@@ -199,7 +199,7 @@
 }
 
 // exchange answers the proxy.
-func (a *Agent) exchange(ctx context.Context, up feed.Up) (feed.Down, error) {
+func (a *Agent) exchange(ctx context.Context, up feed.Request) (feed.Reply, error) {
 	a.asked.Store(int64(a.env.Clock.Since()))
 	for _, e := range up.Entries {
 		a.gossip.Put(e)
@@ -217,18 +217,18 @@
 	if up.AgentBoot == a.boot {
 		a.awaitGossip(ctx, up)
 	}
-	d := feed.Down{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), HeardMs: min(a.touch.For().Milliseconds()+1, 1<<40),
+	d := feed.Reply{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), SinceContactMs: min(a.touch.For().Milliseconds()+1, 1<<40),
 		Edges: len(a.members.Live(member.RoleAgent)), Agent: a.s.Name, Zone: a.s.Zone}
 	if fed := a.fed.Load(); fed != nil && fed.Boot == up.Boot {
-		d.Holds = fed.Version
+		d.ReportVersion = fed.Version
 	}
 	peers := a.members.Peers()
 	d.Peers = peers[:min(len(peers), maxPeers)]
 	cursor := up.Cursor
 	if up.AgentBoot != a.boot {
-		cursor, d.WantAll = 0, true
+		cursor, d.SendAll = 0, true
 	}
-	d.Entries, d.Cursor, _ = a.gossip.After(cursor)
+	d.Entries, d.Cursor, _ = a.gossip.Since(cursor)
 	return d, nil
 }
 
@@ -251,12 +251,12 @@
 }
 
 // awaitGossip holds an answer back until there is something to tell.
-func (a *Agent) awaitGossip(ctx context.Context, up feed.Up) {
-	hold := min(time.Duration(up.HoldMs)*time.Millisecond, maxHold)
+func (a *Agent) awaitGossip(ctx context.Context, up feed.Request) {
+	hold := min(time.Duration(up.MaxWaitMs)*time.Millisecond, maxHold)
 	if hold <= 0 {
 		return
 	}
-	fresh, _, changed := a.gossip.After(up.Cursor)
+	fresh, _, changed := a.gossip.Since(up.Cursor)
 	if len(fresh) == 0 {
 		run.WaitOn(ctx, changed, hold)
 	}
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -81,7 +81,7 @@
 	}
 	c.told, c.newest, c.by = true, got.Entry.Stamp, asked
 	// Why: a core of an earlier version answers with the document.
-	if got.Found && !got.Entry.Head {
+	if got.Found && !got.Entry.ValueOmitted {
 		a.gossip.Put(got.Entry)
 	}
 }
--- a/internal/agent/relays.go
+++ b/internal/agent/relays.go
@@ -62,7 +62,7 @@
 			live++
 		}
 	}
-	return live > gossip.AllTold
+	return live > gossip.MaxDirectPeers
 }
 
 // able is the cores that may be asked to pass reports on.
--- a/internal/agent/relays_test.go
+++ b/internal/agent/relays_test.go
@@ -37,10 +37,10 @@
 // reports on, another while that one is not alive or has not answered.
 func TestWhichCorePassesReportsOn(t *testing.T) {
 	var r relays
-	if got := r.choose(self, fleet(gossip.AllTold), 0); got != "" {
+	if got := r.choose(self, fleet(gossip.MaxDirectPeers), 0); got != "" {
 		t.Errorf("%q in a small fleet", got)
 	}
-	large := fleet(gossip.AllTold + 1)
+	large := fleet(gossip.MaxDirectPeers + 1)
 	if got := r.choose(self, large, 0); got != "core-1" {
 		t.Errorf("%q, want the one of the own zone", got)
 	}
@@ -66,7 +66,7 @@
 
 // Only cores that are vouched for are not told from here, and only by the core that passes on now.
 func TestCoresThatNobodyVouchesForAreTold(t *testing.T) {
-	large := fleet(gossip.AllTold + 1)
+	large := fleet(gossip.MaxDirectPeers + 1)
 	cores := large[:3]
 	var r relays
 	check := func(when, got, want string) {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -117,7 +117,7 @@
 	}
 	entry := gossip.Entry{Key: rec.Key, Stamp: rec.Stamp, Value: rec.Value}
 	if q.StampOnly {
-		entry.Value, entry.Head = nil, true
+		entry.Value, entry.ValueOmitted = nil, true
 	}
 	return Newest{Found: true, Entry: entry}, nil
 }
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	n, err := c.newestStamp.Ask(ctx)
-	if err == nil && n.Found && n.Entry.Head {
+	if err == nil && n.Found && n.Entry.ValueOmitted {
 		n, err = c.document(ctx, n)
 	}
 	if err != nil || !n.Found {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -96,7 +96,7 @@
 	members        *member.Table
 	touch          *touch.Keeper
 	gossip         *gossip.Table
-	spread         *gossip.Spreader
+	spread         *gossip.Disseminator
 	planner        *plan.Planner
 	reports        *report.Table
 	relay          *relay.Relay
@@ -190,9 +190,9 @@
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
 	c.reading = conf.ReadingRest()
 	c.confSoon = run.NewNudge(run.NewActor(c.group, 4, readEvery, c.takeConf), c.takeConf)
-	c.gossip.OnNew(c.onGossip)
+	c.gossip.OnUpdate(c.onGossip)
 	c.views = plan.NewStatusCache(c.gossip)
-	c.spread = gossip.NewSpreader(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
+	c.spread = gossip.NewDisseminator(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
 	c.acc.Serve(c.mux)
 	ownQuarantine := s.Bounds.Lease
 	if c.replicas.Traits().KnowsByName {
--- /dev/null
+++ b/internal/gossip/disseminator.go
@@ -0,0 +1,180 @@
+package gossip
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"drumstall.example/internal/kernel/run"
+	"drumstall.example/internal/kernel/sample"
+	"drumstall.example/internal/kernel/wire"
+	"drumstall.example/internal/member/touch"
+)
+
+// bundle is some entries on their way.
+type bundle struct {
+	From    string  `cbor:"1,keyasint"` // address to pull from
+	Entries []Entry `cbor:"2,keyasint"`
+}
+
+// Pushed is the answer to a push.
+type PushReply struct {
+	Accepted int `cbor:"1,keyasint"`
+}
+
+// Spreader passes a table's news on.
+type Disseminator struct {
+	table      *Table
+	group      *run.Group
+	log        *slog.Logger
+	post       *wire.Post
+	caller     *wire.Caller
+	self       func() string
+	peers      func() []string
+	tree       func() Tree          // nil is a fleet without one
+	lastTree   atomic.Pointer[Tree] // the tree of the last round
+	pullTokens chan struct{}        // one for each pull that may begin
+	pulls      pullTracker
+	replyCache replyCache
+}
+
+// NewSpreader starts to pass news on and to take it, until g stops. self and peers
+// give addresses as they are now, and tree whom this node tells in a large fleet; in is
+// this node's word on how long it has been out of touch.
+func NewDisseminator(g *run.Group, t *Table, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Keeper) *Disseminator {
+	s := &Disseminator{table: t, group: g, log: log, post: post, caller: caller, self: self, peers: peers, tree: tree, pullTokens: make(chan struct{}, maxConcurrentPulls)}
+	for range maxConcurrentPulls {
+		s.pullTokens <- struct{}{}
+	}
+	post.On("news", func(body []byte) {
+		var b bundle
+		if wire.Unpack(body, &b) != nil {
+			post.Bad()
+			return
+		}
+		s.receive(b)
+	})
+	s.registerHandlers(mux, in)
+	actor := run.NewActor(g, 16, interval, func() { s.propagate(false) })
+	now := run.NewNudge(actor, func() { s.propagate(true) })
+	own := now.Now
+	t.localPutFunc.Store(&own)
+	g.Every(digestInterval, s.reconcileWithPeer)
+	g.Every(time.Minute, func(context.Context) { t.Purge(purgeAfter) })
+	return s
+}
+
+// answer serves the other nodes' spreaders on mux.
+func (s *Disseminator) registerHandlers(mux *wire.Mux, in *touch.Keeper) {
+	t := s.table
+	wire.Handle(mux, "/news/push", func(_ context.Context, b bundle) (PushReply, error) {
+		p := PushReply{}
+		for _, e := range b.Entries {
+			if t.put(e, s.originOf(b.From)) {
+				p.Accepted++
+			}
+		}
+		return p, nil
+	})
+	wire.HandlePrepared(mux, pullPath, func(_ context.Context, g Delta) (wire.Large, error) {
+		return s.replyCache.prepare(t.entriesOf(g.Wanted)), nil
+	})
+	wire.Handle(mux, digestPath, func(_ context.Context, d Digest) (DigestReply, error) {
+		out := t.compareDigest(d)
+		out.Touch = in.Word()
+		return out, nil
+	})
+	wire.HandleLarge(mux, "/news/gap", func(_ context.Context, h BucketStamps) (Delta, error) { return t.delta(h), nil })
+}
+
+// passOn sends what is new to whom it is for: in a small fleet to all, in a large
+// one down the tree. At once means that only what was never told goes out.
+func (s *Disseminator) propagate(atOnce bool) {
+	all := s.peers()
+	if len(all) > MaxDirectPeers {
+		s.propagateInLargeFleet(atOnce)
+		return
+	}
+	s.table.rounds.Store(&directRounds)
+	if len(all) == 0 {
+		return
+	}
+	s.send(all, s.takeDue(func(h *record) bool { return h.origin == originLocal && (!atOnce || h.roundsLeft == directRepeats) }))
+	if !atOnce {
+		s.send(sample.Of(s.peers(), fanout), s.takeDue(func(h *record) bool { return h.origin != originLocal }))
+	}
+}
+
+// passOnInLargeFleet sends what is new down the tree, or to a few peers where there is
+// none. Why: in a large fleet nothing goes out between two rounds, or each entry would be a datagram for
+// every node.
+func (s *Disseminator) propagateInLargeFleet(atOnce bool) {
+	if atOnce {
+		return
+	}
+	tree := s.refreshTree()
+	if !tree.usable() {
+		s.table.rounds.Store(&gossipRounds)
+		s.send(sample.Of(s.peers(), fanout), s.takeDue(func(*record) bool { return true }))
+		return
+	}
+	s.propagateAlongTree(tree)
+}
+
+// due takes the entries that are to be passed on now.
+func (s *Disseminator) takeDue(which func(*record) bool) []Entry {
+	s.table.mu.Lock()
+	defer s.table.mu.Unlock()
+	var out []Entry
+	for k, h := range s.table.pending {
+		if !which(h) {
+			continue
+		}
+		out = append(out, withoutLargeValue(h.entry))
+		if h.roundsLeft--; h.roundsLeft <= 0 {
+			delete(s.table.pending, k)
+		}
+	}
+	return out
+}
+
+// headline is an entry as it goes into a datagram: a large value is left out.
+func withoutLargeValue(e Entry) Entry {
+	if len(e.Value) > maxInlineBytes {
+		e.Value, e.ValueOmitted = nil, true
+	}
+	return e
+}
+
+// send sends entries in datagrams of bounded size.
+func (s *Disseminator) send(to []string, out []Entry) {
+	for len(out) > 0 {
+		n, size := 0, 64
+		for n < len(out) && (n == 0 || size+len(out[n].Key)+len(out[n].Value)+40 < wire.MaxGram) {
+			size += len(out[n].Key) + len(out[n].Value) + 40
+			n++
+		}
+		body := wire.Pack(bundle{From: s.self(), Entries: out[:n]})
+		for _, p := range to {
+			s.post.Send(p, "news", body)
+		}
+		out = out[n:]
+	}
+}
+
+// compare mends gaps with one peer.
+func (s *Disseminator) reconcileWithPeer(ctx context.Context) {
+	to := sample.Of(s.peers(), 1)
+	if len(to) == 0 {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
+	defer cancel()
+	s.Reconcile(ctx, to[0])
+}
+
+// Mend makes both sides know what either knows.
+func (s *Disseminator) Reconcile(ctx context.Context, addr string) {
+	Reconcile(ctx, s.caller, s.table, addr, s.self())
+}
--- a/internal/member/fanout/fanout.go
+++ b/internal/member/fanout/fanout.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if tree.IsCore {
-		tree.Below = v.below()
+		tree.Agents = v.below()
 	} else {
 		tree.Neighbours = v.neighbours()
 	}
--- a/internal/member/fanout/fanout_test.go
+++ b/internal/member/fanout/fanout_test.go
@@ -31,7 +31,7 @@
 func told(nodes []member.Node, heardFor func(string) time.Duration, cores ...int) map[string]int {
 	out := map[string]int{}
 	for _, i := range cores {
-		for _, addr := range (View{Self: nodes[i], Nodes: nodes, HeardFor: heardFor}).Tree().Below {
+		for _, addr := range (View{Self: nodes[i], Nodes: nodes, HeardFor: heardFor}).Tree().Agents {
 			out[addr]++
 		}
 	}
@@ -48,11 +48,11 @@
 	}
 	for i := range 6 {
 		tree := View{Self: nodes[i], Nodes: nodes, HeardFor: heardAt(nil)}.Tree()
-		if len(tree.Cores) != 5 || !tree.IsCore || len(tree.Below) < 4 {
-			t.Errorf("%s tells %d cores and %d agents", nodes[i].Name, len(tree.Cores), len(tree.Below))
+		if len(tree.Cores) != 5 || !tree.IsCore || len(tree.Agents) < 4 {
+			t.Errorf("%s tells %d cores and %d agents", nodes[i].Name, len(tree.Cores), len(tree.Agents))
 		}
 		for _, n := range nodes[6:] {
-			if slices.Contains(tree.Below, n.Addr) && n.Zone != nodes[i].Zone {
+			if slices.Contains(tree.Agents, n.Addr) && n.Zone != nodes[i].Zone {
 				t.Errorf("%s of %s is told by %s of %s", n.Name, n.Zone, nodes[i].Name, nodes[i].Zone)
 			}
 		}
@@ -94,7 +94,7 @@
 	nodes := fleet(3, 6, 64)
 	nodes[9].State = member.Suspect
 	tree := View{Self: nodes[6], Nodes: nodes}.Tree()
-	if tree.IsCore || len(tree.Cores) != 6 || len(tree.Below) != 0 {
+	if tree.IsCore || len(tree.Cores) != 6 || len(tree.Agents) != 0 {
 		t.Errorf("an agent's tree: %+v", tree)
 	}
 	want := 0
--- a/internal/member/fanout/fleet_test.go
+++ b/internal/member/fanout/fleet_test.go
@@ -63,7 +63,7 @@
 	tree := func() gossip.Tree {
 		return View{Self: n.Members.Self(), Nodes: n.Members.Nodes(), HeardFor: n.Members.HeardFor}.Tree()
 	}
-	gossip.NewSpreader(n.Group, n.table, n.Log, n.Post, n.Caller, n.Mux, func() string { return addr }, n.Members.Peers, tree, n.Touch)
+	gossip.NewDisseminator(n.Group, n.table, n.Log, n.Post, n.Caller, n.Mux, func() string { return addr }, n.Members.Peers, tree, n.Touch)
 	n.Serve()
 	s.nodes = append(s.nodes, n)
 }
--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -200,7 +200,7 @@
 		c.closed = true
 		if gone && c.epoch > 0 {
 			c.version++
-			c.d.Gossip.Put(gossip.Entry{Key: Key(c.listed.ID), Stamp: c.currentStamp(), Gone: true})
+			c.d.Gossip.Put(gossip.Entry{Key: Key(c.listed.ID), Stamp: c.currentStamp(), Deleted: true})
 		}
 	})
 }
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -48,7 +48,7 @@
 	results := run.Fan(p.group, len(peers), func(ctx context.Context, i int) touch.Word {
 		ctx, cancel := context.WithTimeout(ctx, peerPullInterval)
 		defer cancel()
-		return gossip.Mend(ctx, p.caller, p.gossip, peers[i], "")
+		return gossip.Reconcile(ctx, p.caller, p.gossip, peers[i], "")
 	})
 	for range peers {
 		p.contact.Told(askedAt, <-results)
@@ -61,8 +61,8 @@
 	defer cancel()
 	f := &p.feed
 	snap := p.routes.Current()
-	up := feed.Up{Boot: p.boot, AgentBoot: f.agentBoot, Cursor: f.cursor, Confirmed: p.confirmed.Load(), Conf: snap.Stamp}
-	fresh, cursor, _ := p.gossip.After(f.gossipCursor)
+	up := feed.Request{Boot: p.boot, AgentBoot: f.agentBoot, Cursor: f.cursor, Confirmed: p.confirmed.Load(), Conf: snap.Stamp}
+	fresh, cursor, _ := p.gossip.Since(f.gossipCursor)
 	for _, e := range fresh {
 		if f.sendAll || strings.HasPrefix(e.Key, inventory.MarkKey("")) || strings.HasPrefix(e.Key, route.TenantPrefix) {
 			up.Entries = append(up.Entries, e)
@@ -72,21 +72,21 @@
 	if time.Duration(p.agentSeenAt.Load()) < time.Duration(p.agentFirstSeenAt.Load())+time.Second {
 		up.Peers = *p.peers.Load()
 	}
-	up.HoldMs = int(feedHold.Milliseconds())
+	up.MaxWaitMs = int(feedHold.Milliseconds())
 	askedAt := p.env.Clock.Since()
 	var sent report.Report
 	if up.NoReport = !f.reportDue(snap, askedAt); !up.NoReport {
 		sent = p.buildReport()
 		up.Report = f.delta(sent)
 	}
-	down, err := wire.Call[feed.Up, feed.Down](ctx, p.caller, p.settings.Agent, feed.Path, up)
+	down, err := wire.Call[feed.Request, feed.Reply](ctx, p.caller, p.settings.Agent, feed.Path, up)
 	if err != nil {
 		f.reportedAt, f.base = 0, report.Report{}
 		return
 	}
-	f.updateBase(sent, down.Holds)
+	f.updateBase(sent, down.ReportVersion)
 	f.gossipCursor, f.sendAll = cursor, false
-	if down.WantAll {
+	if down.SendAll {
 		// The agent has lost its table; the entries here may be newer than any it can get elsewhere.
 		f.gossipCursor, f.sendAll = 0, true
 	}
@@ -109,7 +109,7 @@
 		p.peers.Store(&down.Peers)
 	}
 	p.agentSeenAt.Store(int64(askedAt))
-	p.contact.Told(askedAt, touch.Word(down.HeardMs+1))
+	p.contact.Told(askedAt, touch.Word(down.SinceContactMs+1))
 	if !p.confirmed.Load() && isTableCurrent(down, p.routes.Current()) {
 		p.confirmed.Store(true)
 	}
@@ -119,7 +119,7 @@
 // isTableCurrent reports whether a newly started proxy may serve from a table: the agent knows the latest
 // configuration in effect, and the table was built from it or from a later one. A table without any configuration would
 // make the proxy report unknown routes to callers.
-func isTableCurrent(agent feed.Down, table *route.Snapshot) bool {
+func isTableCurrent(agent feed.Reply, table *route.Snapshot) bool {
 	return agent.Confirmed && table.Serial > 0 && !agent.Conf.Newer(table.Stamp)
 }
 
@@ -199,7 +199,7 @@
 func (p *Proxy) sendUrgentReport() {
 	ctx, cancel := context.WithTimeout(p.group.Context(), feedTimeout)
 	defer cancel()
-	_, _ = wire.Call[report.Report, feed.Taken](ctx, p.caller, p.settings.Agent, feed.UrgentPath, p.buildReport())
+	_, _ = wire.Call[report.Report, feed.UrgentReply](ctx, p.caller, p.settings.Agent, feed.UrgentPath, p.buildReport())
 	run.Wait(ctx, urgentReportGap)
 }
 
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, nil, (&Refusal{Reason: BadRequest, Detail: "the request body was incomplete or stalled", Outcome: attempt.NotRun}).goaError()
 	}
-	relay.BodyRead(ctx)
+	relay.EndReadLimit(ctx)
 	if int64(len(raw)) > target.Route.MaxBody {
 		detail := fmt.Sprintf("the request body exceeds the limit of %d bytes on this route", target.Route.MaxBody)
 		return nil, nil, (&Refusal{Reason: TooLarge, Detail: detail, Outcome: attempt.NotRun}).goaError()
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -57,7 +57,7 @@
 // only the rows that they affect.
 func (rt *Router) renew() {
 	d := newDraft(rt.Current(), rt.clock.Since())
-	newEntries, cursor, _ := rt.gossip.After(rt.cursor)
+	newEntries, cursor, _ := rt.gossip.Since(rt.cursor)
 	rt.cursor = cursor
 	if rt.applyConf(d, newEntries) || rt.deps.PollReplicas {
 		rt.rebuildRows(d)
@@ -131,7 +131,7 @@
 func (rt *Router) applyReplica(d *draft, e gossip.Entry) {
 	before := rt.entries[e.Key]
 	var after *entry
-	if !e.Gone {
+	if !e.Deleted {
 		after = decodeEntry(e, d.now)
 	}
 	if before == nil && after == nil {
@@ -239,7 +239,7 @@
 func (rt *Router) applyPrediction(d *draft, e gossip.Entry) {
 	item := e.Key[len(predictionPrefix):]
 	var prediction plan.Expectation
-	if e.Gone || wire.Unpack(e.Value, &prediction) != nil {
+	if e.Deleted || wire.Unpack(e.Value, &prediction) != nil {
 		delete(rt.predictionExpiry.latest, item)
 		d.predictions.Drop(item)
 		return
--- a/internal/route/renew_test.go
+++ b/internal/route/renew_test.go
@@ -135,7 +135,7 @@
 	w.router.renew()
 	live := w.router.Current().Replicas["r3"].Live
 	live.Inflight.Add(1)
-	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Gone: true})
+	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Deleted: true})
 	w.router.renew()
 	if w.router.lives["r3"] != live {
 		t.Error("the live state of a replica was dropped before its last request ended")
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -138,7 +138,7 @@
 	// A new configuration or a withdrawn item takes effect at once, not at the next interval. Entries that arrive
 	// together lead to a single renewal.
 	rt.renewSoon = run.NewNudge(rt.actor, rt.renew)
-	d.Gossip.OnNew(func(gossip.Entry) { rt.renewSoon.Now() })
+	d.Gossip.OnUpdate(func(gossip.Entry) { rt.renewSoon.Now() })
 	if !d.PollReplicas {
 		return rt
 	}
--- a/internal/route/steer_test.go
+++ b/internal/route/steer_test.go
@@ -140,7 +140,7 @@
 func TestPresenceReachesOtherProxies(t *testing.T) {
 	a, b := newTenantFixture(t, fmt.Sprintf(withTenants, "")), newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	a.send("plates", 0)
-	fresh, _, _ := a.gossip.After(0)
+	fresh, _, _ := a.gossip.Since(0)
 	announced := 0
 	for _, e := range fresh {
 		if e.Key == presenceKey(party{Tenant: "ours"}) {
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -113,11 +113,11 @@
 	costs("news.After(last)", "key in table", its, func(x int) func() {
 		t := gossipTable(600, 10, x, nil)
 		n, v := uint64(1<<20), wire.Pack(replicaStatus(1, 10))
-		_, c, _ := t.After(0)
+		_, c, _ := t.Since(0)
 		return func() {
 			n++
 			t.Put(gossip.Entry{Key: order.Key(ReplicaID(1)), Stamp: state.Stamp{Epoch: 40, Version: n}, Value: v})
-			sink, c, _ = t.After(c)
+			sink, c, _ = t.Since(c)
 		}
 	})
 	g := run.NewGroup(context.Background())
@@ -126,7 +126,7 @@
 		pc, _ := net.ListenPacket("udp", "127.0.0.1:0")
 		mux := wire.NewMux()
 		t := gossipTable(600, 10, x, nil)
-		gossip.NewSpreader(g.Child(), t, env.Log.Logger(), wire.NewPost(pc), wire.NewCaller(env.Net), mux, func() string { return "" }, func() []string { return nil }, nil, touch.New(env.Clock))
+		gossip.NewDisseminator(g.Child(), t, env.Log.Logger(), wire.NewPost(pc), wire.NewCaller(env.Net), mux, func() string { return "" }, func() []string { return nil }, nil, touch.New(env.Clock))
 		var d gossip.Digest
 		for range 64 {
 			d.Sums = append(d.Sums, make([]byte, 16))
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -52,16 +52,16 @@
 	}
 	fmt.Printf("news digest %d bytes, fixed\n", len(wire.Pack(d)))
 	fit("news heads", "key in buckets", []int{10, 100, 600, 3000}, func(x int) float64 {
-		h := gossip.Heads{Bucket: []int{1}, Have: map[string]state.Stamp{}}
+		h := gossip.BucketStamps{Buckets: []int{1}, Stamps: map[string]state.Stamp{}}
 		for i := range x {
-			h.Have[order.Key(ReplicaID(i))] = stamp(i)
+			h.Stamps[order.Key(ReplicaID(i))] = stamp(i)
 		}
 		return size(h)
 	})
 	fit("headline in a datagram", "headline", []int{1, 5, 10, 20}, func(x int) float64 {
 		b := bundle{From: "10.2.1.1:7000"}
 		for i := range x {
-			b.Entries = append(b.Entries, gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), Head: true})
+			b.Entries = append(b.Entries, gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), ValueOmitted: true})
 		}
 		return size(b)
 	})
@@ -101,13 +101,13 @@
 		return size(s)
 	})
 	fit("feed.Up", "replica acked", reps, func(x int) float64 {
-		return size(feed.Up{Boot: "0123456789abcdef", AgentBoot: "0123456789abcdef", Cursor: 100000, Confirmed: true, Conf: stamp(1), Report: aReport(1, x, 0, 8), HoldMs: 200})
+		return size(feed.Request{Boot: "0123456789abcdef", AgentBoot: "0123456789abcdef", Cursor: 100000, Confirmed: true, Conf: stamp(1), Report: aReport(1, x, 0, 8), MaxWaitMs: 200})
 	})
 	fit("feed.Up", "item counted", its, func(x int) float64 {
-		return size(feed.Up{Boot: "0123456789abcdef", AgentBoot: "0123456789abcdef", Cursor: 100000, Confirmed: true, Conf: stamp(1), Report: aReport(1, 0, x, 8), HoldMs: 200})
+		return size(feed.Request{Boot: "0123456789abcdef", AgentBoot: "0123456789abcdef", Cursor: 100000, Confirmed: true, Conf: stamp(1), Report: aReport(1, 0, x, 8), MaxWaitMs: 200})
 	})
 	fit("feed.Down", "entry", []int{0, 1, 4, 16}, func(x int) float64 {
-		d := feed.Down{AgentBoot: "0123456789abcdef", Cursor: 1, Confirmed: true, Conf: stamp(1), HeardMs: 12, Edges: 410, Agent: NodeName(1), Zone: zone(1)}
+		d := feed.Reply{AgentBoot: "0123456789abcdef", Cursor: 1, Confirmed: true, Conf: stamp(1), SinceContactMs: 12, Edges: 410, Agent: NodeName(1), Zone: zone(1)}
 		for i := range 16 {
 			d.Peers = append(d.Peers, aNode(i).Addr)
 		}
