--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -145,7 +145,7 @@
 
 // dispatch assigns replicas to waiters until no more can be assigned.
 func (ac *Controller) dispatch() {
-	limit := int64(ac.routes.Current().Conf.Limits.Attempts)
+	limit := int64(ac.routes.Current().Conf.Limits.MaxInFlight)
 	for progress := true; progress; {
 		progress = false
 		for _, c := range ac.queue.Order() {
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -191,7 +191,7 @@
 	}
 	isState := func(state string) bool { return state == Loading || state == Loaded || state == Unloading }
 	for _, m := range r.Models {
-		if m == nil || !conf.Plain(m.Name) || !isState(m.State) || m.SizeMib < 0 || m.Inflight < 0 {
+		if m == nil || !conf.ValidName(m.Name) || !isState(m.State) || m.SizeMib < 0 || m.Inflight < 0 {
 			return invalid("invalid entry for a model")
 		}
 		item := conf.Item{Model: m.Name}
@@ -200,7 +200,7 @@
 		}
 		v.Items[item] = ItemStatus{State: m.State, SizeMib: m.SizeMib, Inflight: m.Inflight}
 		for _, a := range m.Adapters {
-			if a == nil || !conf.Plain(a.Name) || !isState(a.State) || a.Inflight < 0 {
+			if a == nil || !conf.ValidName(a.Name) || !isState(a.State) || a.Inflight < 0 {
 				return invalid("invalid entry for an adapter")
 			}
 			v.Items[conf.Item{Model: m.Name, Adapter: a.Name}] = ItemStatus{State: a.State, Inflight: a.Inflight}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -188,7 +188,7 @@
 	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acc.DiskID(),
 		Phase: string(c.acc.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
-	c.reading = conf.ReadingRest()
+	c.reading = conf.ReadBackoff()
 	c.confSoon = run.NewNudge(run.NewActor(c.group, 4, readEvery, c.takeConf), c.takeConf)
 	c.gossip.OnUpdate(c.onGossip)
 	c.views = plan.NewStatusCache(c.gossip)
--- a/internal/place/order/estimate.go
+++ b/internal/place/order/estimate.go
@@ -20,7 +20,7 @@
 	case c.msPerMib > 0:
 		return int(c.msPerMib * float64(m.SizeMib))
 	}
-	return int(m.LoadFor.Milliseconds())
+	return int(m.ExpectedLoadTime.Milliseconds())
 }
 
 // readyMs returns the estimated time until an item is loaded if its load is accepted now.
@@ -28,7 +28,7 @@
 	if c.adapterOnly(item) && c.traits.AdaptersUnpaced {
 		return c.taskMs(m, item) + adapterMarginMs + c.remainingMs()
 	}
-	return c.taskMs(m, item) + modelMarginMs + c.queued(false)*int(m.LoadFor.Milliseconds())
+	return c.taskMs(m, item) + modelMarginMs + c.queued(false)*int(m.ExpectedLoadTime.Milliseconds())
 }
 
 const (
--- a/internal/place/order/execute.go
+++ b/internal/place/order/execute.go
@@ -174,7 +174,7 @@
 		c.tasks.PopFront()
 	case t.item.Adapter != "" && base != nil && base.State == backend.Loaded && e != nil && e.State == Reserved:
 		t.enter(phaseAwaitGrant, now)
-	case now-t.phaseSince > 5*m.LoadFor+30*time.Second:
+	case now-t.phaseSince > 5*m.ExpectedLoadTime+30*time.Second:
 		c.failFront("load timed out")
 	case e == nil || e.State == Reserved && now-t.phaseSince > outcomeTimeout && base == nil:
 		c.failFront("load did not start")
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -92,7 +92,7 @@
 				cfg := conf.Empty()
 				cfg.Models = map[string]conf.Model{}
 				for i := range 12 {
-					cfg.Models[fmt.Sprint("m", i)] = conf.Model{SizeMib: 1000, LoadFor: 100 * time.Millisecond, ServeFor: time.Second}
+					cfg.Models[fmt.Sprint("m", i)] = conf.Model{SizeMib: 1000, ExpectedLoadTime: 100 * time.Millisecond, ExpectedServeTime: time.Second}
 				}
 				conn := backend.NewNative(out)
 				ctl := NewController(g, Deps{Clock: clk, Log: log, Self: "a", Boot: "b", Cadence: bounds.DefaultCadence(), Replicas: conn, Owner: own, Gossip: gossip.NewTable(), Reports: report.NewTable(),
--- a/internal/place/order/poll.go
+++ b/internal/place/order/poll.go
@@ -24,10 +24,10 @@
 			v.CapacityMib = s.CapacityMib
 		}
 		if v.AdapterPlaces == 0 {
-			v.AdapterPlaces = s.AdapterPlaces
+			v.AdapterPlaces = s.MaxAdapters
 		}
 		if v.Slots == 0 {
-			v.Slots = s.Slots
+			v.Slots = s.MaxInFlight
 		}
 	}
 }
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -95,7 +95,7 @@
 	cheapest := CheapestServeTime(others, c.listed.ID, item, c.d.Reports, now, cfg)
 	if cheapest == 0 {
 		m := cfg.Models[item.Model]
-		cheapest = m.LoadFor + m.ServeFor
+		cheapest = m.ExpectedLoadTime + m.ExpectedServeTime
 	}
 	return penalty.Of(c.d.PredictedRequests(item.String()), cheapest)
 }
@@ -107,7 +107,7 @@
 	for o := range others.holders(item.String(), except) {
 		serve := time.Duration(o.ServeMs) * time.Millisecond
 		if serve == 0 {
-			serve = cfg.Models[item.Model].ServeFor
+			serve = cfg.Models[item.Model].ExpectedServeTime
 		}
 		// Requests in flight at a replica make the next one wait for a slot.
 		busy := float64(reports.InflightOn(o.Listed.ID, now)) / float64(max(o.Slots, 1))
@@ -120,7 +120,7 @@
 
 // pinnedByClaim reports whether a placement claim would lack copies if the item were unloaded here.
 func (c *Controller) pinnedByClaim(cfg conf.Effective, item conf.Item, others Statuses) bool {
-	for _, want := range cfg.Claimed() {
+	for _, want := range cfg.RequiredCopies() {
 		if !item.Covers(want.Item) || !want.Group.Matches(labels.Set(c.listed.Labels)) {
 			continue
 		}
--- a/internal/place/plan/schedule_test.go
+++ b/internal/place/plan/schedule_test.go
@@ -28,7 +28,7 @@
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{}
 	for i := range models {
-		cfg.Models[fmt.Sprintf("m-%02d", i)] = conf.Model{SizeMib: 10, LoadFor: time.Second, ServeFor: time.Second}
+		cfg.Models[fmt.Sprintf("m-%02d", i)] = conf.Model{SizeMib: 10, ExpectedLoadTime: time.Second, ExpectedServeTime: time.Second}
 	}
 	var all []order.Status
 	for i := range replicas {
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -60,7 +60,7 @@
 	}
 	call := Call{Target: target, Identity: identity, Deadline: startedAt.Add(target.Route.Deadline), ContentType: "application/json", Body: raw}
 	if q.DeadlineMs != nil {
-		call.Deadline = startedAt.Add(target.Route.Within(time.Duration(*q.DeadlineMs) * time.Millisecond))
+		call.Deadline = startedAt.Add(target.Route.EffectiveDeadline(time.Duration(*q.DeadlineMs) * time.Millisecond))
 	}
 	if q.Ticket != nil {
 		call.RequestID = *q.Ticket
--- a/internal/route/renew_fixture_test.go
+++ b/internal/route/renew_fixture_test.go
@@ -74,7 +74,7 @@
 
 // configuration returns a configuration that drains the replicas of one service, or of none.
 func (w *fixture) configuration() []byte {
-	kept := conf.Kept{Serial: w.version, Objects: map[string][]byte{}}
+	kept := conf.Stored{Serial: w.version, Objects: map[string][]byte{}}
 	if w.rng.IntN(2) == 0 {
 		kept.Objects["drains/one"] = fmt.Appendf(nil, `{"selector":"service=s%d"}`, 1+w.rng.IntN(2))
 	}
--- a/internal/route/renew_reference_test.go
+++ b/internal/route/renew_reference_test.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		if ref.conf, err = conf.Effect(kept); err != nil {
+		if ref.conf, err = conf.Compile(kept); err != nil {
 			w.t.Fatal(err)
 		}
 		ref.confStamp = e.Stamp
--- a/internal/route/renew_test.go
+++ b/internal/route/renew_test.go
@@ -17,7 +17,7 @@
 // checkIndex compares the replicas found by the index with those found by a scan of all replicas.
 func (w *fixture) checkIndex(step int) {
 	s := w.router.Current()
-	targets := []Target{{Route: conf.Route{Kind: "service", Service: "s1", Selector: conf.OfService("s1")}}, {Route: conf.Route{Kind: "service", Selector: conf.OfService("s2")}}}
+	targets := []Target{{Route: conf.Route{Kind: "service", Service: "s1", Selector: conf.ServiceSelector("s1")}}, {Route: conf.Route{Kind: "service", Selector: conf.ServiceSelector("s2")}}}
 	for _, item := range []string{"a", "b", "c", "a/x", "b/y", "nobody has it"} {
 		targets = append(targets, Target{Route: conf.Route{Kind: "model"}, Item: conf.ParseItem(item)})
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -129,7 +129,7 @@
 		d.Deaf = defaultIsolationLimit
 	}
 	rt := &Router{deps: d, gossip: d.Gossip, clock: d.Clock, group: d.Group, lives: map[string]*Live{}, reports: map[string]report{},
-		entries: map[string]*entry{}, loadingEntries: map[string]*entry{}, confRest: conf.ReadingRest(),
+		entries: map[string]*entry{}, loadingEntries: map[string]*entry{}, confRest: conf.ReadBackoff(),
 		departed: map[string]struct{}{},
 		lastFull: map[bool]time.Duration{true: -1 << 61, false: -1 << 61},
 		prefixes: newPrefixMemory(), bulk: newBulkDetector(d.Log), pressure: map[string]pressureCount{}, work: map[string]time.Duration{}}
--- a/internal/sim/capacity/memory_test.go
+++ b/internal/sim/capacity/memory_test.go
@@ -15,11 +15,11 @@
 	fmt.Println("== heap, bytes")
 	fit("conf.Effective", "model (no adapter)", []int{12, 120, 600, 1200}, func(x int) float64 {
 		k := kept(x, 0, 200, 12)
-		return heap(func() any { e, _ := conf.Effect(k); return e })
+		return heap(func() any { e, _ := conf.Compile(k); return e })
 	})
 	fit("conf.Effective (1200 models)", "adapter", []int{0, 4800, 12000, 40000}, func(x int) float64 {
 		k := kept(1200, x, 200, 12)
-		return heap(func() any { e, _ := conf.Effect(k); return e })
+		return heap(func() any { e, _ := conf.Compile(k); return e })
 	})
 	fit("news table (10 items a replica)", "replica", reps, func(x int) float64 { return heap(func() any { return gossipTable(x, 10, 0, nil) }) })
 	fit("news table", "expect entry", its, func(x int) float64 { return heap(func() any { return gossipTable(0, 0, x, nil) }) })
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -38,11 +38,11 @@
 	fit("kept configuration", "change remembered", []int{1, 32, 128, 512}, func(x int) float64 {
 		k := kept(12, 12, 1, 1)
 		for i := 1; i < x; i++ {
-			got, err := k.Apply(conf.Change{Manner: conf.Partial, ContentType: contentType, Body: fmt.Appendf(nil, `{"version":%d}`, 1001+i)})
+			got, err := k.Apply(conf.Change{Mode: conf.Partial, ContentType: contentType, Body: fmt.Appendf(nil, `{"version":%d}`, 1001+i)})
 			if err != nil {
 				panic(err)
 			}
-			k = got.Kept
+			k = got.Stored
 		}
 		return float64(len(k.Pack()))
 	})
