--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -8,12 +8,12 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// announceLimit is how long those who are told of an announced entry are given to take it.
+// announceTimeout bounds the push of an announced entry to its targets.
 const announceTimeout = 700 * time.Millisecond
 
-// Announce takes an entry of this node's own making and hands it at once to whom it is for: in a
-// small fleet to every node, in a large one to the cores, who tell the agents below them. It gives to how many
-// nodes that is, and how many have it.
+// Announce stores a local entry and pushes it at once: to the other cores if this node is a core of a large
+// fleet (each core forwards it to its agents), and to all peers otherwise. It returns the number of
+// nodes pushed to and how many of them answered.
 func (s *Disseminator) Announce(ctx context.Context, e Entry) (nodes, reached int) {
 	s.table.Put(e)
 	to := s.announceTargets()
@@ -22,8 +22,8 @@
 	return len(to), s.Push(ctx, to, e)
 }
 
-// announcedTo is who is handed an announced entry by its author. Why: what its author does for one
-// change must not grow with the fleet; a core has its leases to keep meanwhile.
+// announceTargets returns the addresses that the author of an announced entry pushes it to. The cost of one
+// change to its author must not grow with the fleet: a core has to renew its leases meanwhile.
 func (s *Disseminator) announceTargets() []string {
 	all := s.peers()
 	if len(all) <= MaxDirectPeers {
@@ -35,15 +35,15 @@
 	return all
 }
 
-// Push hands entries to nodes at these addresses at once, and returns when each
-// has answered, a second is over or ctx ends; who could not be reached learns them later. It
-// gives how many have answered.
+// Push sends entries to the nodes at these addresses and returns when each has
+// answered, one second has passed or ctx is done. Unreachable nodes get the entries later by gossip.
+// It returns the number of nodes that answered.
 func (s *Disseminator) Push(ctx context.Context, to []string, entries ...Entry) int {
 	message := wire.Prepare(bundle{From: s.self(), Entries: entries})
 	ch := run.Fan(s.group, len(to), func(_ context.Context, i int) bool {
-		one, cancel := context.WithTimeout(ctx, time.Second)
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		_, err := wire.CallLarge[PushReply](one, s.caller, to[i], "/news/push", message)
+		_, err := wire.CallLarge[PushReply](callCtx, s.caller, to[i], "/news/push", message)
 		return err == nil
 	})
 	reached := 0
--- a/internal/gossip/changelog.go
+++ b/internal/gossip/changelog.go
@@ -2,25 +2,25 @@
 
 import "container/list"
 
-// changes are the entries of a table in the order of their last change, so that
-// what came since a cursor is found without a look at the others.
+// changeLog holds the records of a table in the order of their last change, so that
+// the changes since a cursor are found without a scan of all records.
 type changeLog struct{ ordered list.List }
 
-// moved puts an entry that has just changed last; old is what the table held
-// under its key before, or nil.
+// append moves a record that has just changed to the end. old is the record that the table held
+// under the same key, or nil.
 func (c *changeLog) append(old, h *record) {
 	c.remove(old)
 	h.element = c.ordered.PushBack(h)
 }
 
-// forget takes out an entry that the table holds no more.
+// remove deletes a record that the table no longer holds.
 func (c *changeLog) remove(h *record) {
 	if h != nil {
 		c.ordered.Remove(h.element)
 	}
 }
 
-// after gives the entries that changed since a cursor, the oldest change first.
+// since returns the entries that changed since a cursor, oldest change first.
 func (c *changeLog) since(cursor uint64) []Entry {
 	first, n := (*list.Element)(nil), 0
 	for at := c.ordered.Back(); at != nil && at.Value.(*record).seq > cursor; at = at.Prev() {
@@ -34,8 +34,8 @@
 	return out
 }
 
-// After gives what came since a cursor in the order in which it came, the new
-// cursor, and a channel that closes at the next change.
+// Since returns the entries that changed since a cursor in the order of their changes, the new
+// cursor, and a channel that is closed at the next change.
 func (t *Table) Since(cursor uint64) ([]Entry, uint64, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gossip/changelog_test.go
+++ b/internal/gossip/changelog_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// allAfter looks at every entry of a table for what came since a cursor.
+// scanSince finds the changes since a cursor by a scan of all records.
 func scanSince(t *Table, cursor uint64) []Entry {
 	var found []*record
 	for _, h := range t.records {
@@ -44,12 +44,12 @@
 			}
 			got, next, _ := table.Since(from)
 			if want := scanSince(table, from); fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("seed %d step %d: after %d came %v, want %v", seed, step, from, got, want)
+				t.Fatalf("seed %d step %d: since %d: got %v, want %v", seed, step, from, got, want)
 			}
 			cursor = next
 		}
 		if n := table.changes.ordered.Len(); n != len(table.records) {
-			t.Fatalf("seed %d: %d changes kept of %d entries", seed, n, len(table.records))
+			t.Fatalf("seed %d: change log has %d records, table has %d", seed, n, len(table.records))
 		}
 	}
 }
@@ -60,13 +60,13 @@
 	_, cursor, _ := table.Since(0)
 	got, same, changed := table.Since(cursor)
 	if len(got) != 0 || same != cursor {
-		t.Errorf("got %v and %d after %d", got, same, cursor)
+		t.Errorf("got %v and cursor %d, want no entries and cursor %d", got, same, cursor)
 	}
 	table.Put(entry("b", 1, 1))
 	select {
 	case <-changed:
 	default:
-		t.Error("nobody was woken")
+		t.Error("the channel was not closed by the change")
 	}
 	if got, _, _ := table.Since(cursor); len(got) != 1 || got[0].Key != "b" {
 		t.Errorf("got %v", got)
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -13,57 +13,57 @@
 
 const digestPath = "/news/digest"
 
-// Heads asks for what is newer than these.
+// BucketStamps lists the stamps of the sender's entries in some buckets; it requests the newer ones.
 type BucketStamps struct {
 	Buckets []int                  `cbor:"1,keyasint"`
 	Stamps  map[string]state.Stamp `cbor:"2,keyasint"`
 }
 
-// Gap is what one side lacks and what it would like.
+// Delta holds entries that the other side lacks, and the keys of entries that the sender lacks.
 type Delta struct {
 	Entries []Entry  `cbor:"1,keyasint"`
 	Wanted  []string `cbor:"2,keyasint"`
 }
 
-// Digest sums up the table: as a whole, or by buckets, as earlier versions do.
+// Digest summarizes a table: by one total, or by the sums of its buckets, as earlier versions send it.
 type Digest struct {
 	Sums  [][]byte `cbor:"1,keyasint"`
 	Total []byte   `cbor:"2,keyasint,omitempty"`
 }
 
-// Diff says how two tables differ: in nothing, or what the sums of the buckets of who
-// answers are. It names the buckets that differ to who has sent its own.
+// DigestReply tells how two tables differ; Buckets and Sums are empty if they are equal. To a Digest with a total it holds the
+// sums of the responder's buckets; to one with bucket sums, the buckets that differ.
 type DigestReply struct {
 	Buckets []int      `cbor:"1,keyasint"`
-	Touch   touch.Word `cbor:"2,keyasint,omitempty"` // how long who answers has been out of touch
+	Touch   touch.Word `cbor:"2,keyasint,omitempty"` // how long the responder has been out of touch
 	Sums    [][]byte   `cbor:"3,keyasint,omitempty"`
-	// ReadsTotal says that who answers compares totals; one of an earlier version does not.
+	// ComparesTotal is set if the responder compares totals; earlier versions do not.
 	ComparesTotal bool `cbor:"4,keyasint,omitempty"`
 }
 
-// bucketOf is the part of the table that a key lies in.
+// bucketOf returns the bucket of a key.
 func bucketOf(key string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key))
 	return int(h.Sum32() % numBuckets)
 }
 
-// sumOf is what an entry adds to the sum of its bucket.
+// hashOf returns the hash that an entry contributes to the sum of its bucket.
 func hashOf(e Entry) [sha256.Size]byte {
 	return sha256.Sum256(wire.Pack([]any{e.Key, e.Stamp.Epoch, e.Stamp.Version}))
 }
 
-// xor adds b to a sum, or takes it out again.
+// xorInto adds b to a sum, or removes it again.
 func xorInto(a *[sha256.Size]byte, b [sha256.Size]byte) {
 	for i := range a {
 		a[i] ^= b[i]
 	}
 }
 
-// sumBytes of a sum are compared.
+// sumBytes is the length to which sums are truncated for comparison.
 const sumBytes = 16
 
-// total sums up the whole table.
+// total returns the sum of the whole table.
 func (t *Table) total() []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +74,7 @@
 	return all[:sumBytes]
 }
 
-// digest sums up the buckets of the table.
+// digest returns the sums of all buckets.
 func (t *Table) digest() Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,7 +85,7 @@
 	return d
 }
 
-// differing is the buckets whose sums are not those of another table.
+// differingBuckets returns the buckets whose sums differ from those of another table.
 func (d Digest) differingBuckets(sums [][]byte) []int {
 	var out []int
 	for i := range d.Sums {
@@ -96,7 +96,7 @@
 	return out
 }
 
-// compare says how this table differs from the one that a digest sums up.
+// compareDigest compares this table with the one that d summarizes.
 func (t *Table) compareDigest(d Digest) DigestReply {
 	switch {
 	case len(d.Total) == 0:
@@ -107,7 +107,7 @@
 	return DigestReply{ComparesTotal: true, Sums: t.digest().Sums}
 }
 
-// heads lists the newest stamps in some buckets.
+// stampsIn returns the stamps of all entries in some buckets.
 func (t *Table) stampsIn(bucket []int) BucketStamps {
 	in := map[int]bool{}
 	for _, b := range bucket {
@@ -124,7 +124,7 @@
 	return h
 }
 
-// gap compares what another has with what is here, both ways.
+// delta compares a peer's stamps with this table in both directions.
 func (t *Table) delta(q BucketStamps) Delta {
 	mine := t.stampsIn(q.Buckets)
 	var g Delta
@@ -143,7 +143,7 @@
 	return g
 }
 
-// pick gives the entries of some keys, up to pullAt.
+// entriesOf returns the entries of some keys, at most maxReplyEntries.
 func (t *Table) entriesOf(keys []string) bundle {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,8 +156,8 @@
 	return b
 }
 
-// Mend makes a table and a peer's know what either knows. It gives the peer's word
-// on how long it has been out of touch, or 0 where that could not be done.
+// Reconcile exchanges missing entries between a table and a peer's in both directions. It returns the
+// peer's statement of how long it has been out of touch, or 0 if the exchange failed.
 func Reconcile(ctx context.Context, caller *wire.Caller, t *Table, addr, self string) touch.Word {
 	d, err := wire.Call[Digest, DigestReply](ctx, caller, addr, digestPath, Digest{Total: t.total()})
 	if err == nil && !d.ComparesTotal {
@@ -182,7 +182,7 @@
 	if len(g.Wanted) > 0 {
 		b := t.entriesOf(g.Wanted)
 		b.From = self
-		// Why: what it lacks is its own loss; what we lacked is here.
+		// A failure is ignored: this table is up to date already, and the peer gets the entries later.
 		_, _ = wire.CallLarge[PushReply](ctx, caller, addr, "/news/push", wire.Prepare(b))
 	}
 	return d.Touch
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -11,8 +11,8 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// digestPeer serves a table for Mend, as this build does or as an earlier one, which
-// reads the sums of buckets alone; it counts what is asked.
+// digestPeer serves a table for Reconcile, in the current version or in an earlier one, which
+// compares only bucket sums. It records the digests it receives.
 func digestPeer(t *testing.T, table *Table, earlier bool) (addr string, digests *[]Digest) {
 	mux, asked := wire.NewMux(), &[]Digest{}
 	wire.Handle(mux, digestPath, func(_ context.Context, d Digest) (DigestReply, error) {
@@ -34,8 +34,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), asked
 }
 
-// Two tables know what either knew after one exchange, also with an earlier version;
-// those that are alike exchange one sum.
+// After one exchange both tables hold the newest entries of either, also with a peer of an earlier version;
+// equal tables exchange one sum.
 func TestReconcileComparesTotalFirst(t *testing.T) {
 	for _, earlier := range []bool{false, true} {
 		a, b := NewTable(), NewTable()
@@ -53,7 +53,7 @@
 		t.Cleanup(caller.Close)
 		Reconcile(t.Context(), caller, a, addr, "a")
 		if !bytes.Equal(a.total(), b.total()) || fmt.Sprint(a.digest()) != fmt.Sprint(b.digest()) {
-			t.Errorf("earlier version %t: still apart", earlier)
+			t.Errorf("earlier version %t: tables still differ", earlier)
 		}
 		calls, _ := caller.Sent()
 		*asked = nil
@@ -61,14 +61,14 @@
 		after, _ := caller.Sent()
 		switch {
 		case earlier && len(*asked) != 2:
-			t.Errorf("an earlier version was asked %d times", len(*asked))
+			t.Errorf("a peer of an earlier version received %d digests, want 2", len(*asked))
 		case !earlier && (after-calls != 1 || len((*asked)[0].Sums) != 0):
-			t.Errorf("tables that are alike took %d calls, %d sums", after-calls, len((*asked)[0].Sums))
+			t.Errorf("equal tables took %d calls and %d bucket sums, want 1 and 0", after-calls, len((*asked)[0].Sums))
 		}
 	}
 }
 
-// A peer of an earlier version sends the sums of its buckets, and is told which differ.
+// A peer of an earlier version sends its bucket sums and gets the buckets that differ.
 func TestCompareDigestAnswersEarlierVersionWithBuckets(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	a.Put(entry("k", 1, 1))
@@ -78,11 +78,11 @@
 	}
 	b.Put(entry("k", 1, 1))
 	if got := b.compareDigest(a.digest()); len(got.Buckets) != 0 {
-		t.Errorf("alike, but %+v", got)
+		t.Errorf("equal tables, but reply %+v", got)
 	}
 }
 
-// Tables with the same entries have the same total in whatever order they came, and another entry makes another.
+// Tables with the same entries have the same total in any order of insertion; a different entry changes it.
 func TestTotalDependsOnlyOnEntries(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	for i := range 100 {
@@ -90,10 +90,10 @@
 		b.Put(entry(fmt.Sprint("k", 99-i), 1, 1))
 	}
 	if !bytes.Equal(a.total(), b.total()) {
-		t.Error("the same entries, another total")
+		t.Error("same entries, different totals")
 	}
 	b.Put(entry("k3", 1, 2))
 	if bytes.Equal(a.total(), b.total()) {
-		t.Error("a newer entry, the same total")
+		t.Error("newer entry, same total")
 	}
 }
--- a/internal/gossip/disseminator.go
+++ b/internal/gossip/disseminator.go
@@ -12,18 +12,18 @@
 	"drumstall.example/internal/member/touch"
 )
 
-// bundle is some entries on their way.
+// bundle is a set of entries sent in one message.
 type bundle struct {
-	From    string  `cbor:"1,keyasint"` // address to pull from
+	From    string  `cbor:"1,keyasint"` // address of the sender, to pull from
 	Entries []Entry `cbor:"2,keyasint"`
 }
 
-// Pushed is the answer to a push.
+// PushReply is the reply to a push.
 type PushReply struct {
 	Accepted int `cbor:"1,keyasint"`
 }
 
-// Spreader passes a table's news on.
+// Disseminator sends the entries of a table to peers and receives theirs.
 type Disseminator struct {
 	table      *Table
 	group      *run.Group
@@ -32,16 +32,16 @@
 	caller     *wire.Caller
 	self       func() string
 	peers      func() []string
-	tree       func() Tree          // nil is a fleet without one
-	lastTree   atomic.Pointer[Tree] // the tree of the last round
-	pullTokens chan struct{}        // one for each pull that may begin
+	tree       func() Tree          // nil for a fleet without a tree
+	lastTree   atomic.Pointer[Tree] // tree of the last round
+	pullTokens chan struct{}        // one token for each pull that may start
 	pulls      pullTracker
 	replyCache replyCache
 }
 
-// NewSpreader starts to pass news on and to take it, until g stops. self and peers
-// give addresses as they are now, and tree whom this node tells in a large fleet; in is
-// this node's word on how long it has been out of touch.
+// NewDisseminator starts to send and receive entries until g stops. self and peers
+// return current addresses, and tree returns the nodes to send to in a large fleet; in states
+// how long this node has been out of touch.
 func NewDisseminator(g *run.Group, t *Table, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Keeper) *Disseminator {
 	s := &Disseminator{table: t, group: g, log: log, post: post, caller: caller, self: self, peers: peers, tree: tree, pullTokens: make(chan struct{}, maxConcurrentPulls)}
 	for range maxConcurrentPulls {
@@ -57,15 +57,15 @@
 	})
 	s.registerHandlers(mux, in)
 	actor := run.NewActor(g, 16, interval, func() { s.propagate(false) })
-	now := run.NewNudge(actor, func() { s.propagate(true) })
-	own := now.Now
-	t.localPutFunc.Store(&own)
+	nudge := run.NewNudge(actor, func() { s.propagate(true) })
+	notify := nudge.Now
+	t.localPutFunc.Store(&notify)
 	g.Every(digestInterval, s.reconcileWithPeer)
 	g.Every(time.Minute, func(context.Context) { t.Purge(purgeAfter) })
 	return s
 }
 
-// answer serves the other nodes' spreaders on mux.
+// registerHandlers registers the handlers of calls from other disseminators on mux.
 func (s *Disseminator) registerHandlers(mux *wire.Mux, in *touch.Keeper) {
 	t := s.table
 	wire.Handle(mux, "/news/push", func(_ context.Context, b bundle) (PushReply, error) {
@@ -88,8 +88,8 @@
 	wire.HandleLarge(mux, "/news/gap", func(_ context.Context, h BucketStamps) (Delta, error) { return t.delta(h), nil })
 }
 
-// passOn sends what is new to whom it is for: in a small fleet to all, in a large
-// one down the tree. At once means that only what was never told goes out.
+// propagate sends pending entries: to all peers in a small fleet, along the tree in a large
+// one. With atOnce, only local entries that were never sent go out, and only in a small fleet.
 func (s *Disseminator) propagate(atOnce bool) {
 	all := s.peers()
 	if len(all) > MaxDirectPeers {
@@ -106,9 +106,9 @@
 	}
 }
 
-// passOnInLargeFleet sends what is new down the tree, or to a few peers where there is
-// none. Why: in a large fleet nothing goes out between two rounds, or each entry would be a datagram for
-// every node.
+// propagateInLargeFleet sends pending entries along the tree, or to fanout peers if there is
+// none. In a large fleet nothing is sent between two rounds; otherwise each entry would cost a datagram of its own
+// to every node.
 func (s *Disseminator) propagateInLargeFleet(atOnce bool) {
 	if atOnce {
 		return
@@ -122,7 +122,7 @@
 	s.propagateAlongTree(tree)
 }
 
-// due takes the entries that are to be passed on now.
+// takeDue returns the pending entries to send now and counts the round.
 func (s *Disseminator) takeDue(which func(*record) bool) []Entry {
 	s.table.mu.Lock()
 	defer s.table.mu.Unlock()
@@ -139,7 +139,7 @@
 	return out
 }
 
-// headline is an entry as it goes into a datagram: a large value is left out.
+// withoutLargeValue returns an entry as it is sent in a datagram: a large value is omitted.
 func withoutLargeValue(e Entry) Entry {
 	if len(e.Value) > maxInlineBytes {
 		e.Value, e.ValueOmitted = nil, true
@@ -163,7 +163,7 @@
 	}
 }
 
-// compare mends gaps with one peer.
+// reconcileWithPeer reconciles the table with that of one sampled peer.
 func (s *Disseminator) reconcileWithPeer(ctx context.Context) {
 	to := sample.Of(s.peers(), 1)
 	if len(to) == 0 {
@@ -174,7 +174,7 @@
 	s.Reconcile(ctx, to[0])
 }
 
-// Mend makes both sides know what either knows.
+// Reconcile exchanges missing entries with a peer in both directions.
 func (s *Disseminator) Reconcile(ctx context.Context, addr string) {
 	Reconcile(ctx, s.caller, s.table, addr, s.self())
 }
--- a/internal/gossip/disseminator_test.go
+++ b/internal/gossip/disseminator_test.go
@@ -15,7 +15,7 @@
 	"drumstall.example/internal/sim/simnet"
 )
 
-// listeners are the peers of one node; they count the keys that reach them.
+// testPeers are the peers of one node; they count the entries received by key.
 type testPeers struct {
 	sender   *Disseminator
 	addrs    []string
@@ -31,7 +31,7 @@
 	return pc
 }
 
-// among runs f in a fleet of a node and some peers.
+// runWithPeers runs f in a fleet of a node and some peers.
 func runWithPeers(t *testing.T, peers int, f func(l *testPeers)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
@@ -67,10 +67,10 @@
 	}
 }
 
-// pass passes news on and tells how many peers heard of a key by it.
+// propagate propagates pending entries and returns how many peers received a key.
 func (l *testPeers) propagate(atOnce bool, key string) int {
 	l.sender.propagate(atOnce)
-	time.Sleep(10 * time.Millisecond) // in the bubble: until the datagrams have come
+	time.Sleep(10 * time.Millisecond) // virtual time: until the datagrams have arrived
 	synctest.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +82,7 @@
 func wantReceived(t *testing.T, when string, got, want int) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s: %d peers heard, want %d", when, got, want)
+		t.Errorf("%s: %d peers received the entry, want %d", when, got, want)
 	}
 }
 
@@ -116,7 +116,7 @@
 		wantReceived(t, "at the round", l.propagate(false, "told"), fanout)
 		wantReceived(t, "at the round after", l.propagate(false, "told"), 0)
 		if l.sender.table.PutRemote(entry("told", 1, 1)); len(l.sender.table.pending) != 0 {
-			t.Error("told again it is passed on again")
+			t.Error("an entry received again is pending again")
 		}
 	})
 }
@@ -150,7 +150,7 @@
 		l.sender.propagate(true)
 		l.sender.propagate(false)
 		if len(l.sender.table.pending) != 1 {
-			t.Error("it is told to nobody and forgotten")
+			t.Error("an entry that was sent to no peer is no longer pending")
 		}
 	})
 }
@@ -167,6 +167,6 @@
 		t.Errorf("got %d entries", len(out))
 	}
 	if e, found := s.table.Get("large"); !found || e.ValueOmitted || len(e.Value) != maxInlineBytes+1 {
-		t.Error("the table itself lost the value")
+		t.Error("the table lost the value")
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,11 +1,11 @@
-// Package gossip spreads small facts: a table of key to newest value,
-// passed on to a few peers each interval, its gaps mended by comparing digests.
+// Package gossip replicates small facts to all nodes: it owns a table from key to newest value,
+// which is sent to some peers in each round and reconciled by comparing digests.
 //
-// Every core and agent makes one Table and one Spreader, and a proxy one Table
-// that its agent feeds; whoever there has something for all nodes puts it in, and
-// whoever wants to know reads it or is called. A fact has one author, whose stamp
-// orders it. Nothing is kept on disk, nobody's acknowledgement rests on it, and it
-// never runs backwards: an older stamp is never taken in place of a newer one.
+// Every core and agent has one Table and one Disseminator; a proxy has one Table
+// that its agent fills. A component that publishes a fact puts it into the table; one that
+// needs it reads the table or registers a callback. Each fact has one author, whose stamps
+// order its versions. Nothing is stored on disk, no acknowledgement depends on the table, and a
+// newer stamp is never replaced by an older one.
 package gossip
 
 import (
@@ -16,43 +16,43 @@
 )
 
 const (
-	interval       = 100 * time.Millisecond // between two rounds of passing on
-	digestInterval = time.Second            // between two comparisons with a peer
-	fanout         = 3                      // peers told in a round
-	gossipRepeats  = 5                      // rounds in which a fact is told
-	maxInlineBytes = 900                    // a larger value is pulled by who lacks it
-	// AllTold is up to how many peers one who has something new tells all of them at once; others pass it
-	// on once more. In a larger fleet it goes down a tree, or from few to few where no core is known.
+	interval       = 100 * time.Millisecond // between two rounds of propagation
+	digestInterval = time.Second            // between two digest comparisons with a peer
+	fanout         = 3                      // peers per round
+	gossipRepeats  = 5                      // rounds in which an entry is sent to fanout peers
+	maxInlineBytes = 900                    // larger values are left out of datagrams and pulled by receivers
+	// MaxDirectPeers is the largest number of peers to which the author of an entry sends it directly; other nodes
+	// forward it once more. In a larger fleet entries go down a tree, or to fanout peers a round if no core is known.
 	MaxDirectPeers  = 24
 	directRepeats   = 2
 	forwardRepeats  = 1
-	numBuckets      = 64               // parts of the table that are compared
-	maxEntries      = 200_000          // bound on the table
-	purgeAfter      = 10 * time.Minute // how long a removed key is remembered
-	maxReplyEntries = 256              // entries in one answer
+	numBuckets      = 64               // buckets of the digest
+	maxEntries      = 200_000          // entries of a table
+	purgeAfter      = 10 * time.Minute // how long the tombstone of a removed key is kept
+	maxReplyEntries = 256              // entries in one reply
 )
 
-// Entry is one fact; the newest stamp wins.
+// Entry is one version of a fact; the newest stamp wins.
 type Entry struct {
 	Key          string      `cbor:"1,keyasint"`
 	Stamp        state.Stamp `cbor:"2,keyasint"`
 	Value        []byte      `cbor:"3,keyasint,omitempty"`
 	Deleted      bool        `cbor:"4,keyasint,omitempty"` // the key was removed
-	ValueOmitted bool        `cbor:"5,keyasint,omitempty"` // only a headline: the value has to be pulled
+	ValueOmitted bool        `cbor:"5,keyasint,omitempty"` // the value is too large for a datagram and has to be pulled
 }
 
-// origin is where a node has an entry from.
+// origin is where a node got an entry from.
 type origin uint8
 
 // The origins of an entry.
 const (
-	originLocal origin = iota // this node made it
-	originCore                // a core told it while it passed it down the tree
-	originPeer                // any other node told it, or it came to mend a gap
+	originLocal origin = iota // published by this node
+	originCore                // received from a core
+	originPeer                // received from any other node, or by reconciliation
 	numOrigins
 )
 
-// rounds is in how many rounds an entry is passed on, by its origin.
+// roundsByOrigin is the number of rounds in which an entry is sent, by its origin.
 type roundsByOrigin [numOrigins]int
 
 var (
@@ -62,6 +62,6 @@
 	treeAgentRounds = roundsByOrigin{originLocal: directRepeats, originCore: forwardRepeats, originPeer: forwardRepeats}
 )
 
-// lasting says whether a removed key must be remembered for good: a leaving
-// mark counts up from the last one, so forgetting it would make the next look old.
+// keepsTombstone reports whether the tombstone of a removed key is kept for good. The stamp of a leave
+// mark counts up from the last one, so after a purge the next mark would look old.
 func keepsTombstone(key string) bool { return strings.HasPrefix(key, "mark/") }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -20,32 +20,32 @@
 		table.Put(entry("k", s[0], s[1]))
 	}
 	if got := table.StampOf("k"); got != (state.Stamp{Epoch: 2, Version: 2}) {
-		t.Errorf("newest is %v", got)
+		t.Errorf("newest stamp is %v", got)
 	}
 	for i := 1; i < len(seen); i++ {
 		if !seen[i].Newer(seen[i-1]) {
-			t.Errorf("told %v after %v", seen[i], seen[i-1])
+			t.Errorf("callback got %v after %v", seen[i], seen[i-1])
 		}
 	}
 	if e := entry("k", 3, 1); table.Put(Entry{Key: e.Key, Stamp: e.Stamp, ValueOmitted: true}) {
-		t.Error("a headline was taken for a value")
+		t.Error("an entry without its value was accepted")
 	}
 	gone := entry("k", 3, 1)
 	gone.Deleted = true
 	table.Put(gone)
 	if _, found := table.Get("k"); found || table.Put(entry("k", 2, 9)) {
-		t.Error("a removed entry came back")
+		t.Error("a removed entry reappeared")
 	}
 	mark := entry("mark/r", 0, 2)
 	mark.Deleted = true
 	table.Put(mark)
 	table.Purge(0)
 	if n, _ := table.Len(); n != 1 || table.Put(gone) || fmt.Sprint(table.digest()) == fmt.Sprint(NewTable().digest()) {
-		t.Errorf("after a purge %d entries are left", n)
+		t.Errorf("after a purge %d entries are left, want only the tombstone of the mark", n)
 	}
 }
 
-// Two tables that drifted apart are the same after one exchange of digests.
+// Two tables that differ are equal after one exchange of digests.
 func TestDigestExchangeReconcilesTables(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -67,7 +67,7 @@
 			}
 		}
 		if len(diff) == 0 {
-			t.Fatal("nothing to mend")
+			t.Fatal("tables do not differ")
 		}
 		g := b.delta(a.stampsIn(diff))
 		for _, e := range g.Entries {
@@ -77,7 +77,7 @@
 			b.Put(e)
 		}
 		if fmt.Sprint(a.digest()) != fmt.Sprint(b.digest()) {
-			t.Errorf("seed %d: still apart", seed)
+			t.Errorf("seed %d: tables still differ", seed)
 		}
 	}
 }
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -12,27 +12,27 @@
 
 const (
 	pullPath = "/news/pull"
-	// pullLimit is how long a pull may take.
+	// pullTimeout bounds one pull.
 	pullTimeout = 2 * time.Second
-	// pullGap is the least time between two pulls of an entry of largeBytes or more. Why: of changes in
-	// quick succession every node would ask for every one.
+	// minPullInterval is the minimum time between two pulls of an entry of largeBytes or more. Without it every node
+	// would request every one of several changes in quick succession.
 	minPullInterval = 300 * time.Millisecond
 	largeBytes      = 8 << 10
-	// mostPulls is how many pulls are under way at once; others wait for their turn.
+	// maxConcurrentPulls is the number of concurrent pulls; further ones wait for a token.
 	maxConcurrentPulls = 8
 )
 
-// pulls are those under way. Why: what is told by many at once is pulled from each but once.
+// pullTracker holds the pulls in flight, so that an entry offered by several peers is pulled from each only once.
 type pullTracker struct {
 	mu        sync.Mutex
 	inFlight  map[pullKey]bool
-	lastLarge map[string]time.Time // when a large entry was pulled last, by key
+	lastLarge map[string]time.Time // time of the last pull of a large entry, by key
 }
 
-// pulled is a key that is pulled from a peer.
+// pullKey identifies a pull of one key from one peer.
 type pullKey struct{ key, from string }
 
-// rest is how long the next pull of some keys waits.
+// delay returns how long the next pull of some keys has to wait.
 func (p *pullTracker) delay(keys []string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +45,7 @@
 	return longest
 }
 
-// came notes that a large entry has been pulled.
+// recordLarge records the pull of a large entry.
 func (p *pullTracker) recordLarge(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,33 +55,33 @@
 	p.lastLarge[key] = time.Now()
 }
 
-// begin notes pulls from a peer, and gives the entries that are not being pulled from it.
-func (p *pullTracker) begin(from string, told []entryRef) []entryRef {
+// begin registers pulls from a peer and returns the entries that are not already being pulled from it.
+func (p *pullTracker) begin(from string, refs []entryRef) []entryRef {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.inFlight == nil {
 		p.inFlight = map[pullKey]bool{}
 	}
 	var fresh []entryRef
-	for _, entry := range told {
-		if one := (pullKey{entry.key, from}); !p.inFlight[one] {
-			p.inFlight[one] = true
+	for _, entry := range refs {
+		if key := (pullKey{entry.key, from}); !p.inFlight[key] {
+			p.inFlight[key] = true
 			fresh = append(fresh, entry)
 		}
 	}
 	return fresh
 }
 
-// end notes that pulls are over.
-func (p *pullTracker) end(from string, told []entryRef) {
+// end unregisters pulls from a peer.
+func (p *pullTracker) end(from string, refs []entryRef) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, entry := range told {
+	for _, entry := range refs {
 		delete(p.inFlight, pullKey{entry.key, from})
 	}
 }
 
-// take learns what a datagram holds, and pulls what it only names.
+// receive stores the entries of a datagram and pulls those that came without their value.
 func (s *Disseminator) receive(b bundle) {
 	var want []entryRef
 	from := s.originOf(b.From)
@@ -95,7 +95,7 @@
 	s.fetch(b.From, want)
 }
 
-// Fetch pulls an entry from a peer that says that it has it under a stamp, if that is newer than what is known.
+// Fetch pulls an entry from a peer that offers it under a stamp, if the stamp is newer than the local one.
 func (s *Disseminator) Fetch(addr, key string, stamp state.Stamp) {
 	if stamp.Newer(s.table.StampOf(key)) {
 		s.fetch(addr, []entryRef{{key, stamp}})
@@ -103,46 +103,46 @@
 }
 
 // fetch pulls some entries from a peer in the background.
-func (s *Disseminator) fetch(from string, told []entryRef) {
-	told = s.pulls.begin(from, told)
-	if len(told) == 0 {
+func (s *Disseminator) fetch(from string, refs []entryRef) {
+	refs = s.pulls.begin(from, refs)
+	if len(refs) == 0 {
 		return
 	}
 	if !s.group.Go(func(ctx context.Context) {
-		defer s.pulls.end(from, told)
-		// Why: what rests takes nobody's turn.
-		run.Wait(ctx, s.pulls.delay(keysOf(told)))
+		defer s.pulls.end(from, refs)
+		// A delayed pull must not hold a token.
+		run.Wait(ctx, s.pulls.delay(keysOf(refs)))
 		if !run.WaitOn(ctx, s.pullTokens, pullTimeout) {
 			return
 		}
 		defer func() { s.pullTokens <- struct{}{} }()
-		s.pull(ctx, from, s.newerKeys(told))
+		s.pull(ctx, from, s.newerKeys(refs))
 	}) {
-		s.pulls.end(from, told)
+		s.pulls.end(from, refs)
 	}
 }
 
-// lacking is the keys of some entries that are newer than what is known.
-func (s *Disseminator) newerKeys(told []entryRef) []string {
+// newerKeys returns the keys of those entries that are newer than the local ones.
+func (s *Disseminator) newerKeys(refs []entryRef) []string {
 	var keys []string
-	for _, one := range told {
-		if one.stamp.Newer(s.table.StampOf(one.key)) {
-			keys = append(keys, one.key)
+	for _, ref := range refs {
+		if ref.stamp.Newer(s.table.StampOf(ref.key)) {
+			keys = append(keys, ref.key)
 		}
 	}
 	return keys
 }
 
-// keysOf is the keys of some entries.
-func keysOf(told []entryRef) []string {
-	keys := make([]string, len(told))
-	for i, one := range told {
-		keys[i] = one.key
+// keysOf returns the keys of some entries.
+func keysOf(refs []entryRef) []string {
+	keys := make([]string, len(refs))
+	for i, ref := range refs {
+		keys[i] = ref.key
 	}
 	return keys
 }
 
-// pull asks a peer for the entries of some keys.
+// pull requests the entries of some keys from a peer.
 func (s *Disseminator) pull(ctx context.Context, addr string, want []string) {
 	if len(want) == 0 {
 		return
@@ -162,30 +162,30 @@
 	}
 }
 
-// packedAnswer is the last large answer to a pull. Why: all nodes below a core ask it for the
-// same document, and to pack and compress it for each costs more than to send it.
+// replyCache holds the last large reply to a pull. All nodes below a core pull the same document from it,
+// and packing and compressing it for each costs more than sending it.
 type replyCache struct {
 	mu    sync.Mutex
 	ref   entryRef
 	reply wire.Large
 }
 
-// headed is an entry by its key and stamp.
+// entryRef identifies a version of an entry by key and stamp.
 type entryRef struct {
 	key   string
 	stamp state.Stamp
 }
 
-// of packs an answer, once for all who ask for the same one large entry.
+// prepare encodes a reply; replies with the same single large entry are encoded once.
 func (p *replyCache) prepare(b bundle) wire.Large {
 	if len(b.Entries) != 1 || len(b.Entries[0].Value) <= maxInlineBytes {
 		return wire.Prepare(b)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	of := entryRef{b.Entries[0].Key, b.Entries[0].Stamp}
-	if p.ref != of {
-		p.ref, p.reply = of, wire.Prepare(b)
+	ref := entryRef{b.Entries[0].Key, b.Entries[0].Stamp}
+	if p.ref != ref {
+		p.ref, p.reply = ref, wire.Prepare(b)
 	}
 	return p.reply
 }
--- a/internal/gossip/push_test.go
+++ b/internal/gossip/push_test.go
@@ -18,11 +18,12 @@
 
 // The links of a large site: what a core and an edge send in a second.
 const (
+	// The links of a large site: bytes per second that a core and an edge can send.
 	coreLink = 210_000_000 / 8
 	edgeLink = 10_000_000 / 8
 )
 
-// nodes are spreaders on a network of their own, the first one at a core's link.
+// testFleet is a set of disseminators on a simulated network; the first node has a core's link.
 type testFleet struct {
 	group         *run.Group
 	cores         int
@@ -33,10 +34,10 @@
 	disseminators []*Disseminator
 }
 
-// spreaders runs f in a fleet of n nodes.
+// runFleet runs f in a fleet of n nodes.
 func runFleet(t *testing.T, n int, f func(fleet *testFleet)) { runTreeFleet(t, 0, n, f) }
 
-// spreadersBelow runs f in a fleet of n nodes, of which so many are the cores of a tree; 0 is no tree.
+// runTreeFleet runs f in a fleet of n nodes, the first of which are the cores of a tree; 0 cores means no tree.
 func runTreeFleet(t *testing.T, cores, n int, f func(fleet *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &testFleet{group: run.NewGroup(t.Context()), cores: cores, fabric: simnet.New(1, func(string, string) time.Duration { return time.Millisecond })}
@@ -52,14 +53,14 @@
 			stop()
 		}
 		fleet.group.Stop()
-		time.Sleep(3 * time.Second) // until dials that nobody waits for have ended
+		time.Sleep(3 * time.Second) // until abandoned dials have ended
 	})
 }
 
-// machine is the address of a node's machine.
+// nodeIP returns the IP address of a node.
 func nodeIP(i int) string { return fmt.Sprintf("10.0.%d.%d", i/200, i%200+1) }
 
-// start starts one node and gives what ends it.
+// start starts one node and returns the function that stops it.
 func (n *testFleet) start(t *testing.T, i int) func() {
 	ip := nodeIP(i)
 	rate := edgeLink
@@ -91,7 +92,7 @@
 	}
 }
 
-// treeOf is the tree as a node sees it: agents are below the cores by turns.
+// treeOf returns the tree as a node sees it; agents are assigned to the cores round-robin.
 func (n *testFleet) treeOf(i int) func() Tree {
 	if n.cores == 0 {
 		return nil
@@ -111,7 +112,7 @@
 	return func() Tree { return tree }
 }
 
-// have counts the nodes that have an entry.
+// countHolding returns the number of nodes that have an entry.
 func (n *testFleet) countHolding(e Entry) int {
 	count := 0
 	for _, t := range n.tables {
@@ -122,7 +123,7 @@
 	return count
 }
 
-// routes is a document of some hundred bytes a route.
+// routesDocument returns a document of some hundred bytes per route.
 func routesDocument(n int) []byte {
 	type one struct {
 		Name, Host, PathStart, Kind, Service string
@@ -136,8 +137,8 @@
 	return b
 }
 
-// A configuration of many routes that is pushed to a large site must be there within the push:
-// what is left to pulls goes from edge to edge over links of 10 Mbit/s.
+// A configuration with many routes must reach a large site within the push: nodes that it misses
+// have to pull it from edge to edge over links of 10 Mbit/s.
 func TestPushDeliversLargeDocumentToLargeSite(t *testing.T) {
 	runFleet(t, 94, func(fleet *testFleet) {
 		e := entry("config/main", 1, 1)
@@ -153,7 +154,7 @@
 	})
 }
 
-// Large documents one after another: each is everywhere soon after its push, and none holds up the next.
+// Each of several large documents in succession is on all nodes soon after its push, and none delays the next.
 func TestPushLargeDocumentsInQuickSuccession(t *testing.T) {
 	runFleet(t, 94, func(fleet *testFleet) {
 		for version := range uint64(6) {
@@ -171,7 +172,7 @@
 	})
 }
 
-// announce has the first node announce a document, and gives the entry and the bytes of calls that this cost its author.
+// announce announces a document from the first node. It returns the entry and the bytes that the author sent in calls.
 func (n *testFleet) announce(version uint64, document []byte) (e Entry, bytes int64) {
 	e = entry("config/main", 1, version)
 	e.Value = document
@@ -181,7 +182,7 @@
 	return e, after - before
 }
 
-// awaited fails unless every node has an entry in time.
+// requireAll fails unless every node has an entry within the given time.
 func (n *testFleet) requireAll(t *testing.T, e Entry, within time.Duration) {
 	t.Helper()
 	for began := time.Now(); n.countHolding(e) < len(n.addrs); time.Sleep(10 * time.Millisecond) {
@@ -192,8 +193,8 @@
 	}
 }
 
-// What one change costs its author must not grow with the nodes of the fleet, or a core with a fifth of a
-// processor loses its leases over it.
+// The author's cost of a change must not grow with the fleet; otherwise a core with a fifth of a
+// processor loses its leases.
 func TestAnnounceCostIndependentOfFleetSize(t *testing.T) {
 	const cores = 7
 	costs := map[int]int64{}
@@ -210,7 +211,7 @@
 	}
 }
 
-// Of changes in quick succession a node needs the newest, and not every one on its way.
+// Of several changes in quick succession a node needs only the newest and must not pull all of them.
 func TestRapidChangesAreNotAllPulled(t *testing.T) {
 	const cores, all, versions, mostEach = 7, 60, 20, 10
 	runTreeFleet(t, cores, all, func(fleet *testFleet) {
@@ -238,7 +239,7 @@
 	})
 }
 
-// Pulls of other entries that wait for their turn must not keep a configuration from being pulled.
+// Pulls of other entries that wait for a token must not prevent the pull of a configuration.
 func TestConfigurationIsPulledDuringChurn(t *testing.T) {
 	const cores, all, others, rounds, after = 3, 26, 400, 2, 6
 	runTreeFleet(t, cores, all, func(fleet *testFleet) {
@@ -262,7 +263,7 @@
 	})
 }
 
-// Eight pulls that rested once held all places, so that whatever else was told of meanwhile was dropped.
+// Guards against delayed pulls that hold all eight tokens: other entries offered meanwhile were dropped.
 func TestDelayedPullHoldsNoToken(t *testing.T) {
 	runFleet(t, 2, func(fleet *testFleet) {
 		for i := range 3 * maxConcurrentPulls {
@@ -276,7 +277,7 @@
 		fleet.disseminators[1].Fetch(fleet.addrs[0], e.Key, e.Stamp)
 		time.Sleep(minPullInterval / 2)
 		if n := fleet.countHolding(e); n != len(fleet.addrs) {
-			t.Errorf("%d of %d nodes have what was told of beside the pulls that rest", n, len(fleet.addrs))
+			t.Errorf("%d of %d nodes have the entry offered during the delayed pulls", n, len(fleet.addrs))
 		}
 	})
 }
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -11,19 +11,18 @@
 	"drumstall.example/internal/state"
 )
 
-// held is one fact as this node knows it.
+// record is an entry with this node's bookkeeping.
 type record struct {
 	entry      Entry
-	seq        uint64 // grows with each change of the table
-	roundsLeft int    // times it is still to be passed on
+	seq        uint64 // sequence number of the table's change
+	roundsLeft int    // rounds in which it is still to be sent
 	origin     origin
 	updatedAt  time.Time
-	element    *list.Element // in the order of changes
+	element    *list.Element // in the change log
 }
 
-// Table holds the news of one node. It is read on the path of requests, so it
-// is a locked map whose changes wake those who follow it. Its methods may be called
-// from anywhere.
+// Table holds the entries known to one node. It is read on the request path, so it
+// is a map under a lock whose changes wake followers. Its methods are safe for concurrent use.
 type Table struct {
 	mu           sync.Mutex
 	records      map[string]*record
@@ -38,19 +37,19 @@
 	localPutFunc atomic.Pointer[func()]
 }
 
-// NewTable makes a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{records: map[string]*record{}, pending: map[string]*record{}, changed: make(chan struct{})}
 	t.rounds.Store(&gossipRounds)
 	return t
 }
 
-// OnNew calls f with every entry that is newer than what was known. Name all
-// of them before the table is in use.
+// OnUpdate registers f to be called with every entry that is newer than the known one. All callbacks
+// must be registered before the table is in use.
 func (t *Table) OnUpdate(f func(Entry)) { t.updateFuncs = append(t.updateFuncs, f) }
 
-// Put takes an entry of this node's own making if it is newer than what is known,
-// and says whether it was; it is passed on at once.
+// Put stores a local entry if it is newer than the known one and reports whether it was.
+// An accepted entry is sent at once.
 func (t *Table) Put(e Entry) bool {
 	if !t.put(e, originLocal) {
 		return false
@@ -61,10 +60,10 @@
 	return true
 }
 
-// Learn takes an entry that a peer told, and says whether it was newer.
+// PutRemote stores an entry received from a peer if it is newer and reports whether it was.
 func (t *Table) PutRemote(e Entry) bool { return t.put(e, originPeer) }
 
-// put takes an entry if it is newer than what is known, and tells who asked for that.
+// put stores an entry if it is newer than the known one and runs the callbacks.
 func (t *Table) put(e Entry, from origin) bool {
 	if !t.apply(e, from) {
 		return false
@@ -75,13 +74,13 @@
 	return true
 }
 
-// enter changes the table alone.
+// apply changes the table without running callbacks.
 func (t *Table) apply(e Entry, from origin) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.records[e.Key]
-	// Why: news never runs backwards, whoever tells it.
-	// A removed key that is not known needs no remembering, or purged ones would come back for ever.
+	// An older stamp never replaces a newer one, whatever its origin.
+	// The tombstone of an unknown key is not stored, or purged ones would keep coming back.
 	if e.Key == "" || e.ValueOmitted || old == nil && e.Deleted && !keepsTombstone(e.Key) || old != nil && !e.Stamp.Newer(old.entry.Stamp) {
 		return false
 	}
@@ -103,7 +102,7 @@
 	return true
 }
 
-// Get gives the newest value of a key.
+// Get returns the newest entry of a key, unless it was removed.
 func (t *Table) Get(key string) (Entry, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,7 +113,7 @@
 	return h.entry, true
 }
 
-// StampOf gives the newest stamp of a key, of removed ones too.
+// StampOf returns the newest stamp of a key, also of a removed one.
 func (t *Table) StampOf(key string) state.Stamp {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,7 +123,7 @@
 	return state.Stamp{}
 }
 
-// List gives the entries whose keys start with prefix.
+// List returns the entries whose keys start with prefix.
 func (t *Table) List(prefix string) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,15 +136,15 @@
 	return out
 }
 
-// Len is the number of entries and of those refused because the table was full.
+// Len returns the number of entries, and of those rejected because the table was full.
 func (t *Table) Len() (int, int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.records), t.dropped.Load()
 }
 
-// Purge forgets keys that were removed longer ago than age, but for those that
-// must be remembered for good.
+// Purge deletes the tombstones of keys that were removed longer ago than age, except those
+// that are kept for good.
 func (t *Table) Purge(age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gossip/tree.go
+++ b/internal/gossip/tree.go
@@ -6,20 +6,20 @@
 	"drumstall.example/internal/kernel/sample"
 )
 
-// Tree is whom a node of a large fleet tells its news, by their addresses: what is new
-// goes from its author to all cores, and from each core to the agents below it. What an agent was told
-// it tells one neighbour more, in case that one's core is away; digests mend the rest.
+// Tree holds the addresses to which a node of a large fleet sends entries: a new entry
+// goes from its author to all cores, and from each core to the agents below it. An agent forwards what it
+// received to one neighbour, whose core may be unavailable; digest comparisons supply the rest.
 type Tree struct {
 	IsCore     bool     // this node is a core
 	Cores      []string // the other live cores
-	Agents     []string // of a core: the agents that it is to tell
+	Agents     []string // of a core: the agents that it sends to
 	Neighbours []string // of an agent: other live nodes of its zone
 }
 
-// stands says whether news can go down the tree.
+// usable reports whether entries can be sent along the tree.
 func (t Tree) usable() bool { return t.IsCore || len(t.Cores) > 0 }
 
-// rounds is in how many rounds this node passes an entry on.
+// rounds returns the number of rounds in which this node sends an entry.
 func (t Tree) rounds() *roundsByOrigin {
 	if t.IsCore {
 		return &treeCoreRounds
@@ -27,7 +27,7 @@
 	return &treeAgentRounds
 }
 
-// treeNow is the tree of this round.
+// refreshTree returns the tree of this round and remembers it.
 func (s *Disseminator) refreshTree() Tree {
 	var tree Tree
 	if s.tree != nil {
@@ -37,7 +37,7 @@
 	return tree
 }
 
-// passDown sends what is new along the tree.
+// propagateAlongTree sends pending entries along the tree.
 func (s *Disseminator) propagateAlongTree(tree Tree) {
 	s.table.rounds.Store(tree.rounds())
 	toCores, onward := s.table.takeDueInTree(tree)
@@ -51,7 +51,7 @@
 	}
 }
 
-// neighbour picks whom an agent tells what it was told: one, or none if it knows nobody.
+// pickNeighbour returns the node that an agent forwards entries to: at most one, none if no peer is known.
 func (s *Disseminator) pickNeighbour(tree Tree) []string {
 	if len(tree.Neighbours) > 0 {
 		return sample.Of(tree.Neighbours, 1)
@@ -59,9 +59,9 @@
 	return sample.Of(s.peers(), 1)
 }
 
-// dueInTree takes the entries that are to be passed on now: those for the cores, and
-// those for whom this node passes them on to, which are told once. Why: a datagram lost between two cores would
-// keep an entry from all agents below one of them, so cores are told twice.
+// takeDueInTree returns the entries to send now: those for the cores, and those for the nodes that this one
+// forwards to, which are sent once. Entries for the cores are sent twice: a datagram lost between two cores
+// would keep an entry from all agents below one of them.
 func (t *Table) takeDueInTree(tree Tree) (toCores, onward []Entry) {
 	limits := tree.rounds()
 	t.mu.Lock()
@@ -82,7 +82,7 @@
 	return toCores, onward
 }
 
-// originOf is the origin of what a peer has sent in a datagram.
+// originOf returns the origin of entries that a peer sent.
 func (s *Disseminator) originOf(addr string) origin {
 	if tree := s.lastTree.Load(); tree != nil && slices.Contains(tree.Cores, addr) {
 		return originCore
--- a/internal/gossip/tree_test.go
+++ b/internal/gossip/tree_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// inTree is a node with a tree: peers 0 and 1 are cores, 2 is a neighbour of an agent or
-// below a core, as are all that follow.
+// setTree gives the node a tree: peers 0 and 1 are cores; the others are neighbours of an agent, or agents
+// below a core.
 func (l *testPeers) setTree(isCore bool) {
 	tree := Tree{IsCore: isCore, Cores: l.addrs[:2]}
 	if isCore {
@@ -80,13 +80,13 @@
 	})
 }
 
-// What was to be told to few again and again is told down the tree as soon as there is one.
+// An entry that was to be gossiped to fanout peers goes along the tree as soon as there is one.
 func TestEntryStaysPendingAcrossTreeChange(t *testing.T) {
 	runWithPeers(t, largeFleet, func(l *testPeers) {
 		l.sender.table.Put(entry("own", 1, 1))
 		l.setTree(true)
 		if len(l.sender.table.pending) == 0 {
-			t.Fatal("it was forgotten")
+			t.Fatal("the entry is no longer pending")
 		}
 		l.sender.table.Put(entry("newer", 1, 1))
 		wantReceived(t, "in the first round", l.propagate(false, "newer"), largeFleet)
