--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay passes an answer on piece by piece, at the client's pace, and
-// never lets a broken one look whole.
+// Package relay streams a backend's answer to the client chunk by chunk at the client's pace. It owns the
+// body of the answer and aborts the connection if the stream breaks, so that a broken answer never looks complete.
 package relay
 
 import (
@@ -12,8 +12,8 @@
 )
 
 const (
-	// pieceLimit is how long a client may take over one piece, and limitEvery how often the limit is set anew, which
-	// may lengthen it by as much. Why: a stream has tens of pieces a second, and setting it costs as much as writing one.
+	// chunkTimeout bounds the time a client may take for one chunk; deadlineInterval is how often the deadline is renewed,
+	// which may extend it by as much. A stream has tens of chunks a second, and setting a deadline costs as much as a write.
 	chunkTimeout     = 30 * time.Second
 	deadlineInterval = 5 * time.Second
 )
@@ -23,17 +23,17 @@
 	source      io.ReadCloser
 	deadline    time.Time
 	done        func()
-	interrupted *atomic.Int64 // counts streams that broke off
+	interrupted *atomic.Int64 // counts interrupted streams
 	once        sync.Once
 }
 
-// New relays from a reply to a client that may take it until a moment; done is called once,
-// however it ends.
+// New returns a stream from a reply to a client, which has to receive it before the deadline. done is called
+// once, however the stream ends.
 func New(from io.ReadCloser, cut *atomic.Int64, until time.Time, done func()) *Stream {
 	return &Stream{source: from, deadline: until, done: done, interrupted: cut}
 }
 
-// pieceBy is by when a piece that is written now must have been taken.
+// writeDeadline returns the deadline of a chunk written now.
 func (s *Stream) writeDeadline(now time.Time) time.Time {
 	by := now.Add(chunkTimeout + deadlineInterval)
 	if s.deadline.Before(by) {
@@ -42,10 +42,10 @@
 	return by
 }
 
-// Read is for completeness; goa prefers WriteTo.
+// Read implements io.Reader; goa prefers WriteTo.
 func (s *Stream) Read(p []byte) (int, error) { return s.source.Read(p) }
 
-// Close ends the attempt, and with it the replica's work where it still goes on.
+// Close ends the attempt, and with it any work that the replica still does for it.
 func (s *Stream) Close() error {
 	s.once.Do(func() {
 		_ = s.source.Close()
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// WriteTo copies until the end. A break on either side aborts the connection: goa
-// would end the answer cleanly if nothing had been written yet, so it is not
-// given the choice.
+// WriteTo copies until the end of the source. An error on either side closes the stream and panics with
+// http.ErrAbortHandler: if WriteTo returned an error before the first byte was written, goa would end
+// the answer cleanly.
 func (s *Stream) WriteTo(w io.Writer) (int64, error) {
 	rw, _ := w.(http.ResponseWriter)
 	var rc *http.ResponseController
@@ -65,13 +65,13 @@
 	}
 	buf := make([]byte, 16<<10)
 	var total int64
-	var limitedAt time.Time // when the limit was set last
+	var deadlineSetAt time.Time // when the deadline was set last
 	for {
 		n, err := s.source.Read(buf)
 		if n > 0 {
-			if now := time.Now(); rc != nil && now.Sub(limitedAt) >= deadlineInterval {
+			if now := time.Now(); rc != nil && now.Sub(deadlineSetAt) >= deadlineInterval {
 				_ = rc.SetWriteDeadline(s.writeDeadline(now))
-				limitedAt = now
+				deadlineSetAt = now
 			}
 			m, werr := w.Write(buf[:n])
 			total += int64(m)
@@ -94,10 +94,11 @@
 	}
 }
 
+// readLimitKey is the context key of the function that removes the read limit.
 type readLimitKey struct{}
 
-// WithReadLimit gives the handler a bound on how long the client may take to
-// send its body, and the means to end the bound.
+// WithReadLimit wraps a handler with a limit on the time the client may take to
+// send its body. The handler removes the limit with EndReadLimit.
 func WithReadLimit(h http.Handler, limit time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rc := http.NewResponseController(w)
@@ -107,7 +108,7 @@
 	})
 }
 
-// BodyRead ends the bound set by WithReadLimit.
+// EndReadLimit removes the limit set by WithReadLimit.
 func EndReadLimit(ctx context.Context) {
 	if end, ok := ctx.Value(readLimitKey{}).(func()); ok {
 		end()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// brokenReader returns some chunks and then an error.
 type brokenReader struct {
 	chunks []string
 	err    error
@@ -26,8 +27,8 @@
 }
 func (*brokenReader) Close() error { return nil }
 
-// However early a stream breaks off, the caller sees a broken answer: goa's
-// handler would end one cleanly that broke before its first byte.
+// The client must see a broken answer however early the stream breaks: goa's
+// handler would cleanly end one that broke before its first byte.
 func TestInterruptedStreamAbortsResponse(t *testing.T) {
 	for _, c := range []struct {
 		pieces string
@@ -49,14 +50,14 @@
 			_ = res.Body.Close()
 		}
 		if (err == nil) != c.whole {
-			t.Errorf("%q then %v: the caller saw %q, %v", c.pieces, c.err, got, err)
+			t.Errorf("%q then %v: the client saw %q, %v", c.pieces, c.err, got, err)
 		}
 		srv.Close()
 		if done != 1 {
-			t.Errorf("%q then %v: let go %d times", c.pieces, c.err, done)
+			t.Errorf("%q then %v: done was called %d times, want 1", c.pieces, c.err, done)
 		}
 		if (cut.Load() == 0) != c.whole {
-			t.Errorf("%q then %v: counted %d cuts", c.pieces, c.err, cut.Load())
+			t.Errorf("%q then %v: counted %d interrupted streams", c.pieces, c.err, cut.Load())
 		}
 	}
 }
