--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed is what passes between an agent and the proxy beside it, over
-// loopback: gossip one way, reports and what the proxy learned the other.
+// Package feed owns the messages exchanged between an agent and the proxy beside it over
+// loopback: gossip in one direction, reports and what the proxy learned in the other.
 package feed
 
 import (
@@ -8,42 +8,43 @@
 	"drumstall.example/internal/state"
 )
 
-// Path of the exchange on the agent.
+// Path is the path of the exchange on the agent.
 const Path = "/feed"
 
-// UrgentPath takes a report that is to be passed on at once.
+// UrgentPath is the path on the agent for a report that is forwarded at once.
 const UrgentPath = "/feed/urgent"
 
-// Taken is the answer to an urgent report.
+// UrgentReply is the reply to an urgent report.
 type UrgentReply struct{}
 
-// Up is what a proxy sends.
+// Request is sent by a proxy.
 type Request struct {
-	Boot      string         `cbor:"1,keyasint"` // of the proxy
-	AgentBoot string         `cbor:"2,keyasint"` // of the agent the cursor is from
+	Boot      string         `cbor:"1,keyasint"` // boot ID of the proxy
+	AgentBoot string         `cbor:"2,keyasint"` // boot ID of the agent that issued the cursor
 	Cursor    uint64         `cbor:"3,keyasint"`
-	Entries   []gossip.Entry `cbor:"4,keyasint"` // what the agent may not know
+	Entries   []gossip.Entry `cbor:"4,keyasint"` // entries that the agent may lack
 	Report    report.Report  `cbor:"5,keyasint"`
 	Confirmed bool           `cbor:"6,keyasint"`            // the proxy serves on a confirmed configuration
-	Conf      state.Stamp    `cbor:"7,keyasint"`            // the one in force there
-	Peers     []string       `cbor:"8,keyasint,omitempty"`  // for an agent that is new: whom the one before it knew
-	MaxWaitMs int            `cbor:"9,keyasint,omitempty"`  // how long the answer may be held back until there is something new
-	NoReport  bool           `cbor:"10,keyasint,omitempty"` // nothing is said in Report; the one before counts
+	Conf      state.Stamp    `cbor:"7,keyasint"`            // stamp of the configuration in force at the proxy
+	Peers     []string       `cbor:"8,keyasint,omitempty"`  // for a new agent: peers known to its predecessor
+	MaxWaitMs int            `cbor:"9,keyasint,omitempty"`  // how long the agent may delay the reply until there is something new
+	NoReport  bool           `cbor:"10,keyasint,omitempty"` // Report is empty; the previous one still holds
 }
 
-// Down is what the agent answers.
+// Reply is the agent's reply.
 type Reply struct {
 	AgentBoot      string         `cbor:"1,keyasint"`
 	Cursor         uint64         `cbor:"2,keyasint"`
 	Entries        []gossip.Entry `cbor:"3,keyasint"`
-	Confirmed      bool           `cbor:"4,keyasint"` // the configuration here is known to be no older than any in force before
+	Confirmed      bool           `cbor:"4,keyasint"` // the agent's configuration is known to be no older than any previously in force
 	Conf           state.Stamp    `cbor:"5,keyasint"`
-	SinceContactMs int64          `cbor:"6,keyasint"` // since the platform, a core or a peer was heard
-	Edges          int            `cbor:"7,keyasint"` // edges thought alive
-	SendAll        bool           `cbor:"8,keyasint"` // the agent is new: send everything
+	SinceContactMs int64          `cbor:"6,keyasint"` // time since the last contact with the platform, a core or a peer
+	Edges          int            `cbor:"7,keyasint"` // number of edges believed alive
+	SendAll        bool           `cbor:"8,keyasint"` // the agent is new: the proxy must send everything
 	Agent          string         `cbor:"9,keyasint"`
 	Zone           string         `cbor:"10,keyasint"`
-	Peers          []string       `cbor:"11,keyasint"` // whom to ask for news while the agent is away
-	// Holds is the version of the report that the agent has from these exchanges, from which the next may be the difference; 0 is none.
+	Peers          []string       `cbor:"11,keyasint"` // peers to pull gossip from while the agent is unavailable
+	// ReportVersion is the version of the report that the agent has from these exchanges; the next report may be the
+	// difference from it. 0 means none.
 	ReportVersion uint64 `cbor:"12,keyasint,omitempty"`
 }
