--- a/internal/conf/claims.go
+++ b/internal/conf/claims.go
@@ -6,7 +6,7 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Wanted is an item that a claim wants a number of copies of in a group.
+// RequiredCopies is the number of copies of an item that a claim requires in a group.
 type RequiredCopies struct {
 	Claim  string
 	Item   Item
@@ -14,7 +14,7 @@
 	Copies int
 }
 
-// Claimed lists the copies that claims want kept.
+// RequiredCopies returns the copies that claims require to be kept loaded.
 func (e Effective) RequiredCopies() []RequiredCopies {
 	var out []RequiredCopies
 	for _, name := range sorted(e.Claims) {
@@ -32,8 +32,8 @@
 	return out
 }
 
-// Allowed says whether a replica with these labels may hold the model, and
-// whether a claim pins it there. Without any claim for it, every replica may.
+// Allowed reports whether a replica with these labels may hold the model. A model with a service may only
+// be held by replicas of that service, and a claimed model only by replicas of a claiming group.
 func (e Effective) Allowed(model string, labelled map[string]string) bool {
 	if s, found := e.Services[e.Models[model].Service]; found && !s.Selector.Matches(labels.Set(labelled)) {
 		return false
@@ -51,7 +51,7 @@
 	return !claimed
 }
 
-// Drained says whether operators want a replica left alone.
+// Drained reports whether a drain selects a replica with these labels in a zone.
 func (e Effective) Drained(labelled map[string]string, zone string) bool {
 	if len(e.Drains) == 0 {
 		return false
@@ -68,7 +68,7 @@
 	return false
 }
 
-// names says whether the claim is about a model or an adapter of it.
+// names reports whether the claim is about a model or one of its adapters.
 func (c Claim) names(model string) bool {
 	for _, m := range c.Models {
 		if m == model {
--- a/internal/conf/compile.go
+++ b/internal/conf/compile.go
@@ -9,50 +9,50 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Effect checks all objects together and makes them ready for use. An error is
-// Faults with everything wrong in them.
+// Compile checks all objects together and returns the effective configuration. An error is of type
+// ValidationErrors and lists everything that is wrong.
 func Compile(k Stored) (Effective, error) {
 	if k.Format != "" {
 		return compileFormat(k)
 	}
 	e := newEffective()
-	var faults ValidationErrors
+	var errs ValidationErrors
 	limits := json.RawMessage(`{}`)
-	for _, at := range sorted(k.Objects) {
-		kind, name, _ := strings.Cut(at, "/")
-		raw := json.RawMessage(k.Objects[at])
+	for _, key := range sorted(k.Objects) {
+		kind, name, _ := strings.Cut(key, "/")
+		raw := json.RawMessage(k.Objects[key])
 		if kind == "limits" {
 			if name != limitsName {
-				faults = append(faults, fmt.Sprintf("%s: the only limits are %s", at, limitsName))
+				errs = append(errs, fmt.Sprintf("%s: the only limits are %s", key, limitsName))
 			}
 			limits = raw
 			continue
 		}
 		f, bad := parseFields(kind, name, raw)
-		faults = append(faults, bad...)
+		errs = append(errs, bad...)
 		if len(bad) > 0 {
 			continue
 		}
-		faults = append(faults, e.addObject(kind, name, f)...)
+		errs = append(errs, e.addObject(kind, name, f)...)
 	}
 	var bad []string
 	e.Limits, bad = readLimits(limits)
-	faults = append(faults, bad...)
-	faults = append(faults, e.buildIndexes()...)
-	faults = append(faults, e.checkReferences()...)
-	if len(faults) > 0 {
-		return Effective{}, faults
+	errs = append(errs, bad...)
+	errs = append(errs, e.buildIndexes()...)
+	errs = append(errs, e.checkReferences()...)
+	if len(errs) > 0 {
+		return Effective{}, errs
 	}
 	return e, nil
 }
 
-// put takes one object; f are its settings, of the types that Table gives them.
+// addObject adds one object; f holds its settings, of the types given in Table.
 func (e Effective) addObject(kind, name string, f map[string]any) ValidationErrors {
 	switch kind {
 	case "models":
-		m, faults := readModel(name, f)
+		m, errs := readModel(name, f)
 		e.Models[name] = m
-		return faults
+		return errs
 	case "groups":
 		s, _ := labels.Parse(f["selector"].(string))
 		e.Groups[name] = s
@@ -71,9 +71,9 @@
 	case "services":
 		e.Services[name] = readService(name, f)
 	case "routes":
-		r, faults := readRoute(name, f)
+		r, errs := readRoute(name, f)
 		e.Routes[name] = r
-		return faults
+		return errs
 	case "weights":
 		e.Weights[name] = f["weight"].(float64)
 		if _, known := DefaultWeights[name]; !known {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// effectFormat reads a configuration that is written in a registered format.
+// compileFormat compiles a configuration in a registered format.
 func compileFormat(k Stored) (Effective, error) {
 	f, found := formats[k.Format]
 	if !found {
@@ -95,8 +95,8 @@
 	if err != nil {
 		return Effective{}, toValidationErrors(err)
 	}
-	if faults := append(e.buildIndexes(), e.checkReferences()...); len(faults) > 0 {
-		return Effective{}, faults
+	if errs := append(e.buildIndexes(), e.checkReferences()...); len(errs) > 0 {
+		return Effective{}, errs
 	}
 	return e, nil
 }
@@ -114,29 +114,29 @@
 		SizeMib: f["sizeMib"].(int), ExpectedLoadTime: milliseconds(f["loadMs"]), ExpectedServeTime: milliseconds(f["serveMs"]), Adapters: map[string]bool{},
 		AdapterMib: f["adapterMib"].(int), Service: f["service"].(string),
 	}
-	var faults ValidationErrors
+	var errs ValidationErrors
 	for _, a := range f["adapters"].([]string) {
 		if !ValidName(a) || m.Adapters[a] {
-			faults = append(faults, fmt.Sprintf("models/%s.adapters: %q is no good name or stands twice", name, a))
+			errs = append(errs, fmt.Sprintf("models/%s.adapters: %q is no good name or stands twice", name, a))
 		}
 		m.Adapters[a] = true
 	}
-	return m, faults
+	return m, errs
 }
 
 func readRoute(name string, f map[string]any) (Route, ValidationErrors) {
 	s, _ := labels.Parse(f["selector"].(string))
 	split, err := parseSplit(f["split"].([]string))
-	var faults ValidationErrors
+	var errs ValidationErrors
 	if err != nil {
-		faults = ValidationErrors{fmt.Sprintf("routes/%s.split: %v", name, err)}
+		errs = ValidationErrors{fmt.Sprintf("routes/%s.split: %v", name, err)}
 	}
 	return Route{
 		Name: name, Kind: f["kind"].(string), Selector: s, Class: f["class"].(string),
 		Deadline: milliseconds(f["deadlineMs"]), Repeatable: f["repeatable"].(bool), MaxBody: int64(f["maxBodyBytes"].(int)), Public: f["public"].(bool),
 		Host: f["host"].(string), Prefix: f["pathPrefix"].(string), Split: split, Streaming: f["streaming"].(bool),
 		Resumable: f["resumable"].(bool), Attempts: f["attempts"].(int), Target: milliseconds(f["targetMs"]), GapTarget: milliseconds(f["gapTargetMs"]),
-	}, faults
+	}, errs
 }
 
 func readService(name string, f map[string]any) Service {
@@ -163,34 +163,34 @@
 	}, nil
 }
 
-// ms is a setting in milliseconds.
+// milliseconds converts a setting in milliseconds.
 func milliseconds(v any) time.Duration { return time.Duration(v.(int)) * time.Millisecond }
 
-// references tells what names something that is not there.
+// checkReferences returns an error for each reference to an object that does not exist.
 func (e Effective) checkReferences() ValidationErrors {
-	var faults ValidationErrors
+	var errs ValidationErrors
 	for _, name := range sorted(e.Claims) {
 		c := e.Claims[name]
 		if _, found := e.Groups[c.Group]; !found {
-			faults = append(faults, fmt.Sprintf("claims/%s.group: no group %q", name, c.Group))
+			errs = append(errs, fmt.Sprintf("claims/%s.group: no group %q", name, c.Group))
 		}
 		for _, m := range c.Models {
 			if _, found := e.Models[m]; !found {
-				faults = append(faults, fmt.Sprintf("claims/%s.models: no model %q", name, m))
+				errs = append(errs, fmt.Sprintf("claims/%s.models: no model %q", name, m))
 			}
 		}
 		for _, a := range c.Adapters {
 			m, ad, _ := strings.Cut(a, "/")
 			if !e.Models[m].Adapters[ad] {
-				faults = append(faults, fmt.Sprintf("claims/%s.adapters: no adapter %q; want MODEL/ADAPTER", name, a))
+				errs = append(errs, fmt.Sprintf("claims/%s.adapters: no adapter %q; want MODEL/ADAPTER", name, a))
 			}
 		}
 	}
-	faults = append(faults, e.checkTenantReferences()...)
+	errs = append(errs, e.checkTenantReferences()...)
 	for _, name := range sorted(e.Routes) {
 		if _, found := e.Classes[e.Routes[name].Class]; !found {
-			faults = append(faults, fmt.Sprintf("routes/%s.class: no class %q", name, e.Routes[name].Class))
+			errs = append(errs, fmt.Sprintf("routes/%s.class: no class %q", name, e.Routes[name].Class))
 		}
 	}
-	return faults
+	return errs
 }
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -23,9 +23,9 @@
 			k, err = ReadPartial(base, "application/json", []byte(d.Input))
 		case "objects":
 			k, err = ReadPartial(base, "application/yaml", []byte(d.Input))
-			for at, doc := range k.Originals {
+			for key, doc := range k.Originals {
 				if !bytes.Contains([]byte(d.Input), bytes.TrimSpace(doc)) {
-					t.Errorf("%s is not kept as sent", at)
+					t.Errorf("%s is not stored as sent", key)
 				}
 			}
 		default:
@@ -35,11 +35,11 @@
 			return strings.Join(f, "\n")
 		}
 		if !bytes.Equal(k.Submission, []byte(d.Input)) {
-			t.Fatal("the submission is not kept as sent")
+			t.Fatal("the submission is not stored as sent")
 		}
 		var b strings.Builder
-		for _, at := range sorted(k.Objects) {
-			fmt.Fprintf(&b, "%s %s\n", at, k.Objects[at])
+		for _, key := range sorted(k.Objects) {
+			fmt.Fprintf(&b, "%s %s\n", key, k.Objects[key])
 		}
 		return b.String()
 	})
@@ -52,13 +52,13 @@
 		k, err := ReadWhole("", b)
 		if err == nil {
 			if _, err := Compile(k); err != nil {
-				t.Fatalf("kept a configuration that has no effect: %v", err)
+				t.Fatalf("accepted a configuration that does not compile: %v", err)
 			}
 		}
 		_, _ = ReadPartial(k, "", b)
 		if o, err := ReadWhole("application/yaml", b); err == nil {
 			if _, err := Compile(o); err != nil {
-				t.Fatalf("kept objects that have no effect: %v", err)
+				t.Fatalf("accepted objects that do not compile: %v", err)
 			}
 		}
 		_, _ = Unpack(b)
--- a/internal/conf/decode.go
+++ b/internal/conf/decode.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// decode reads JSON strictly: no doubled keys, nothing after the end.
+// decodeStrict decodes JSON and refuses duplicate keys and data after the value.
 func decodeStrict(b []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	if err := checkDuplicateKeys(d, "", 0); err != nil {
@@ -20,10 +20,10 @@
 	return json.Unmarshal(b, v)
 }
 
-// doubled refuses a value with a key given twice in one object, or nested too deep.
-func checkDuplicateKeys(d *json.Decoder, at string, depth int) error {
+// checkDuplicateKeys returns an error if an object has a duplicate key or the value is nested too deep.
+func checkDuplicateKeys(d *json.Decoder, path string, depth int) error {
 	if depth > 8 {
-		return errors.Errorf("%s: nested too deep", at)
+		return errors.Errorf("%s: nested too deep", path)
 	}
 	t, err := d.Token()
 	if err != nil {
@@ -35,14 +35,14 @@
 	}
 	seen := map[string]bool{}
 	for d.More() {
-		inner := at
+		inner := path
 		if delim == '{' {
 			k, err := d.Token()
 			if err != nil {
 				return errors.Wrap(err, "not JSON")
 			}
 			name := k.(string)
-			inner = at + "/" + name
+			inner = path + "/" + name
 			if seen[name] {
 				return errors.Errorf("%s: given twice", inner)
 			}
--- a/internal/conf/format.go
+++ b/internal/conf/format.go
@@ -9,53 +9,53 @@
 	"github.com/pkg/errors"
 )
 
-// Format is another form in which operators write whole configurations. A
-// configuration in it is kept as it was sent and read anew wherever it is used.
+// Format is an additional format in which operators write whole configurations. A
+// document in it is stored as sent and compiled wherever it is used.
 type Format interface {
 	// ContentType names the format in the control state.
 	ContentType() string
-	// Read lays a document over the defaults; what cannot be read is Faults.
+	// Read applies a document to the defaults; an unreadable document gives ValidationErrors.
 	Read(defaults Effective, document []byte) (Effective, error)
-	// Check refuses a document as sent that is not in the format; what it means is left to Read.
+	// Check refuses a submitted document that is not in the format; its meaning is checked by Read.
 	Check(document []byte) error
-	// Version is the operator's own rising number of a document that was checked.
+	// Version returns the operator's increasing version number of a checked document.
 	Version(document []byte) (uint64, error)
-	// Merge checks a partial change and lays it over a document that was checked; what cannot be read is Faults.
+	// Merge checks a partial change and applies it to a checked document; an unreadable change gives ValidationErrors.
 	Merge(document, change []byte) ([]byte, error)
 }
 
 var formats = map[string]Format{}
 
-// RegisterFormat makes a format known. Call it before any configuration is read.
+// RegisterFormat registers a format. It must be called before any configuration is read.
 func RegisterFormat(f Format) { formats[f.ContentType()] = f }
 
-// Change is a configuration that an operator sends.
+// Change is a submission by an operator.
 type Change struct {
 	Mode        string
 	ContentType string
 	Body        []byte
-	IfMatch     *uint64 // the version it is made on top of; nil is any
+	IfMatch     *uint64 // version that the change is based on; nil means any
 }
 
-// taken is one change that was kept, so that it is known when it is sent again.
+// recentChange identifies an accepted change, to detect a repeated submission.
 type recentChange struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Sum     uint64 `cbor:"2,keyasint"`
 }
 
-// maxTaken is how many kept changes are remembered.
+// maxRecentChanges is how many accepted changes are remembered.
 const maxRecentChanges = 512
 
-// Applied is what became of a change.
+// ApplyResult is the outcome of a change.
 type ApplyResult struct {
 	Stored Stored
-	// Effective is what Kept means, where that had to be read to check it; else nil.
+	// Effective is the compiled Stored, if it had to be compiled to check the change; else nil.
 	Effective *Effective
-	Duplicate bool // it had been kept before; nothing changes
-	Stale     bool // it was made on top of another version than the current one
+	Duplicate bool // the change was accepted before; nothing changes
+	Stale     bool // the change is based on a version other than the current one
 }
 
-// Apply lays a change over what is kept. Faults refuse it whole.
+// Apply applies a change to the stored configuration. On ValidationErrors nothing of the change is applied.
 func (k Stored) Apply(c Change) (ApplyResult, error) {
 	if f, found := formats[c.ContentType]; found {
 		return k.applyFormat(f, c)
@@ -113,7 +113,7 @@
 	return ApplyResult{Stored: next, Effective: &effective}, nil
 }
 
-// document is the whole document that a change leads to.
+// resultingDocument returns the whole document that results from a change.
 func (k Stored) resultingDocument(f Format, c Change) ([]byte, error) {
 	if c.Mode != Partial {
 		return c.Body, f.Check(c.Body)
@@ -124,7 +124,7 @@
 	return f.Merge(k.Submission, c.Body)
 }
 
-// sum tells a change that is sent again from another.
+// identity returns a hash that identifies a repeated submission of the same change.
 func (c Change) identity() uint64 {
 	h := sha256.New()
 	h.Write([]byte(c.Mode))
@@ -135,21 +135,21 @@
 	return binary.LittleEndian.Uint64(h.Sum(nil))
 }
 
-// Sum is the digest that an acknowledgement carries.
+// BodyDigest returns the digest of the body that is returned in an acknowledgement.
 func (c Change) BodyDigest() string {
 	sum := sha256.Sum256(c.Body)
 	return hex.EncodeToString(sum[:])
 }
 
 func toValidationErrors(err error) error {
-	var faults ValidationErrors
-	if errors.As(err, &faults) {
-		return faults
+	var errs ValidationErrors
+	if errors.As(err, &errs) {
+		return errs
 	}
 	return ValidationErrors{err.Error()}
 }
 
-// CheckJSON refuses what is not one whole JSON value without doubled keys.
+// CheckJSON refuses anything but one complete JSON value without duplicate keys.
 func CheckJSON(b []byte) error {
 	var any struct{}
 	if err := decodeStrict(b, &any); err != nil {
--- a/internal/conf/format_test.go
+++ b/internal/conf/format_test.go
@@ -8,7 +8,7 @@
 
 const linesType = "text/x-lines"
 
-// lines is a small format: "version N" and then the names of services.
+// linesFormat is a minimal format: a version number and then the names of services.
 type linesFormat struct{}
 
 func (linesFormat) ContentType() string { return linesType }
@@ -58,7 +58,7 @@
 	return Change{Mode: Partial, ContentType: linesType, Body: []byte(body), IfMatch: on}
 }
 
-// applied applies a change that must be kept.
+// mustApply applies a change that must be accepted.
 func mustApply(t *testing.T, k Stored, c Change) Stored {
 	t.Helper()
 	a, err := k.Apply(c)
@@ -68,16 +68,16 @@
 	return a.Stored
 }
 
-// refused applies a change that must be refused with nothing kept.
+// mustRefuse applies a change that must be refused without any effect.
 func mustRefuse(t *testing.T, k Stored, c Change, want string) {
 	t.Helper()
 	a, err := k.Apply(c)
-	faults, isFaults := err.(ValidationErrors)
-	if !isFaults || !strings.Contains(faults.Error(), want) {
-		t.Errorf("%s: got %v, want a fault with %q", c.Body, err, want)
+	errs, isFaults := err.(ValidationErrors)
+	if !isFaults || !strings.Contains(errs.Error(), want) {
+		t.Errorf("%s: got %v, want an error with %q", c.Body, err, want)
 	}
 	if a.Stored.Submission != nil || a.Duplicate || a.Stale {
-		t.Errorf("%s: refused, and yet %+v", c.Body, a)
+		t.Errorf("%s: refused, but the result is %+v", c.Body, a)
 	}
 }
 
@@ -93,11 +93,11 @@
 	}
 	e, err := Compile(k)
 	if err != nil || len(e.Services) != 3 {
-		t.Errorf("in force: %v, %v", e.Services, err)
+		t.Errorf("effective: %v, %v", e.Services, err)
 	}
 	k = mustApply(t, k, wholeOf("8 z", uint64Ptr(7)))
 	if e, _ := Compile(k); len(e.Services) != 1 {
-		t.Errorf("a whole one leaves %v of the one before", e.Services)
+		t.Errorf("after a whole change the services are %v", e.Services)
 	}
 }
 
@@ -113,9 +113,9 @@
 			}
 		}
 	}
-	// The same body on top of another version is another change.
+	// The same body based on another version is a different change.
 	if a, err := k.Apply(partialOf("2 b", uint64Ptr(9))); err == nil || a.Duplicate {
-		t.Errorf("another change with the same body: %+v, %v", a, err)
+		t.Errorf("different change with the same body: %+v, %v", a, err)
 	}
 }
 
@@ -134,10 +134,10 @@
 	k := mustApply(t, Stored{}, wholeOf("5 a", nil))
 	k = mustApply(t, k, partialOf("6 first", uint64Ptr(5)))
 	if a, err := k.Apply(partialOf("6 second", uint64Ptr(5))); err != nil || !a.Stale {
-		t.Errorf("the second: %+v, %v", a, err)
+		t.Errorf("second change: %+v, %v", a, err)
 	}
 	if a, err := k.Apply(partialOf("6 first", uint64Ptr(5))); err != nil || !a.Duplicate {
-		t.Errorf("the first once more: %+v, %v", a, err)
+		t.Errorf("first change repeated: %+v, %v", a, err)
 	}
 }
 
@@ -159,10 +159,10 @@
 	mustRefuse(t, k, partialOf("unreadable", uint64Ptr(5)), "unreadable")
 	mustRefuse(t, k, wholeOf("6 split", nil), "the weights sum to 0")
 	if string(k.Pack()) != before {
-		t.Error("what is kept has changed")
+		t.Error("the stored configuration has changed")
 	}
 	if a, err := k.Apply(wholeOf("6 good bad", nil)); err == nil || a.Duplicate {
-		t.Error("a change that was refused is taken for one that was kept")
+		t.Error("a refused change was treated as an accepted one")
 	}
 }
 
@@ -173,7 +173,7 @@
 	mustRefuse(t, k, native, "it can only be replaced whole")
 	native = Change{Mode: Whole, ContentType: "application/json", Body: []byte(`{"models":{"m":{"sizeMib":1}}}`), IfMatch: uint64Ptr(1)}
 	if k = mustApply(t, k, native); k.Format != "" || k.Serial != 2 {
-		t.Errorf("a native whole one: %+v", k)
+		t.Errorf("native whole change: %+v", k)
 	}
 	mustRefuse(t, k, partialOf("9 b", nil), "no configuration in this format")
 }
@@ -186,11 +186,11 @@
 		t.Fatalf("%+v, %v", got, err)
 	}
 	if a, err := got.Apply(wholeOf("1 a", nil)); err != nil || !a.Duplicate {
-		t.Errorf("the first sent again: %+v, %v", a, err)
+		t.Errorf("first change repeated: %+v, %v", a, err)
 	}
 	delete(formats, linesType)
 	if _, err := Compile(got); err == nil {
-		t.Error("a format that is not known was read")
+		t.Error("a configuration in an unregistered format was compiled")
 	}
 }
 
@@ -201,10 +201,10 @@
 		k = mustApply(t, k, wholeOf(fmt.Sprint(i+1, " a"), nil))
 	}
 	if len(k.Recent) != maxRecentChanges {
-		t.Errorf("%d are remembered", len(k.Recent))
+		t.Errorf("%d changes are remembered", len(k.Recent))
 	}
 	if a, err := k.Apply(wholeOf(fmt.Sprint(11, " a"), nil)); err != nil || !a.Duplicate {
-		t.Errorf("the oldest one remembered: %+v, %v", a, err)
+		t.Errorf("oldest remembered change: %+v, %v", a, err)
 	}
 	mustRefuse(t, k, wholeOf("10 a", nil), "is not above")
 }
--- a/internal/conf/item.go
+++ b/internal/conf/item.go
@@ -4,13 +4,13 @@
 	"strings"
 )
 
-// Item names a model, or an adapter on its model.
+// Item names a model, or an adapter of a model.
 type Item struct {
 	Model   string `cbor:"1,keyasint"`
 	Adapter string `cbor:"2,keyasint,omitempty"`
 }
 
-// String writes MODEL or MODEL/ADAPTER.
+// String returns MODEL or MODEL/ADAPTER.
 func (i Item) String() string {
 	if i.Adapter == "" {
 		return i.Model
@@ -18,14 +18,14 @@
 	return i.Model + "/" + i.Adapter
 }
 
-// Covers says whether o goes where i goes: it is the same, or an adapter of the
+// Covers reports whether i includes o: it is the same item, or o is an adapter of the
 // model i.
 func (i Item) Covers(o Item) bool { return i == o || i.Adapter == "" && i.Model == o.Model }
 
-// Plain says whether a name can stand in keys and items.
+// ValidName reports whether a name may be used in keys and items.
 func ValidName(name string) bool { return name != "" && !strings.ContainsAny(name, "/+ ") }
 
-// ParseItem reads what String wrote.
+// ParseItem parses the result of String.
 func ParseItem(s string) Item {
 	m, a, _ := strings.Cut(s, "/")
 	return Item{Model: m, Adapter: a}
--- a/internal/conf/key_test.go
+++ b/internal/conf/key_test.go
@@ -13,7 +13,7 @@
 		}
 	}
 	if !e.Limits.RequireKeys || e.HasTenants() {
-		t.Errorf("keys required: %v; anything shared: %v", e.Limits.RequireKeys, e.HasTenants())
+		t.Errorf("RequireKeys is %v, HasTenants is %v", e.Limits.RequireKeys, e.HasTenants())
 	}
 }
 
@@ -22,9 +22,9 @@
 	for i := range 5000 {
 		tenants[fmt.Sprintf("t%d", i)] = Tenant{Keys: []string{fmt.Sprintf("k%d", i), fmt.Sprintf("l%d", i)}}
 	}
-	keys, faults := Effective{Tenants: tenants}.indexKeys()
+	keys, errs := Effective{Tenants: tenants}.indexKeys()
 	e := Effective{tenantByKey: keys}
-	if got, known := e.TenantOfKey("l4711"); len(faults) > 0 || got != "t4711" || !known {
-		t.Errorf("%q, %v, %v", got, known, faults)
+	if got, known := e.TenantOfKey("l4711"); len(errs) > 0 || got != "t4711" || !known {
+		t.Errorf("%q, %v, %v", got, known, errs)
 	}
 }
--- a/internal/conf/objects.go
+++ b/internal/conf/objects.go
@@ -14,47 +14,47 @@
 	"sigs.k8s.io/yaml"
 )
 
-// APIVersion of Kubernetes-style objects.
+// APIVersion is the API version of Kubernetes-style objects.
 const APIVersion = "drumstall.example/v1"
 
-// ObjectKinds maps the kinds of Kubernetes-style objects to ours.
+// ObjectKinds maps the kinds of Kubernetes-style objects to the kinds of Table.
 var ObjectKinds = map[string]string{"Model": "models", "PlacementGroup": "groups", "ModelClaim": "claims", "Drain": "drains",
 	"Tenant": "tenants", "RequestClass": "classes", "Route": "routes", "Service": "services", "JudgeWeight": "weights", "Limits": "limits"}
 
-// object is the form of one; the spec has the same settings as ours.
+// object is a Kubernetes-style object; its spec has the settings of Table.
 type object struct {
 	metav1.TypeMeta `json:",inline"`
 	Metadata        metadata        `json:"metadata"`
 	Spec            json.RawMessage `json:"spec"`
 }
 
-// metadata is the part of an object's that is read.
+// metadata is the part of an object's metadata that is read.
 type metadata struct {
 	Name string `json:"name"`
 }
 
-// isObjects says whether a submission of this type is Kubernetes-style objects.
+// isObjectYAML reports whether a submission of this type consists of Kubernetes-style objects.
 func isObjectYAML(contentType string) bool {
 	t, _, err := mime.ParseMediaType(contentType)
 	return err == nil && (t == "application/yaml" || t == "application/x-yaml" || t == "text/yaml")
 }
 
-// layObjects reads a stream of YAML documents, one object each.
+// setObjectDocuments reads a stream of YAML documents with one object each.
 func (k Stored) setObjectDocuments(body []byte) ValidationErrors {
-	var faults ValidationErrors
+	var errs ValidationErrors
 	docs := yamlutil.NewYAMLReader(bufio.NewReader(bytes.NewReader(body)))
 	seen := map[string]bool{}
 	for n := 1; ; n++ {
 		doc, err := docs.Read()
 		if err == io.EOF {
-			return faults
+			return errs
 		}
 		bad := func(format string, args ...any) {
-			faults = append(faults, fmt.Sprintf("document %d: ", n)+fmt.Sprintf(format, args...))
+			errs = append(errs, fmt.Sprintf("document %d: ", n)+fmt.Sprintf(format, args...))
 		}
 		if err != nil {
 			bad("%v", err)
-			return faults
+			return errs
 		}
 		if len(bytes.TrimSpace(doc)) == 0 {
 			continue
@@ -64,25 +64,25 @@
 			bad("%v", err)
 			continue
 		}
-		at := kind + "/" + o.Metadata.Name
-		if seen[at] {
-			bad("%s is given twice", at)
+		key := kind + "/" + o.Metadata.Name
+		if seen[key] {
+			bad("%s is given twice", key)
 			continue
 		}
-		seen[at] = true
+		seen[key] = true
 		if more := k.setObjects(objectsByKind{kind: {o.Metadata.Name: o.Spec}}); len(more) > 0 {
 			for _, f := range more {
 				bad("%s", f)
 			}
 			continue
 		}
-		k.Originals[at] = doc
+		k.Originals[key] = doc
 	}
 }
 
-// readObject reads one YAML document and tells the kind in our own words.
+// readObject reads one YAML document and returns its object and the kind of Table.
 func readObject(doc []byte) (o object, kind string, err error) {
-	// Why: strict, so that a misspelt field is a fault and not a default.
+	// Strict: a misspelt field must be an error rather than take its default.
 	if err := yaml.UnmarshalStrict(doc, &o); err != nil {
 		return o, "", err
 	}
--- a/internal/conf/read.go
+++ b/internal/conf/read.go
@@ -9,17 +9,17 @@
 	"github.com/pkg/errors"
 )
 
-// sent is a configuration as operators write it: kind, name, object.
+// objectsByKind is a configuration as operators write it: objects by kind and name.
 type objectsByKind map[string]map[string]json.RawMessage
 
-// partial is a change of some objects as operators write it.
+// partialChange is a change of some objects as operators write it.
 type partialChange struct {
 	Replace objectsByKind       `json:"replace"`
 	Remove  map[string][]string `json:"remove"`
 }
 
-// ReadWhole takes a whole configuration: it replaces everything before it. An
-// error is Faults with everything wrong in it.
+// ReadWhole reads a whole configuration, which replaces the previous one. An
+// error is of type ValidationErrors and lists everything that is wrong.
 func ReadWhole(contentType string, body []byte) (Stored, error) {
 	k := newStored(Whole, contentType, body)
 	if isObjectYAML(contentType) {
@@ -32,8 +32,8 @@
 	return k, k.check(k.setObjects(s))
 }
 
-// ReadPartial lays a partial configuration over what is there, which stays as it
-// is. An error is Faults with everything wrong in it.
+// ReadPartial applies a partial configuration to old, which is not changed. An
+// error is of type ValidationErrors and lists everything that is wrong.
 func ReadPartial(old Stored, contentType string, body []byte) (Stored, error) {
 	k := newStored(Partial, contentType, body)
 	maps.Copy(k.Objects, old.Objects)
@@ -46,76 +46,76 @@
 	if err := decodeStrict(body, &top); err != nil {
 		return Stored{}, ValidationErrors{err.Error()}
 	}
-	var faults ValidationErrors
+	var errs ValidationErrors
 	for name := range top {
 		if name != "replace" && name != "remove" {
-			faults = append(faults, fmt.Sprintf("%s: no such part; a partial configuration has replace and remove", name))
+			errs = append(errs, fmt.Sprintf("%s: no such part; a partial configuration has replace and remove", name))
 		}
 	}
 	if err := json.Unmarshal(body, &p); err != nil {
-		return Stored{}, append(faults, err.Error())
+		return Stored{}, append(errs, err.Error())
 	}
-	faults = append(faults, k.removeObjects(p)...)
-	return k, k.check(append(faults, k.setObjects(p.Replace)...))
+	errs = append(errs, k.removeObjects(p)...)
+	return k, k.check(append(errs, k.setObjects(p.Replace)...))
 }
 
-// submitted is a submission without any object yet.
+// newStored returns the Stored of a submission without any objects yet.
 func newStored(manner, contentType string, body []byte) Stored {
 	return Stored{Mode: manner, ContentType: contentType, Submission: body, Objects: map[string][]byte{}, Originals: map[string][]byte{}}
 }
 
-// remove takes away the objects that p names.
+// removeObjects removes the objects that p names.
 func (k Stored) removeObjects(p partialChange) ValidationErrors {
-	var faults ValidationErrors
+	var errs ValidationErrors
 	for _, kind := range sorted(p.Remove) {
 		for _, name := range p.Remove[kind] {
-			at := kind + "/" + name
-			if _, found := k.Objects[at]; !found {
-				faults = append(faults, at+": cannot be removed, it is not there")
+			key := kind + "/" + name
+			if _, found := k.Objects[key]; !found {
+				errs = append(errs, key+": cannot be removed, it is not there")
 			}
 			if _, both := p.Replace[kind][name]; both {
-				faults = append(faults, at+": both replaced and removed")
+				errs = append(errs, key+": both replaced and removed")
 			}
-			delete(k.Objects, at)
-			delete(k.Originals, at)
+			delete(k.Objects, key)
+			delete(k.Originals, key)
 		}
 	}
-	return faults
+	return errs
 }
 
-// check tells all faults at once: those found so far and those of the whole.
-func (k Stored) check(faults ValidationErrors) error {
+// check returns the errors found so far together with those of the resulting configuration.
+func (k Stored) check(errs ValidationErrors) error {
 	_, err := Compile(k)
 	var more ValidationErrors
 	if errors.As(err, &more) {
-		faults = append(faults, more...)
+		errs = append(errs, more...)
 	}
-	if len(faults) > 0 {
-		return faults
+	if len(errs) > 0 {
+		return errs
 	}
 	return nil
 }
 
-// lay puts the objects of s in place of those of the same names.
+// setObjects adds the objects of s and replaces those of the same names.
 func (k Stored) setObjects(s objectsByKind) ValidationErrors {
-	var faults ValidationErrors
+	var errs ValidationErrors
 	known := map[string]bool{}
 	for _, kind := range kinds() {
 		known[kind] = true
 	}
 	for _, kind := range sorted(s) {
 		if !known[kind] {
-			faults = append(faults, fmt.Sprintf("%s: no such kind; there are %s", kind, strings.Join(kinds(), ", ")))
+			errs = append(errs, fmt.Sprintf("%s: no such kind; there are %s", kind, strings.Join(kinds(), ", ")))
 			continue
 		}
 		for _, name := range sorted(s[kind]) {
 			if !ValidName(name) || len(name) > 128 {
-				faults = append(faults, fmt.Sprintf("%s/%s: a name has 1 to 128 characters and no '/', '+' or blank", kind, name))
+				errs = append(errs, fmt.Sprintf("%s/%s: a name has 1 to 128 characters and no '/', '+' or blank", kind, name))
 				continue
 			}
 			k.Objects[kind+"/"+name] = s[kind][name]
 			delete(k.Originals, kind+"/"+name)
 		}
 	}
-	return faults
+	return errs
 }
--- a/internal/conf/service.go
+++ b/internal/conf/service.go
@@ -10,33 +10,33 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Service is a set of replicas that answer the same requests.
+// Service is a set of replicas that serve the same requests.
 type Service struct {
-	Selector       labels.Selector // its replicas
-	MaxConnections int             // that one replica takes from all callers together; 0 is unknown
-	MaxInFlight    int             // requests one replica runs side by side; 0 leaves it to the replica's report
-	CapacityMib    int             // memory of one replica for models and adapters; 0 leaves it to the report
-	MaxAdapters    int             // adapters one replica may hold; 0 leaves it to the report
-	CacheTokens    int             // prompt and output tokens one replica keeps
-	LoadsPerSecond float64         // starts that the weight store of its models bears; 0 is limits.paceLoads
-	CacheByShare   bool            // its replicas divide their cache between tenants themselves
+	Selector       labels.Selector // selects its replicas
+	MaxConnections int             // connections that one replica accepts from all callers together; 0 means unknown
+	MaxInFlight    int             // concurrent requests of one replica; 0 means as reported by the replica
+	CapacityMib    int             // memory of one replica for models and adapters; 0 means as reported
+	MaxAdapters    int             // adapters one replica may hold; 0 means as reported
+	CacheTokens    int             // prompt and output tokens that one replica caches
+	LoadsPerSecond float64         // load starts that the weight store of its models supports; 0 means limits.paceLoads
+	CacheByShare   bool            // its replicas divide their cache between tenants by themselves
 }
 
-// Share is the part of a route's requests that goes to one service.
+// Share is the weight of a service in a route's split.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// ServiceLabel is the label that a service's replicas carry unless it has a selector.
+// ServiceLabel is the label of a service's replicas, used unless the service has a selector.
 const ServiceLabel = "service"
 
-// OfService selects the replicas that are labelled with a service's name.
+// ServiceSelector selects the replicas that are labelled with a service's name.
 func ServiceSelector(name string) labels.Selector {
 	return labels.SelectorFromSet(labels.Set{ServiceLabel: name})
 }
 
-// parseSplit reads shares written as SERVICE=WEIGHT.
+// parseSplit parses shares written as SERVICE=WEIGHT.
 func parseSplit(texts []string) ([]Share, error) {
 	var out []Share
 	for _, text := range texts {
@@ -50,22 +50,22 @@
 	return out, nil
 }
 
-// Pick is the service a request goes to, for a draw from 0 up to 1.
+// PickService returns the service of the split for a random draw in [0, 1).
 func (r Route) PickService(draw float64) string {
 	total := 0
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	at := int(draw * float64(total))
+	remaining := int(draw * float64(total))
 	for _, s := range r.Split {
-		if at -= s.Weight; at < 0 {
+		if remaining -= s.Weight; remaining < 0 {
 			return s.Service
 		}
 	}
 	return ""
 }
 
-// Resolve narrows a route down to the service a draw leads to.
+// Resolve narrows a route with a split to the service picked by a draw in [0, 1).
 func (e Effective) Resolve(r Route, draw float64) Route {
 	if len(r.Split) == 0 {
 		return r
@@ -80,23 +80,23 @@
 	return r
 }
 
-// Match is the route of a host with the longest prefix that begins the path.
+// Match returns the route of the host with the longest path prefix.
 func (e Effective) Match(host, path string) (Route, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
 	prefixes := e.routesByPrefix[strings.ToLower(host)]
-	for at := strings.LastIndexByte(path, '/'); at >= 0; at = strings.LastIndexByte(path[:at], '/') {
-		if name, found := prefixes[path[:at+1]]; found {
+	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
+		if name, found := prefixes[path[:end+1]]; found {
 			return e.Routes[name], true
 		}
 	}
 	return Route{}, false
 }
 
-// complete checks services and prefixes and builds what requests are looked up by.
+// buildIndexes checks services and path prefixes and builds the indexes for requests.
 func (e *Effective) buildIndexes() ValidationErrors {
-	keys, faults := e.indexKeys()
+	keys, errs := e.indexKeys()
 	e.tenantByKey = keys
 	e.routesByPrefix = map[string]map[string]string{}
 	e.modelServices = map[string]bool{}
@@ -107,54 +107,54 @@
 			continue
 		}
 		if _, found := e.Services[m.Service]; !found {
-			faults = append(faults, fmt.Sprintf("models/%s.service: no service %q", name, m.Service))
+			errs = append(errs, fmt.Sprintf("models/%s.service: no service %q", name, m.Service))
 		}
 		e.modelServices[m.Service] = true
 	}
 	for _, name := range sorted(e.Routes) {
-		faults = append(faults, e.indexRoute(name)...)
+		errs = append(errs, e.indexRoute(name)...)
 	}
-	return faults
+	return errs
 }
 
 func (e *Effective) indexRoute(name string) ValidationErrors {
-	var faults ValidationErrors
+	var errs ValidationErrors
 	r := e.Routes[name]
-	at := "routes/" + name
+	path := "routes/" + name
 	weights := 0
 	for _, s := range r.Split {
 		weights += s.Weight
 		if s.Weight < 0 {
-			faults = append(faults, fmt.Sprintf("%s.split: the weight of %s is below 0", at, s.Service))
+			errs = append(errs, fmt.Sprintf("%s.split: the weight of %s is below 0", path, s.Service))
 		}
 		if _, found := e.Services[s.Service]; !found {
-			faults = append(faults, fmt.Sprintf("%s.split: no service %q", at, s.Service))
+			errs = append(errs, fmt.Sprintf("%s.split: no service %q", path, s.Service))
 		}
 	}
 	if len(r.Split) > 0 && weights == 0 {
-		faults = append(faults, at+".split: the weights sum to 0")
+		errs = append(errs, path+".split: the weights sum to 0")
 	}
 	if r.Deadline <= 0 {
-		faults = append(faults, at+".deadlineMs: must be above 0")
+		errs = append(errs, path+".deadlineMs: must be above 0")
 	}
 	if r.Prefix == "" {
-		return faults
+		return errs
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		faults = append(faults, fmt.Sprintf("%s.pathPrefix: %q does not begin and end with a slash", at, r.Prefix))
+		errs = append(errs, fmt.Sprintf("%s.pathPrefix: %q does not begin and end with a slash", path, r.Prefix))
 	}
 	host := strings.ToLower(r.Host)
 	if e.routesByPrefix[host] == nil {
 		e.routesByPrefix[host] = map[string]string{}
 	}
 	if other, taken := e.routesByPrefix[host][r.Prefix]; taken {
-		faults = append(faults, fmt.Sprintf("%s: host and pathPrefix are those of routes/%s", at, other))
+		errs = append(errs, fmt.Sprintf("%s: host and pathPrefix are those of routes/%s", path, other))
 	}
 	e.routesByPrefix[host][r.Prefix] = name
-	return faults
+	return errs
 }
 
-// LoadsPerSecond is the rate of the slowest weight store, or 0 where none is named.
+// LoadsPerSecond returns the rate of the slowest weight store, or 0 if no service sets one.
 func (e Effective) LoadsPerSecond() float64 {
 	rate := 0.0
 	for _, s := range e.Services {
@@ -165,7 +165,8 @@
 	return rate
 }
 
-// ServiceOf is the service whose replicas carry these labels and hold models.
+// ServiceOf returns the service of a replica with these labels: the one named by its service label, or
+// else one that holds models and selects it.
 func (e Effective) ServiceOf(labelled map[string]string) (Service, bool) {
 	if s, found := e.Services[labelled[ServiceLabel]]; found {
 		return s, true
@@ -178,7 +179,7 @@
 	return Service{}, false
 }
 
-// Within says whether a deadline of the caller's own shortens the route's.
+// EffectiveDeadline returns the shorter of the route's deadline and the caller's own, if it has one.
 func (r Route) EffectiveDeadline(own time.Duration) time.Duration {
 	if own > 0 && own < r.Deadline {
 		return own
--- a/internal/conf/service_test.go
+++ b/internal/conf/service_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// shop is a configuration whose routes are matched by host and path.
+// matchingConfig has routes that are matched by host and path.
 const matchingConfig = `{
 	"classes": {"desk": {}},
 	"models": {"m": {"sizeMib": 10, "service": "thinkers"}},
@@ -71,7 +71,7 @@
 		t.Errorf("got %v", counts)
 	}
 	if got := e.Routes["deep"].PickService(0.9999999999999999); got != "thinkers" {
-		t.Errorf("the highest draw leads to %q", got)
+		t.Errorf("the highest draw picks %q", got)
 	}
 }
 
@@ -84,10 +84,10 @@
 		t.Errorf("got %s %s", got.Kind, got.Selector)
 	}
 	if got := e.Resolve(e.Routes["plain"], 0.5); got.Service != "" || got.Selector.String() != "service=web" {
-		t.Errorf("a route without a split was narrowed to %q", got.Service)
+		t.Errorf("a route without a split was resolved to %q", got.Service)
 	}
 	if e.Routes["all"].Service != "" {
-		t.Error("the configuration itself was changed")
+		t.Error("the configuration was changed")
 	}
 }
 
@@ -114,7 +114,7 @@
 		`routes/text.split: "web" is not SERVICE=WEIGHT`,
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("not told: %s\nbut %v", want, err)
+			t.Errorf("not reported: %s\nin %v", want, err)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		t.Errorf("got %s", got)
 	}
 	if _, err := ReadWhole("", []byte(`{"classes":{"c":{}},"routes":{"r":{"kind":"service","class":"c","deadlineMs":0}}}`)); err == nil {
-		t.Error("a deadline of 0 was taken")
+		t.Error("a deadline of 0 was accepted")
 	}
 }
 
@@ -176,7 +176,7 @@
 			t.Errorf("%s: got %+v", contentType, s)
 		}
 		if got := e.LoadsPerSecond(); got != 0.5 {
-			t.Errorf("%s: the store bears %v", contentType, got)
+			t.Errorf("%s: LoadsPerSecond is %v", contentType, got)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		t.Errorf("got %v", got)
 	}
 	if got := compileJSON(t, matchingConfig).LoadsPerSecond(); got != 0 {
-		t.Errorf("got %v where no service names a rate", got)
+		t.Errorf("got %v although no service sets a rate", got)
 	}
 }
 
@@ -200,6 +200,6 @@
 		t.Errorf("by its selector: %+v, %v", s, found)
 	}
 	if _, found := e.ServiceOf(map[string]string{"pool": "cpu"}); found {
-		t.Error("a replica of no service has one")
+		t.Error("a replica without a service has one")
 	}
 }
--- a/internal/conf/table.go
+++ b/internal/conf/table.go
@@ -11,7 +11,7 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Type of a setting.
+// Type is the type of a setting.
 type Type string
 
 // The types a setting may have.
@@ -29,7 +29,7 @@
 	Kind    string
 	Name    string
 	Type    Type
-	Default any    // nil: must be given
+	Default any    // nil: the setting is required
 	Check   check  // nil: any value of the type
 	Rule    string // the check in words
 	Doc     string
@@ -79,7 +79,7 @@
 	return len(w) == 7 && math.Abs(sum-1) < 1e-9
 }
 
-// Table is every setting an operator's configuration may hold.
+// Table lists all settings of the operators' configuration.
 var Table = []Setting{
 	{"models", "sizeMib", Int, nil, inRange(1, 1<<24), "1 to 16777216", "memory a replica needs for the model"},
 	{"models", "adapters", TextList, []string{}, nil, "", "adapters that go with the model"},
@@ -140,12 +140,12 @@
 	{"limits", "horizonMinutes", Int, 60, inRange(1, 1440), "1 to 1440", "how far demand is summed"},
 }
 
-// Judges names the weights that exist and their starting values.
+// DefaultWeights holds the names of all weights and their defaults.
 var DefaultWeights = map[string]float64{
 	"warmth": 8, "wait": 0, "load": 3, "zone": 1, "serve": 2, "drain": 1, "share": 16, "demand": 4, "recency": 1, "copies": 1, "adapters": 1, "room": 2,
 }
 
-// limitsName is the one object of kind limits.
+// limitsName is the name of the only object of kind limits.
 const limitsName = "default"
 
 func kinds() []string {
@@ -158,14 +158,14 @@
 	return out
 }
 
-// fields reads one object by the table, and tells every fault in it.
+// parseFields reads the settings of one object by the table and returns all errors in it.
 func parseFields(kind, name string, raw json.RawMessage) (map[string]any, []string) {
-	at := kind + "/" + name
+	path := kind + "/" + name
 	var given map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &given); err != nil || given == nil {
-		return nil, []string{fmt.Sprintf("%s: want an object, got %s", at, truncate(raw))}
+		return nil, []string{fmt.Sprintf("%s: want an object, got %s", path, truncate(raw))}
 	}
-	var faults []string
+	var errs []string
 	out := map[string]any{}
 	for _, s := range Table {
 		if s.Kind != kind {
@@ -175,7 +175,7 @@
 		delete(given, s.Name)
 		if !found {
 			if s.Default == nil {
-				faults = append(faults, fmt.Sprintf("%s.%s: must be given (%s)", at, s.Name, s.Type))
+				errs = append(errs, fmt.Sprintf("%s.%s: must be given (%s)", path, s.Name, s.Type))
 				continue
 			}
 			out[s.Name] = s.Default
@@ -183,19 +183,19 @@
 		}
 		val, ok := parseTyped(s.Type, v)
 		if !ok {
-			faults = append(faults, fmt.Sprintf("%s.%s: want a %s, got %s", at, s.Name, s.Type, truncate(v)))
+			errs = append(errs, fmt.Sprintf("%s.%s: want a %s, got %s", path, s.Name, s.Type, truncate(v)))
 			continue
 		}
 		if s.Check != nil && !s.Check(val) {
-			faults = append(faults, fmt.Sprintf("%s.%s: want %s, got %s", at, s.Name, s.Rule, truncate(v)))
+			errs = append(errs, fmt.Sprintf("%s.%s: want %s, got %s", path, s.Name, s.Rule, truncate(v)))
 			continue
 		}
 		out[s.Name] = val
 	}
 	for _, k := range sorted(given) {
-		faults = append(faults, fmt.Sprintf("%s.%s: no such setting", at, k))
+		errs = append(errs, fmt.Sprintf("%s.%s: no such setting", path, k))
 	}
-	return out, faults
+	return out, errs
 }
 
 func parseTyped(t Type, raw json.RawMessage) (any, bool) {
@@ -238,7 +238,7 @@
 
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Help is the table in words.
+// Help returns the table as text.
 func Help() string {
 	var b strings.Builder
 	for _, s := range Table {
--- a/internal/conf/tenant.go
+++ b/internal/conf/tenant.go
@@ -6,22 +6,22 @@
 )
 
 // DefaultTenant is the tenant of classes that name none. It has share 1 unless
-// an object of its name says otherwise.
+// an object of its name sets another.
 const DefaultTenant = "default"
 
-// Tenant is an owner of requests: of those of its classes, and of those whose
-// callers bear one of its keys.
+// Tenant is an owner of requests: of those in its classes, and of those that
+// present one of its keys.
 type Tenant struct {
-	Share int      // its weight among the tenants that want something; 0 takes no part
-	Keys  []string // that its callers bear
-	Class string   // of the requests that bear a key of it, in place of their route's; "" keeps that
+	Share int      // weight among the competing tenants; 0 takes no part
+	Keys  []string // API keys of its callers
+	Class string   // class of requests with one of its keys, instead of the route's; "" keeps the route's
 }
 
-// Ranks is how many steps of urgency there are within a tenant.
+// UrgencyLevels is the number of urgency levels within a tenant.
 const UrgencyLevels = 11
 
-// Urgency is the step of a class within its tenant: 0 for urgent classes, then
-// by rank; a lower one stays ahead.
+// Urgency returns the level of a class within its tenant: 0 for urgent classes, then
+// by rank; lower levels go first.
 func (c Class) Urgency() int {
 	if c.Urgent {
 		return 0
@@ -29,10 +29,10 @@
 	return min(1+max(c.Rank, 0), UrgencyLevels-1)
 }
 
-// HasTenants says whether anything is shared between tenants at all.
+// HasTenants reports whether anything is divided between tenants.
 func (e Effective) HasTenants() bool { return len(e.shares) > 0 }
 
-// TenantOf is the tenant of a class.
+// TenantOf returns the tenant of a class.
 func (e Effective) TenantOf(class string) string {
 	if t := e.Classes[class].Tenant; t != "" {
 		return t
@@ -40,7 +40,7 @@
 	return DefaultTenant
 }
 
-// ShareOf is the weight of a tenant.
+// ShareOf returns the weight of a tenant.
 func (e Effective) ShareOf(tenant string) int {
 	if t, found := e.Tenants[tenant]; found {
 		return max(t.Share, 1)
@@ -48,8 +48,8 @@
 	return 1
 }
 
-// Shares are the weights of all tenants, the default one among them if a class is
-// its own; none without tenants. Nobody may change them.
+// Shares returns the weights of all tenants, including the default one if a class belongs to
+// it; it is empty if no tenant has a share. Callers must not modify it.
 func (e Effective) Shares() map[string]int { return e.shares }
 
 func (e Effective) computeShares() map[string]int {
@@ -69,43 +69,44 @@
 	return out
 }
 
-// digest is what a key is looked up by. Why: how long a look-up takes must tell nothing of the keys.
+// keyHash is the index of the key lookup. Keys are hashed so that the time of a lookup reveals nothing about them.
 type keyHash [sha256.Size]byte
 
-// TenantOfKey is the tenant whose callers bear a key.
+// TenantOfKey returns the tenant that an API key belongs to.
 func (e Effective) TenantOfKey(key string) (tenant string, known bool) {
 	tenant, known = e.tenantByKey[sha256.Sum256([]byte(key))]
 	return tenant, known
 }
 
-// sumKeys makes what keys are looked up by. Two tenants may not have one key; a fault
+// indexKeys builds the index of keys. A key may belong to one tenant only; an error
 // names the tenants and not the key.
 func (e Effective) indexKeys() (map[keyHash]string, ValidationErrors) {
-	var faults ValidationErrors
+	var errs ValidationErrors
 	out := map[keyHash]string{}
 	for _, name := range sorted(e.Tenants) {
 		for _, key := range e.Tenants[name].Keys {
 			if key == "" {
-				faults = append(faults, fmt.Sprintf("tenants/%s.keys: a key is empty", name))
+				errs = append(errs, fmt.Sprintf("tenants/%s.keys: a key is empty", name))
 				continue
 			}
 			sum := keyHash(sha256.Sum256([]byte(key)))
 			if other, found := out[sum]; found && other != name {
-				faults = append(faults, fmt.Sprintf("tenants/%s.keys: a key is also one of %q", name, other))
+				errs = append(errs, fmt.Sprintf("tenants/%s.keys: a key is also one of %q", name, other))
 			}
 			out[sum] = name
 		}
 	}
-	return out, faults
+	return out, errs
 }
 
-// tenantReferences tells what names a tenant or a class that is not there.
+// checkTenantReferences returns an error for each reference to a tenant or class that does not exist, and
+// for a tenant whose class belongs to another.
 func (e Effective) checkTenantReferences() ValidationErrors {
-	var faults ValidationErrors
+	var errs ValidationErrors
 	for _, name := range sorted(e.Classes) {
 		tenant := e.Classes[name].Tenant
 		if _, found := e.Tenants[tenant]; !found && tenant != "" {
-			faults = append(faults, fmt.Sprintf("classes/%s.tenant: no tenant %q", name, tenant))
+			errs = append(errs, fmt.Sprintf("classes/%s.tenant: no tenant %q", name, tenant))
 		}
 	}
 	for _, name := range sorted(e.Tenants) {
@@ -114,10 +115,10 @@
 		switch {
 		case class == "":
 		case !found:
-			faults = append(faults, fmt.Sprintf("tenants/%s.class: no class %q", name, class))
+			errs = append(errs, fmt.Sprintf("tenants/%s.class: no class %q", name, class))
 		case c.Tenant != "" && c.Tenant != name:
-			faults = append(faults, fmt.Sprintf("tenants/%s.class: the class %q is of the tenant %q", name, class, c.Tenant))
+			errs = append(errs, fmt.Sprintf("tenants/%s.class: the class %q is of the tenant %q", name, class, c.Tenant))
 		}
 	}
-	return faults
+	return errs
 }
--- a/internal/conf/tenant_test.go
+++ b/internal/conf/tenant_test.go
@@ -24,10 +24,10 @@
 		name, doc string
 		want      map[string]int
 	}{
-		{"nobody is a tenant", `{"classes":{"a":{}}}`, map[string]int{}},
-		{"a class without a tenant is the default one's", `{"tenants":{"x":{"share":3}},"classes":{"a":{"tenant":"x"},"b":{}}}`, map[string]int{"x": 3, DefaultTenant: 1}},
-		{"the default tenant may be given a share", `{"tenants":{"x":{},"default":{"share":7}},"classes":{"b":{}}}`, map[string]int{"x": 1, DefaultTenant: 7}},
-		{"where all classes have a tenant there is no default one", `{"tenants":{"x":{},"y":{}},"classes":{"a":{"tenant":"x"}}}`, map[string]int{"x": 1, "y": 1}},
+		{"no tenants", `{"classes":{"a":{}}}`, map[string]int{}},
+		{"a class without a tenant belongs to the default tenant", `{"tenants":{"x":{"share":3}},"classes":{"a":{"tenant":"x"},"b":{}}}`, map[string]int{"x": 3, DefaultTenant: 1}},
+		{"the default tenant may have a share", `{"tenants":{"x":{},"default":{"share":7}},"classes":{"b":{}}}`, map[string]int{"x": 1, DefaultTenant: 7}},
+		{"no default tenant if all classes have a tenant", `{"tenants":{"x":{},"y":{}},"classes":{"a":{"tenant":"x"}}}`, map[string]int{"x": 1, "y": 1}},
 	} {
 		if got := mustCompile(t, c.doc).Shares(); !maps.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -46,7 +46,7 @@
 	}
 }
 
-// The example is one that is taken.
+// The example configuration must be valid.
 func TestTenantsExampleIsValid(t *testing.T) {
 	b, err := os.ReadFile("../../examples/tenants/config.yaml")
 	if err != nil {
