--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -22,7 +22,7 @@
 }
 
 func (c *Core) grant(ctx context.Context, l order.GrantRequest) (time.Duration, bool) {
-	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.Who, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
+	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.LoadID, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
 	return time.Duration(g.WaitMs) * time.Millisecond, err == nil && g.Granted
 }
 
@@ -84,7 +84,7 @@
 		g := c.group.Child()
 		c.controllers[id] = &controlled{group: g, controller: order.NewController(g, order.Deps{Clock: c.env.Clock, Log: c.log, Self: c.s.Name, Boot: c.boot,
 			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.own, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, PredictedRequests: c.planner.PredictedRequests,
-			Others: c.views.Statuses, LiveAgents: c.agents, PlatformAge: c.watch.HeardFor, Grant: c.grant, Afloat: c.afloat}, l)}
+			Statuses: c.views.Statuses, LiveAgents: c.agents, PlatformAge: c.watch.HeardFor, Grant: c.grant, ReportOutstanding: c.afloat}, l)}
 	}
 	snap := map[string]*order.Controller{}
 	for id, one := range c.controllers {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -195,20 +195,20 @@
 	c.spread = gossip.NewDisseminator(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
 	c.acc.Serve(c.mux)
 	ownQuarantine := s.Bounds.Lease
-	if c.replicas.Traits().KnowsByName {
+	if c.replicas.Traits().IdentifiesControllerByName {
 		ownQuarantine = 0
 	}
 	c.own = owner.New(owner.Deps{Self: c.self, Group: c.group, Clock: env.Clock, Log: c.log, Caller: c.caller, Acceptor: c.acc,
-		Addr: c.addrOf, Rank: c.voters, Behind: func(v state.Core) { c.set.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, OwnQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnTake: c.onTake})
+		Addr: c.addrOf, Rank: c.voters, OnVoterBehind: func(v state.Core) { c.set.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, RestartQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnAcquire: c.onTake})
 	c.lag = load.NewLag(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.own, Gossip: c.gossip,
-		Reports: c.reports, Conf: c.effective, Views: c.views.Statuses, Ask: c.consider, AskAll: c.considerAll, Tell: c.tellShared, Busy: c.lag.Busy})
+		Reports: c.reports, Conf: c.effective, Statuses: c.views.Statuses, Consider: c.consider, ConsiderAll: c.considerAll, SharePredictions: c.tellShared, Busy: c.lag.Busy})
 	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
 		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Taken, error) {
 			return wire.CallLarge[relay.Taken](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
 		}, Busy: c.lag.Busy})
-	c.set = coremembers.New(coremembers.Deps{Self: c.self, Want: s.Cores, InitialAddrs: s.Founders, MayBootstrap: s.MayFound, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
-		Acceptor: c.acc, Owner: c.own, Live: c.liveCores, Addr: c.addrOf, Gone: c.goneFor, SinceContact: c.heardFor}, c.mux)
+	c.set = coremembers.New(coremembers.Deps{Self: c.self, FormationSize: s.Cores, InitialAddrs: s.Founders, MayBootstrap: s.MayFound, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
+		Acceptor: c.acc, Owner: c.own, Live: c.liveCores, Addr: c.addrOf, Absence: c.goneFor, SinceContact: c.heardFor}, c.mux)
 	c.watch.Start(c.group, s.Cadence.List, func() bool { return true })
 	c.newestStamp = flight.New(c.group, func(ctx context.Context) (Newest, error) {
 		ctx, cancel := context.WithTimeout(ctx, ownerFor)
--- a/internal/place/order/poll.go
+++ b/internal/place/order/poll.go
@@ -70,7 +70,7 @@
 // outcomeUnknownFor returns how long after its order a load that no report shows counts
 // as carried out.
 func (c *Controller) outcomeUnknownFor(e *entry) time.Duration {
-	if c.traits.TellsBusy && !e.unanswered && !e.inherited {
+	if c.traits.ReportsBusy && !e.unanswered && !e.inherited {
 		return c.traits.ReportLag + outcomeMargin
 	}
 	return outcomeTimeout
--- a/internal/place/order/schedule_test.go
+++ b/internal/place/order/schedule_test.go
@@ -148,7 +148,7 @@
 		"a grant of the store":       {model, phaseAwaitGrant, false, -time.Minute},
 	} {
 		ctl := &Controller{d: Deps{Clock: &fakeClock{time.Minute}, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{},
-			traits: backend.Traits{TellsBusy: true}, delay: reportDelay{shortest: delay}}
+			traits: backend.Traits{ReportsBusy: true}, delay: reportDelay{shortest: delay}}
 		if c.modelLoaded {
 			ctl.entries[model] = &entry{Entry: Entry{State: backend.Loaded}}
 		}
@@ -177,7 +177,7 @@
 		"an unload that takes longer": {phaseAwaitUnloaded, 4 * time.Second, 75},
 	} {
 		clock := &fakeClock{time.Minute}
-		ctl := &Controller{d: Deps{Clock: clock, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{}, traits: backend.Traits{TellsBusy: true}}
+		ctl := &Controller{d: Deps{Clock: clock, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{}, traits: backend.Traits{ReportsBusy: true}}
 		ctl.tasks.PushBack(&task{item: modelItem("m"), phase: c.phase, phaseSince: clock.now})
 		polls, seen := 0, time.Duration(0)
 		for ; seen < c.took; clock.now += step {
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -17,7 +17,7 @@
 // and not pinned by a claim. used is the total size of the items that only fail to qualify because they are in use.
 func (c *Controller) idleItems(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.IdleItem, used int) {
 	now := c.d.Clock.Since()
-	others := c.d.Others()
+	others := c.d.Statuses()
 	facts := map[string]judge.IdleItem{}
 	for item, e := range c.entries {
 		if (item.Adapter != "") != adapters || e.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
--- a/internal/place/order/victims_test.go
+++ b/internal/place/order/victims_test.go
@@ -28,7 +28,7 @@
 	cfg.Models = map[string]conf.Model{"fresh": {}, "pressed": {}, "used": {}, "old": {}}
 	c := &fakeClock{time.Minute}
 	reports := report.NewTable()
-	ctl := &Controller{d: Deps{Clock: c, Reports: reports, Others: func() Statuses { return Statuses{} }, PredictedRequests: func(string) float64 { return 0 }}, entries: map[conf.Item]*entry{}}
+	ctl := &Controller{d: Deps{Clock: c, Reports: reports, Statuses: func() Statuses { return Statuses{} }, PredictedRequests: func(string) float64 { return 0 }}, entries: map[conf.Item]*entry{}}
 	for name := range cfg.Models {
 		ctl.entries[conf.Item{Model: name}] = &entry{Entry: Entry{State: backend.Loaded, SizeMib: 10}, lastUsed: 10 * time.Second}
 	}
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -26,7 +26,7 @@
 // demandParams returns the prediction parameters of the current configuration.
 func (p *Planner) demandParams() demand.Params {
 	l := p.d.Conf().Limits
-	return demand.Params{Day: int64(l.EpochUnits), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
+	return demand.Params{UnitsPerDay: int64(l.EpochUnits), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
 }
 
 // currentMinuteClock returns the clock that counts units of the configured length, and replaces it when the length changes.
--- a/internal/place/plan/miss.go
+++ b/internal/place/plan/miss.go
@@ -102,7 +102,7 @@
 		}
 		candidates = append(candidates, judge.Candidate{Name: v.Listed.ID, Inflight: p.d.Reports.InflightOn(v.Listed.ID, now), Slots: v.Slots,
 			ServeTime: time.Duration(v.ServeMs) * time.Millisecond, Leaving: v.Listed.Leaving, FreeMib: v.FreeMib, NeedMib: need,
-			Fits: m.SizeMib <= v.CapacityMib && (it.Adapter == "" || v.AdapterPlaces > 0), AdFree: v.AdapterFree, Copies: zones[v.Listed.Zone]})
+			Fits: m.SizeMib <= v.CapacityMib && (it.Adapter == "" || v.AdapterPlaces > 0), FreeAdapterPlaces: v.AdapterFree, Copies: zones[v.Listed.Zone]})
 	}
 	ranked := judge.RankForLoad(cfg.Weights, candidates)
 	// A replica executes one order at a time and only the first candidates are asked, so replicas with fewer pending loads
--- a/internal/place/plan/schedule.go
+++ b/internal/place/plan/schedule.go
@@ -37,7 +37,7 @@
 	if free <= 0 {
 		return // the first decision to finish triggers another run
 	}
-	statuses := p.d.Views()
+	statuses := p.d.Statuses()
 	var due []Decision
 	for it, n := range waiting {
 		if p.inProgress[subject{item: it}] {
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -188,7 +188,7 @@
 // for these only if replicas do not finish running requests before an unload; otherwise each change at a replica would
 // needlessly change the report of every edge.
 func acknowledgedStatuses(traits backend.Traits, versions map[string]state.Stamp) map[string]state.Stamp {
-	if traits.WaitsForRuns {
+	if traits.DrainsBeforeUnload {
 		return nil
 	}
 	return versions
--- a/internal/proxy/feed_test.go
+++ b/internal/proxy/feed_test.go
@@ -82,7 +82,7 @@
 // fleet this was most of the report traffic to the cores.
 func TestStatusIsNotAcknowledgedWhenReplicasDrainOnUnload(t *testing.T) {
 	versions := map[string]state.Stamp{"m-1": {Epoch: 1, Version: 2}}
-	if got := acknowledgedStatuses(backend.Traits{WaitsForRuns: true}, versions); len(got) > 0 {
+	if got := acknowledgedStatuses(backend.Traits{DrainsBeforeUnload: true}, versions); len(got) > 0 {
 		t.Errorf("acknowledged needlessly: %v", got)
 	}
 	if got := acknowledgedStatuses(backend.Traits{}, versions); len(got) != 1 {
--- a/internal/route/renew_test.go
+++ b/internal/route/renew_test.go
@@ -80,7 +80,7 @@
 
 // checkUnmodified checks that a published snapshot has not been modified.
 func (w *fixture) checkUnmodified(before *Snapshot, was expectedTable) {
-	if !maps.Equal(before.Acked, was.Acked) || !maps.Equal(maps.Collect(before.Expect.All()), was.Predictions) || !maps.Equal(before.Coming, was.ReadyAt) || len(before.Replicas) != len(was.Rows) {
+	if !maps.Equal(before.Acked, was.Acked) || !maps.Equal(maps.Collect(before.Expectations.All()), was.Predictions) || !maps.Equal(before.LoadingReadyAt, was.ReadyAt) || len(before.Replicas) != len(was.Rows) {
 		w.t.Fatal("a snapshot was modified after it was published")
 	}
 	for id, r := range before.Replicas {
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -99,7 +99,7 @@
 		for m := range int64(8 * 1440) {
 			s.Add(m, 2)
 		}
-		r := demand.Params{Day: 1440, DayWeights: []float64{0.4, 0.2, 0.12, 0.1, 0.08, 0.06, 0.04}, WarmupMinutes: 2, HorizonMinutes: x}
+		r := demand.Params{UnitsPerDay: 1440, DayWeights: []float64{0.4, 0.2, 0.12, 0.1, 0.08, 0.06, 0.04}, WarmupMinutes: 2, HorizonMinutes: x}
 		return func() { sink = s.PredictHorizon(r, 8*1440-200, 0) }
 	})
 	costs("news.Put (stamp newer)", "key in table", its, func(x int) func() {
