--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -66,7 +66,7 @@
 	servers   []*wire.Server
 	confirmed atomic.Bool
 	confirms  confirmation
-	touch     *touch.Keeper
+	touch     *touch.Tracker
 	latest    atomic.Pointer[dated]
 	fed       atomic.Pointer[report.Report] // the last report that came with an exchange
 	reports   reports
@@ -131,7 +131,7 @@
 
 // asksPlatform says whether this agent asks for the list itself.
 func (a *Agent) asksPlatform() bool {
-	return a.s.Cadence.ListSpare == 0 || a.touch.For() > a.s.Cadence.ListSpare
+	return a.s.Cadence.ListSpare == 0 || a.touch.SinceContact() > a.s.Cadence.ListSpare
 }
 
 // gossipTree is whom this agent tells its news in a large fleet.
@@ -140,7 +140,7 @@
 }
 
 // Reseed names other seeds.
-func (a *Agent) Reseed(seeds []string) { a.members.Reseed(seeds) }
+func (a *Agent) Reseed(seeds []string) { a.members.SetSeeds(seeds) }
 
 // Stop leaves on purpose.
 func (a *Agent) Stop(ctx context.Context) error {
@@ -205,7 +205,7 @@
 		a.gossip.Put(e)
 	}
 	if len(up.Peers) > 0 {
-		a.members.Meet(up.Peers[:min(len(up.Peers), maxPeers)])
+		a.members.SetPreviousPeers(up.Peers[:min(len(up.Peers), maxPeers)])
 	}
 	// Why: a surviving proxy has in force what this machine had; with that here, nothing goes back.
 	if up.Confirmed && !up.Conf.Newer(a.gossip.StampOf(conf.Key)) {
@@ -217,7 +217,7 @@
 	if up.AgentBoot == a.boot {
 		a.awaitGossip(ctx, up)
 	}
-	d := feed.Reply{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), SinceContactMs: min(a.touch.For().Milliseconds()+1, 1<<40),
+	d := feed.Reply{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), SinceContactMs: min(a.touch.SinceContact().Milliseconds()+1, 1<<40),
 		Edges: len(a.members.Live(member.RoleAgent)), Agent: a.s.Name, Zone: a.s.Zone}
 	if fed := a.fed.Load(); fed != nil && fed.Boot == up.Boot {
 		d.ReportVersion = fed.Version
@@ -241,7 +241,7 @@
 	if fed := a.fed.Load(); fed != nil {
 		base = *fed
 	}
-	whole, ok := r.On(base)
+	whole, ok := r.ApplyTo(base)
 	if !ok {
 		a.fed.Store(nil)
 		return
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -94,7 +94,7 @@
 
 // nearestFirst is some cores in a turn that begins with the one that tells this agent its news.
 func nearestFirst(self member.Node, cores []member.Node) []member.Node {
-	first := fanout.CoreOf(self, cores)
+	first := fanout.AssignedCore(self, cores)
 	at := max(0, slices.IndexFunc(cores, func(n member.Node) bool { return n.Name == first }))
 	return slices.Concat(cores[at:], cores[:at])
 }
--- a/internal/agent/fed_test.go
+++ b/internal/agent/fed_test.go
@@ -26,7 +26,7 @@
 			now.Demand["m"+strconv.Itoa(rnd.IntN(5))]++
 			sent := now
 			if base.Version != 0 {
-				sent = now.Since(base)
+				sent = now.DeltaFrom(base)
 			}
 			switch rnd.IntN(10) {
 			case 0: // another agent in its place
@@ -56,7 +56,7 @@
 	first := report.Report{Boot: "b", Version: 1, Demand: map[string]uint64{"m": 7}}
 	a.takeFed(first)
 	other := report.Report{Boot: "c", Version: 2}
-	a.takeFed(other.Since(report.Report{Boot: "c", Version: 1}))
+	a.takeFed(other.DeltaFrom(report.Report{Boot: "c", Version: 1}))
 	if a.fed.Load() != nil || a.latest.Load().r.Version != 1 {
 		t.Errorf("held %+v", a.latest.Load().r)
 	}
--- a/internal/agent/relays.go
+++ b/internal/agent/relays.go
@@ -46,7 +46,7 @@
 	}
 	core := ""
 	if isLarge(nodes) {
-		core = fanout.CoreOf(self, r.able(nodes))
+		core = fanout.AssignedCore(self, r.able(nodes))
 	}
 	if core != r.core {
 		r.core, r.vouched, r.since = core, nil, now
@@ -58,7 +58,7 @@
 func isLarge(nodes []member.Node) bool {
 	live := 0
 	for _, n := range nodes {
-		if n.Thought() {
+		if n.PresumedAlive() {
 			live++
 		}
 	}
@@ -113,7 +113,7 @@
 	}
 	var out []member.Node
 	for _, c := range cores {
-		if !slices.Contains(r.vouched, relay.Key(c.Name)) {
+		if !slices.Contains(r.vouched, relay.CoreKey(c.Name)) {
 			out = append(out, c)
 		}
 	}
--- a/internal/agent/relays_test.go
+++ b/internal/agent/relays_test.go
@@ -84,7 +84,7 @@
 	check("before the core can have vouched", names(r.unvouched(others, now+relayGrace-1)), "")
 	now += relayGrace
 	check("when none is vouched for", names(r.unvouched(others, now)), "23")
-	r.vouched = []uint32{relay.Key("core-2"), relay.Key("core-3")}
+	r.vouched = []uint32{relay.CoreKey("core-2"), relay.CoreKey("core-3")}
 	check("when all are", names(r.unvouched(others, now+directGap)), "")
 	r.vouched = r.vouched[:1]
 	check("when core-3 is not, a moment later", names(r.unvouched(others, now+directGap-1)), "")
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -64,7 +64,7 @@
 		return report.Report{}, false
 	}
 	r := l.r
-	r.AgentBoot, r.Order = a.boot, l.order
+	r.AgentBoot, r.Sequence = a.boot, l.order
 	return r, true
 }
 
@@ -146,14 +146,14 @@
 	if b.whole {
 		whole = len(b.packed)
 	}
-	if err == nil && got.Whole {
-		r.Relay = b.relay
+	if err == nil && got.NeedsFullReport {
+		r.RelayRequested = b.relay
 		packed := wire.Pack(r)
 		whole = len(packed)
 		got, err = a.tellReport(ctx, core.Addr, packed, within)
 	}
-	return told{reached: err == nil, taken: err == nil && !got.Whole && got.Differences, whole: whole, inflight: got.InflightDifferences,
-		relayed: got.Relayed, busy: got.Busy}
+	return told{reached: err == nil, taken: err == nil && !got.NeedsFullReport && got.SupportsDeltas, whole: whole, inflight: got.SupportsInflightDeltas,
+		relayed: got.RelayedTo, busy: got.Busy}
 }
 
 // keep forgets cores that are gone.
@@ -209,14 +209,14 @@
 }
 
 // tellReport sends a packed report to one core.
-func (a *Agent) tellReport(ctx context.Context, addr string, packed cbor.RawMessage, within time.Duration) (report.Taken, error) {
+func (a *Agent) tellReport(ctx context.Context, addr string, packed cbor.RawMessage, within time.Duration) (report.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	asked := a.env.Clock.Since()
-	got, err := wire.Call[cbor.RawMessage, report.Taken](ctx, a.caller, addr, reportPath, packed)
+	got, err := wire.Call[cbor.RawMessage, report.Response](ctx, a.caller, addr, reportPath, packed)
 	if err == nil {
-		a.touch.Told(asked, got.Touch)
-		a.spread.Fetch(addr, conf.Key, got.Conf)
+		a.touch.Observe(asked, got.ContactAge)
+		a.spread.Fetch(addr, conf.Key, got.ConfigStamp)
 	}
 	return got, err
 }
@@ -252,7 +252,7 @@
 		}
 		form := variant{version: base.report.Version, inflight: base.inflight, relay: c.Name == relay}
 		if _, done := packed[form]; !done {
-			latest.Relay = form.relay
+			latest.RelayRequested = form.relay
 			packed[form] = pack(latest, base)
 		}
 		out[i] = body{packed: packed[form], whole: form.version == 0, relay: form.relay}
@@ -266,7 +266,7 @@
 	case base.report.Version == 0:
 		return wire.Pack(latest)
 	case base.inflight:
-		return wire.Pack(latest.SinceInflight(base.report))
+		return wire.Pack(latest.DeltaWithInflight(base.report))
 	}
-	return wire.Pack(latest.Since(base.report))
+	return wire.Pack(latest.DeltaFrom(base.report))
 }
--- a/internal/agent/report_test.go
+++ b/internal/agent/report_test.go
@@ -65,8 +65,8 @@
 		told  int
 	}{{true, 1}, {false, 10}, {false, 10}} {
 		d := unpacked(t, got[i])
-		if d.InflightSince != want.since || len(d.Inflight) != want.told {
-			t.Errorf("%s: difference %t with %d; want %+v", cores[i].Addr, d.InflightSince, len(d.Inflight), want)
+		if d.InflightIsDelta != want.since || len(d.Inflight) != want.told {
+			t.Errorf("%s: difference %t with %d; want %+v", cores[i].Addr, d.InflightIsDelta, len(d.Inflight), want)
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -94,7 +94,7 @@
 	own            *owner.Owner
 	set            *coremembers.Manager
 	members        *member.Table
-	touch          *touch.Keeper
+	touch          *touch.Tracker
 	gossip         *gossip.Table
 	spread         *gossip.Disseminator
 	planner        *plan.Planner
@@ -203,9 +203,9 @@
 	c.lag = load.NewLag(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.own, Gossip: c.gossip,
 		Reports: c.reports, Conf: c.effective, Statuses: c.views.Statuses, Consider: c.consider, ConsiderAll: c.considerAll, SharePredictions: c.tellShared, Busy: c.lag.Busy})
-	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
-		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Taken, error) {
-			return wire.CallLarge[relay.Taken](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
+	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, LatestReport: c.reports.Get,
+		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Response, error) {
+			return wire.CallLarge[relay.Response](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
 		}, Busy: c.lag.Busy})
 	c.set = coremembers.New(coremembers.Deps{Self: c.self, FormationSize: s.Cores, InitialAddrs: s.Founders, MayBootstrap: s.MayFound, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
 		Acceptor: c.acc, Owner: c.own, Live: c.liveCores, Addr: c.addrOf, Absence: c.goneFor, SinceContact: c.heardFor}, c.mux)
@@ -259,7 +259,7 @@
 }
 
 // Reseed names other seeds.
-func (c *Core) Reseed(seeds []string) { c.members.Reseed(seeds) }
+func (c *Core) Reseed(seeds []string) { c.members.SetSeeds(seeds) }
 
 // Stop ends cleanly: slots are handed over, then all is let go.
 func (c *Core) Stop(ctx context.Context) error {
--- a/internal/core/roll.go
+++ b/internal/core/roll.go
@@ -22,7 +22,7 @@
 			if n.Disk != v.DiskID {
 				return "", false
 			}
-			return n.Addr, n.Thought()
+			return n.Addr, n.PresumedAlive()
 		}
 	}
 	return v.Addr, v.Addr != ""
@@ -55,7 +55,7 @@
 		if n.Role != member.RoleCore || n.Name != v.Name || n.Disk != v.DiskID {
 			continue
 		}
-		if n.Thought() {
+		if n.PresumedAlive() {
 			return false, 0
 		}
 		return n.State == member.Left, c.heardFor(v)
@@ -65,12 +65,12 @@
 
 // heardFor is how long ago a voter answered this core.
 func (c *Core) heardFor(v state.Core) time.Duration {
-	return min(c.members.HeardFor(v.Name), c.own.SinceLastGrant(v))
+	return min(c.members.SinceLastAck(v.Name), c.own.SinceLastGrant(v))
 }
 
 // gossipTree is whom this core tells its news in a large fleet.
 func (c *Core) gossipTree() gossip.Tree {
-	return fanout.View{Self: c.members.Self(), Nodes: c.members.Nodes(), HeardFor: c.members.HeardFor}.Tree()
+	return fanout.View{Self: c.members.Self(), Nodes: c.members.Nodes(), SinceLastAck: c.members.SinceLastAck}.Tree()
 }
 
 // others are the live cores but this one.
@@ -93,10 +93,10 @@
 	var ago []time.Duration
 	for _, v := range st.Set.Cores {
 		if !v.SameVoter(c.self()) {
-			ago = append(ago, min(c.members.HeardFor(v.Name), c.own.SinceLastGrant(v)))
+			ago = append(ago, min(c.members.SinceLastAck(v.Name), c.own.SinceLastGrant(v)))
 		}
 	}
-	return touch.Most(st.Set.Quorum(), ago)
+	return touch.QuorumAge(st.Set.Quorum(), ago)
 }
 
 func (c *Core) agents() map[string]bool {
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -34,9 +34,9 @@
 // DigestReply tells how two tables differ; Buckets and Sums are empty if they are equal. To a Digest with a total it holds the
 // sums of the responder's buckets; to one with bucket sums, the buckets that differ.
 type DigestReply struct {
-	Buckets []int      `cbor:"1,keyasint"`
-	Touch   touch.Word `cbor:"2,keyasint,omitempty"` // how long the responder has been out of touch
-	Sums    [][]byte   `cbor:"3,keyasint,omitempty"`
+	Buckets []int     `cbor:"1,keyasint"`
+	Touch   touch.Age `cbor:"2,keyasint,omitempty"` // how long the responder has been out of touch
+	Sums    [][]byte  `cbor:"3,keyasint,omitempty"`
 	// ComparesTotal is set if the responder compares totals; earlier versions do not.
 	ComparesTotal bool `cbor:"4,keyasint,omitempty"`
 }
@@ -158,7 +158,7 @@
 
 // Reconcile exchanges missing entries between a table and a peer's in both directions. It returns the
 // peer's statement of how long it has been out of touch, or 0 if the exchange failed.
-func Reconcile(ctx context.Context, caller *wire.Caller, t *Table, addr, self string) touch.Word {
+func Reconcile(ctx context.Context, caller *wire.Caller, t *Table, addr, self string) touch.Age {
 	d, err := wire.Call[Digest, DigestReply](ctx, caller, addr, digestPath, Digest{Total: t.total()})
 	if err == nil && !d.ComparesTotal {
 		d, err = wire.Call[Digest, DigestReply](ctx, caller, addr, digestPath, t.digest())
--- a/internal/gossip/disseminator.go
+++ b/internal/gossip/disseminator.go
@@ -42,7 +42,7 @@
 // NewDisseminator starts to send and receive entries until g stops. self and peers
 // return current addresses, and tree returns the nodes to send to in a large fleet; in states
 // how long this node has been out of touch.
-func NewDisseminator(g *run.Group, t *Table, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Keeper) *Disseminator {
+func NewDisseminator(g *run.Group, t *Table, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Tracker) *Disseminator {
 	s := &Disseminator{table: t, group: g, log: log, post: post, caller: caller, self: self, peers: peers, tree: tree, pullTokens: make(chan struct{}, maxConcurrentPulls)}
 	for range maxConcurrentPulls {
 		s.pullTokens <- struct{}{}
@@ -66,7 +66,7 @@
 }
 
 // registerHandlers registers the handlers of calls from other disseminators on mux.
-func (s *Disseminator) registerHandlers(mux *wire.Mux, in *touch.Keeper) {
+func (s *Disseminator) registerHandlers(mux *wire.Mux, in *touch.Tracker) {
 	t := s.table
 	wire.Handle(mux, "/news/push", func(_ context.Context, b bundle) (PushReply, error) {
 		p := PushReply{}
@@ -82,7 +82,7 @@
 	})
 	wire.Handle(mux, digestPath, func(_ context.Context, d Digest) (DigestReply, error) {
 		out := t.compareDigest(d)
-		out.Touch = in.Word()
+		out.Touch = in.Age()
 		return out, nil
 	})
 	wire.HandleLarge(mux, "/news/gap", func(_ context.Context, h BucketStamps) (Delta, error) { return t.delta(h), nil })
--- a/internal/place/order/execute.go
+++ b/internal/place/order/execute.go
@@ -275,7 +275,7 @@
 // acknowledged reports whether every live proxy has applied this status of the replica, or a newer one.
 func (c *Controller) acknowledged(s state.Stamp) bool {
 	for agent := range c.d.LiveAgents() {
-		if got := c.d.Reports.Of(agent).Acked[c.listed.ID]; s.Newer(got) {
+		if got := c.d.Reports.Get(agent).Acked[c.listed.ID]; s.Newer(got) {
 			return false
 		}
 	}
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -26,7 +26,7 @@
 		if c.pinnedByClaim(cfg, item, others) {
 			continue
 		}
-		waiting, contended := c.d.Reports.Demand(item, now)
+		waiting, contended := c.d.Reports.WaitingAndContended(item, now)
 		busy, adapterCount := e.inflight > 0 || c.d.Reports.Inflight(c.listed.ID, item.String(), now) > 0 || waiting > 0, 0
 		// A copy of a contended item and an item that was just loaded are about to be used; unloading them would
 		// cost a second load from the store.
@@ -40,7 +40,7 @@
 				adapterCount++
 				itemPenalty += c.penaltyOf(cfg, other, others, now)
 				// A model is in use while any adapter on it is, and can be unloaded only if all its adapters can be.
-				waiting, _ := c.d.Reports.Demand(other, now)
+				waiting, _ := c.d.Reports.WaitingAndContended(other, now)
 				busy = busy || waiting > 0 || o.State != backend.Loaded || o.inflight > 0
 				pinned = pinned || c.pinnedByClaim(cfg, other, others)
 			}
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -45,13 +45,13 @@
 	// Some peers may be down as well; one response is enough.
 	peers := sample.Of(known, peerPullCount)
 	askedAt := p.env.Clock.Since()
-	results := run.Fan(p.group, len(peers), func(ctx context.Context, i int) touch.Word {
+	results := run.Fan(p.group, len(peers), func(ctx context.Context, i int) touch.Age {
 		ctx, cancel := context.WithTimeout(ctx, peerPullInterval)
 		defer cancel()
 		return gossip.Reconcile(ctx, p.caller, p.gossip, peers[i], "")
 	})
 	for range peers {
-		p.contact.Told(askedAt, <-results)
+		p.contact.Observe(askedAt, <-results)
 	}
 }
 
@@ -109,7 +109,7 @@
 		p.peers.Store(&down.Peers)
 	}
 	p.agentSeenAt.Store(int64(askedAt))
-	p.contact.Told(askedAt, touch.Word(down.SinceContactMs+1))
+	p.contact.Observe(askedAt, touch.Age(down.SinceContactMs+1))
 	if !p.confirmed.Load() && isTableCurrent(down, p.routes.Current()) {
 		p.confirmed.Store(true)
 	}
@@ -139,7 +139,7 @@
 	if f.base.Version == 0 {
 		return r
 	}
-	return r.Since(f.base)
+	return r.DeltaFrom(f.base)
 }
 
 // updateBase records which report the agent holds after an exchange, in which one may have been sent.
@@ -179,8 +179,8 @@
 func (p *Proxy) buildReport() report.Report {
 	snap := p.routes.Current()
 	tenants, version := p.tenantReport()
-	return report.Report{Boot: p.boot, Version: p.reports.Add(1), Conf: snap.Serial, Demand: p.demandCounts(), Inflight: p.routes.Inflight(),
-		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
+	return report.Report{Boot: p.boot, Version: p.reports.Add(1), ConfigSerial: snap.Serial, Demand: p.demandCounts(), Inflight: p.routes.Inflight(),
+		Waiting: p.admission.Waiting(), Contended: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
 		Tenants: tenants, TenantsVersion: version}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -107,7 +107,7 @@
 	urgentReport     *run.Nudge
 	startedAt        time.Duration
 	confirmed        atomic.Bool // the routing table is current enough to serve from
-	contact          *touch.Keeper
+	contact          *touch.Tracker
 	agentSeenAt      atomic.Int64
 	agentFirstSeenAt atomic.Int64 // when the current boot of the agent was first seen
 	edgeCount        atomic.Int64
@@ -149,7 +149,7 @@
 	p.agentFirstSeenAt.Store(-1 << 62)
 	p.peers.Store(&[]string{})
 	p.routes = route.NewRouter(route.Deps{Group: p.group, Gossip: p.gossip, Clock: env.Clock, Replicas: p.replicas, Zone: func() string { return s.Zone },
-		SinceContact: p.contact.For, Edges: func() int { return int(p.edgeCount.Load()) }, PollReplicas: s.Cadence.ProxiesAsk, Log: p.log, IsolationLimit: s.Bounds.Drain - isolationMargin})
+		SinceContact: p.contact.SinceContact, Edges: func() int { return int(p.edgeCount.Load()) }, PollReplicas: s.Cadence.ProxiesAsk, Log: p.log, IsolationLimit: s.Bounds.Drain - isolationMargin})
 	p.watch.Start(p.group, s.Cadence.List, func() bool { return p.sinceAgentSeen() > agentTimeout })
 	misses := run.NewActor(p.group, 4, 0, nil)
 	p.urgentReport = run.NewNudge(misses, p.sendUrgentReport)
--- a/internal/sim/capacity/memory_test.go
+++ b/internal/sim/capacity/memory_test.go
@@ -29,7 +29,7 @@
 	})
 	fit("member table (rolls)", "node", nodes, func(x int) float64 {
 		b := wire.Pack(roll(x))
-		return heap(func() any { var r member.Roll; _ = wire.Unpack(b, &r); return r })
+		return heap(func() any { var r member.SyncMessage; _ = wire.Unpack(b, &r); return r })
 	})
 	read := func(b []byte) any { var r report.Report; _ = wire.Unpack(b, &r); return r }
 	fit("a report at a core", "replica acked", reps, func(x int) float64 { b := wire.Pack(aReport(1, x, 0, 8)); return heap(func() any { return read(b) }) })
--- a/internal/sim/capacity/onecore_test.go
+++ b/internal/sim/capacity/onecore_test.go
@@ -69,7 +69,7 @@
 					r.Demand[i] += serial
 				}
 			}
-			if _, err := wire.Call[report.Report, report.Taken](ctx, caller, addr, "/place/report", r); err != nil {
+			if _, err := wire.Call[report.Report, report.Response](ctx, caller, addr, "/place/report", r); err != nil {
 				fmt.Println(err)
 				return
 			}
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -25,8 +25,8 @@
 	fit("report", "item counted", its, func(x int) float64 { return size(aReport(1, 0, x, 0)) })
 	fit("report", "replica in use", reps, func(x int) float64 { return size(aReport(1, 0, 0, x)) })
 	base := aReport(1, 600, 4120, 8)
-	fit("report by difference", "item counted since", []int{1, 4, 16, 64}, func(x int) float64 { return size(countedSince(base, x).Since(base)) })
-	fit("report by difference", "replica acked since", []int{1, 4, 16, 64}, func(x int) float64 { return size(ackedSince(base, x).Since(base)) })
+	fit("report by difference", "item counted since", []int{1, 4, 16, 64}, func(x int) float64 { return size(countedSince(base, x).DeltaFrom(base)) })
+	fit("report by difference", "replica acked since", []int{1, 4, 16, 64}, func(x int) float64 { return size(ackedSince(base, x).DeltaFrom(base)) })
 	fit("replica's news", "item held", []int{2, 10, 20, 40}, func(x int) float64 { return size(replicaStatus(1, x)) })
 	fit("roll", "node", nodes, func(x int) float64 { return size(roll(x)) })
 	fit("probe", "node told along", []int{1, 2, 4, 6}, func(x int) float64 {
--- a/internal/sim/hollow/node.go
+++ b/internal/sim/hollow/node.go
@@ -82,7 +82,7 @@
 		sent = n.report(min(elapsed, time.Second))
 		up.NoReport, up.Report = false, sent
 		if n.base.Version != 0 {
-			up.Report = sent.Since(n.base)
+			up.Report = sent.DeltaFrom(n.base)
 		}
 		n.sentAt = time.Now()
 	}
@@ -117,7 +117,7 @@
 		switch {
 		case e.Key == conf.Key && e.Stamp.Newer(n.up.Conf):
 			n.up.Conf, n.state.ConfAt = e.Stamp, time.Now()
-			n.now.Conf++
+			n.now.ConfigSerial++
 		case isReplica:
 			if !changed {
 				acked, changed = maps.Clone(acked), true
