--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var k Kept
+		var k Stored
 		switch d.Cmd {
 		case "whole":
 			k, err = ReadWhole("application/json", []byte(d.Input))
@@ -23,23 +23,23 @@
 			k, err = ReadPartial(base, "application/json", []byte(d.Input))
 		case "objects":
 			k, err = ReadPartial(base, "application/yaml", []byte(d.Input))
-			for at, doc := range k.Sent {
+			for key, doc := range k.Originals {
 				if !bytes.Contains([]byte(d.Input), bytes.TrimSpace(doc)) {
-					t.Errorf("%s is not kept as sent", at)
+					t.Errorf("%s is not stored as sent", key)
 				}
 			}
 		default:
 			d.Fatalf(t, "no command %s", d.Cmd)
 		}
-		if f, ok := err.(Faults); ok {
+		if f, ok := err.(ValidationErrors); ok {
 			return strings.Join(f, "\n")
 		}
 		if !bytes.Equal(k.Submission, []byte(d.Input)) {
-			t.Fatal("the submission is not kept as sent")
+			t.Fatal("the submission is not stored as sent")
 		}
 		var b strings.Builder
-		for _, at := range sorted(k.Objects) {
-			fmt.Fprintf(&b, "%s %s\n", at, k.Objects[at])
+		for _, key := range sorted(k.Objects) {
+			fmt.Fprintf(&b, "%s %s\n", key, k.Objects[key])
 		}
 		return b.String()
 	})
@@ -51,14 +51,14 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		k, err := ReadWhole("", b)
 		if err == nil {
-			if _, err := Effect(k); err != nil {
-				t.Fatalf("kept a configuration that has no effect: %v", err)
+			if _, err := Compile(k); err != nil {
+				t.Fatalf("accepted a configuration that does not compile: %v", err)
 			}
 		}
 		_, _ = ReadPartial(k, "", b)
 		if o, err := ReadWhole("application/yaml", b); err == nil {
-			if _, err := Effect(o); err != nil {
-				t.Fatalf("kept objects that have no effect: %v", err)
+			if _, err := Compile(o); err != nil {
+				t.Fatalf("accepted objects that do not compile: %v", err)
 			}
 		}
 		_, _ = Unpack(b)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -96,7 +96,7 @@
 	members        *member.Table
 	touch          *touch.Tracker
 	gossip         *gossip.Table
-	spread         *gossip.Spreader
+	spread         *gossip.Disseminator
 	planner        *plan.Planner
 	reports        *report.Table
 	relay          *relay.Relay
@@ -188,11 +188,11 @@
 	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acc.DiskID(),
 		Phase: string(c.acc.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
-	c.reading = conf.ReadingRest()
+	c.reading = conf.ReadBackoff()
 	c.confSoon = run.NewNudge(run.NewActor(c.group, 4, readEvery, c.takeConf), c.takeConf)
-	c.gossip.OnNew(c.onGossip)
+	c.gossip.OnUpdate(c.onGossip)
 	c.views = plan.NewStatusCache(c.gossip)
-	c.spread = gossip.NewSpreader(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
+	c.spread = gossip.NewDisseminator(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
 	c.acc.Serve(c.mux)
 	ownQuarantine := s.Bounds.Lease
 	if c.replicas.Traits().IdentifiesControllerByName {
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -8,42 +8,42 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-// announceLimit is how long those who are told of an announced entry are given to take it.
-const announceLimit = 700 * time.Millisecond
+// announceTimeout bounds the push of an announced entry to its targets.
+const announceTimeout = 700 * time.Millisecond
 
-// Announce takes an entry of this node's own making and hands it at once to whom it is for: in a
-// small fleet to every node, in a large one to the cores, who tell the agents below them. It gives to how many
-// nodes that is, and how many have it.
-func (s *Spreader) Announce(ctx context.Context, e Entry) (nodes, reached int) {
-	s.t.Put(e)
-	to := s.announcedTo()
-	ctx, cancel := context.WithTimeout(ctx, announceLimit)
+// Announce stores a local entry and pushes it at once: to the other cores if this node is a core of a large
+// fleet (each core forwards it to its agents), and to all peers otherwise. It returns the number of
+// nodes pushed to and how many of them answered.
+func (s *Disseminator) Announce(ctx context.Context, e Entry) (nodes, reached int) {
+	s.table.Put(e)
+	to := s.announceTargets()
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	return len(to), s.Push(ctx, to, e)
 }
 
-// announcedTo is who is handed an announced entry by its author. Why: what its author does for one
-// change must not grow with the fleet; a core has its leases to keep meanwhile.
-func (s *Spreader) announcedTo() []string {
+// announceTargets returns the addresses that the author of an announced entry pushes it to. The cost of one
+// change to its author must not grow with the fleet: a core has to renew its leases meanwhile.
+func (s *Disseminator) announceTargets() []string {
 	all := s.peers()
-	if len(all) <= AllTold {
+	if len(all) <= MaxDirectPeers {
 		return all
 	}
-	if tree := s.treeNow(); tree.IsCore && tree.stands() {
+	if tree := s.refreshTree(); tree.IsCore && tree.usable() {
 		return tree.Cores
 	}
 	return all
 }
 
-// Push hands entries to nodes at these addresses at once, and returns when each
-// has answered, a second is over or ctx ends; who could not be reached learns them later. It
-// gives how many have answered.
-func (s *Spreader) Push(ctx context.Context, to []string, entries ...Entry) int {
+// Push sends entries to the nodes at these addresses and returns when each has
+// answered, one second has passed or ctx is done. Unreachable nodes get the entries later by gossip.
+// It returns the number of nodes that answered.
+func (s *Disseminator) Push(ctx context.Context, to []string, entries ...Entry) int {
 	message := wire.Prepare(bundle{From: s.self(), Entries: entries})
-	ch := run.Fan(s.g, len(to), func(_ context.Context, i int) bool {
-		one, cancel := context.WithTimeout(ctx, time.Second)
+	ch := run.Fan(s.group, len(to), func(_ context.Context, i int) bool {
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		_, err := wire.CallLarge[Pushed](one, s.caller, to[i], "/news/push", message)
+		_, err := wire.CallLarge[PushReply](callCtx, s.caller, to[i], "/news/push", message)
 		return err == nil
 	})
 	reached := 0
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,41 +12,41 @@
 	return Entry{Key: key, Stamp: state.Stamp{Epoch: epoch, Version: version}, Value: []byte(fmt.Sprint(epoch, version))}
 }
 
-func TestNewsNeverRunsBackwards(t *testing.T) {
+func TestOlderStampNeverReplacesNewer(t *testing.T) {
 	table := NewTable()
 	var seen []state.Stamp
-	table.OnNew(func(e Entry) { seen = append(seen, e.Stamp) })
+	table.OnUpdate(func(e Entry) { seen = append(seen, e.Stamp) })
 	for _, s := range [][2]uint64{{1, 5}, {1, 4}, {1, 5}, {2, 1}, {1, 9}, {2, 2}} {
 		table.Put(entry("k", s[0], s[1]))
 	}
 	if got := table.StampOf("k"); got != (state.Stamp{Epoch: 2, Version: 2}) {
-		t.Errorf("newest is %v", got)
+		t.Errorf("newest stamp is %v", got)
 	}
 	for i := 1; i < len(seen); i++ {
 		if !seen[i].Newer(seen[i-1]) {
-			t.Errorf("told %v after %v", seen[i], seen[i-1])
+			t.Errorf("callback got %v after %v", seen[i], seen[i-1])
 		}
 	}
-	if e := entry("k", 3, 1); table.Put(Entry{Key: e.Key, Stamp: e.Stamp, Head: true}) {
-		t.Error("a headline was taken for a value")
+	if e := entry("k", 3, 1); table.Put(Entry{Key: e.Key, Stamp: e.Stamp, ValueOmitted: true}) {
+		t.Error("an entry without its value was accepted")
 	}
 	gone := entry("k", 3, 1)
-	gone.Gone = true
+	gone.Deleted = true
 	table.Put(gone)
 	if _, found := table.Get("k"); found || table.Put(entry("k", 2, 9)) {
-		t.Error("a removed entry came back")
+		t.Error("a removed entry reappeared")
 	}
 	mark := entry("mark/r", 0, 2)
-	mark.Gone = true
+	mark.Deleted = true
 	table.Put(mark)
 	table.Purge(0)
 	if n, _ := table.Len(); n != 1 || table.Put(gone) || fmt.Sprint(table.digest()) == fmt.Sprint(NewTable().digest()) {
-		t.Errorf("after a purge %d entries are left", n)
+		t.Errorf("after a purge %d entries are left, want only the tombstone of the mark", n)
 	}
 }
 
-// Two tables that drifted apart are the same after one exchange of digests.
-func TestDigestsMendAnyGap(t *testing.T) {
+// Two tables that differ are equal after one exchange of digests.
+func TestDigestExchangeReconcilesTables(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		a, b := NewTable(), NewTable()
@@ -67,17 +67,17 @@
 			}
 		}
 		if len(diff) == 0 {
-			t.Fatal("nothing to mend")
+			t.Fatal("tables do not differ")
 		}
-		g := b.gap(a.heads(diff))
+		g := b.delta(a.stampsIn(diff))
 		for _, e := range g.Entries {
 			a.Put(e)
 		}
-		for _, e := range a.pick(g.Want).Entries {
+		for _, e := range a.entriesOf(g.Wanted).Entries {
 			b.Put(e)
 		}
 		if fmt.Sprint(a.digest()) != fmt.Sprint(b.digest()) {
-			t.Errorf("seed %d: still apart", seed)
+			t.Errorf("seed %d: tables still differ", seed)
 		}
 	}
 }
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -11,150 +11,149 @@
 	"drumstall.example/internal/state"
 )
 
-// held is one fact as this node knows it.
-type held struct {
-	e     Entry
-	seq   uint64 // grows with each change of the table
-	tell  int    // times it is still to be passed on
-	from  origin
-	at    time.Time
-	place *list.Element // in the order of changes
+// record is an entry with this node's bookkeeping.
+type record struct {
+	entry      Entry
+	seq        uint64 // sequence number of the table's change
+	roundsLeft int    // rounds in which it is still to be sent
+	origin     origin
+	updatedAt  time.Time
+	element    *list.Element // in the change log
 }
 
-// Table holds the news of one node. It is read on the path of requests, so it
-// is a locked map whose changes wake those who follow it. Its methods may be called
-// from anywhere.
+// Table holds the entries known to one node. It is read on the request path, so it
+// is a map under a lock whose changes wake followers. Its methods are safe for concurrent use.
 type Table struct {
-	mu      sync.Mutex
-	m       map[string]*held
-	hot     map[string]*held
-	changes changes
-	seq     uint64
-	sums    [buckets][sha256.Size]byte
-	changed chan struct{}
-	dropped atomic.Int64
-	onNew   []func(Entry)
-	rounds  atomic.Pointer[rounds]
-	onOwn   atomic.Pointer[func()]
+	mu           sync.Mutex
+	records      map[string]*record
+	pending      map[string]*record
+	changes      changeLog
+	seq          uint64
+	sums         [numBuckets][sha256.Size]byte
+	changed      chan struct{}
+	dropped      atomic.Int64
+	updateFuncs  []func(Entry)
+	rounds       atomic.Pointer[roundsByOrigin]
+	localPutFunc atomic.Pointer[func()]
 }
 
-// NewTable makes a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	t := &Table{m: map[string]*held{}, hot: map[string]*held{}, changed: make(chan struct{})}
+	t := &Table{records: map[string]*record{}, pending: map[string]*record{}, changed: make(chan struct{})}
 	t.rounds.Store(&gossipRounds)
 	return t
 }
 
-// OnNew calls f with every entry that is newer than what was known. Name all
-// of them before the table is in use.
-func (t *Table) OnNew(f func(Entry)) { t.onNew = append(t.onNew, f) }
+// OnUpdate registers f to be called with every entry that is newer than the known one. All callbacks
+// must be registered before the table is in use.
+func (t *Table) OnUpdate(f func(Entry)) { t.updateFuncs = append(t.updateFuncs, f) }
 
-// Put takes an entry of this node's own making if it is newer than what is known,
-// and says whether it was; it is passed on at once.
+// Put stores a local entry if it is newer than the known one and reports whether it was.
+// An accepted entry is sent at once.
 func (t *Table) Put(e Entry) bool {
-	if !t.put(e, own) {
+	if !t.put(e, originLocal) {
 		return false
 	}
-	if f := t.onOwn.Load(); f != nil {
+	if f := t.localPutFunc.Load(); f != nil {
 		(*f)()
 	}
 	return true
 }
 
-// Learn takes an entry that a peer told, and says whether it was newer.
-func (t *Table) Learn(e Entry) bool { return t.put(e, fromPeer) }
+// PutRemote stores an entry received from a peer if it is newer and reports whether it was.
+func (t *Table) PutRemote(e Entry) bool { return t.put(e, originPeer) }
 
-// put takes an entry if it is newer than what is known, and tells who asked for that.
+// put stores an entry if it is newer than the known one and runs the callbacks.
 func (t *Table) put(e Entry, from origin) bool {
-	if !t.enter(e, from) {
+	if !t.apply(e, from) {
 		return false
 	}
-	for _, f := range t.onNew {
+	for _, f := range t.updateFuncs {
 		f(e)
 	}
 	return true
 }
 
-// enter changes the table alone.
-func (t *Table) enter(e Entry, from origin) bool {
+// apply changes the table without running callbacks.
+func (t *Table) apply(e Entry, from origin) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old := t.m[e.Key]
-	// Why: news never runs backwards, whoever tells it.
-	// A removed key that is not known needs no remembering, or purged ones would come back for ever.
-	if e.Key == "" || e.Head || old == nil && e.Gone && !lasting(e.Key) || old != nil && !e.Stamp.Newer(old.e.Stamp) {
+	old := t.records[e.Key]
+	// An older stamp never replaces a newer one, whatever its origin.
+	// The tombstone of an unknown key is not stored, or purged ones would keep coming back.
+	if e.Key == "" || e.ValueOmitted || old == nil && e.Deleted && !keepsTombstone(e.Key) || old != nil && !e.Stamp.Newer(old.entry.Stamp) {
 		return false
 	}
-	if old == nil && len(t.m) >= maxEntries {
+	if old == nil && len(t.records) >= maxEntries {
 		t.dropped.Add(1)
 		return false
 	}
 	b := bucketOf(e.Key)
 	if old != nil {
-		xor(&t.sums[b], sumOf(old.e))
+		xorInto(&t.sums[b], hashOf(old.entry))
 	}
-	xor(&t.sums[b], sumOf(e))
+	xorInto(&t.sums[b], hashOf(e))
 	t.seq++
-	h := &held{e: e, seq: t.seq, tell: t.rounds.Load()[from], from: from, at: time.Now()}
-	t.m[e.Key], t.hot[e.Key] = h, h
-	t.changes.moved(old, h)
+	h := &record{entry: e, seq: t.seq, roundsLeft: t.rounds.Load()[from], origin: from, updatedAt: time.Now()}
+	t.records[e.Key], t.pending[e.Key] = h, h
+	t.changes.append(old, h)
 	close(t.changed)
 	t.changed = make(chan struct{})
 	return true
 }
 
-// Get gives the newest value of a key.
+// Get returns the newest entry of a key, unless it was removed.
 func (t *Table) Get(key string) (Entry, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.m[key]
-	if h == nil || h.e.Gone {
+	h := t.records[key]
+	if h == nil || h.entry.Deleted {
 		return Entry{}, false
 	}
-	return h.e, true
+	return h.entry, true
 }
 
-// StampOf gives the newest stamp of a key, of removed ones too.
+// StampOf returns the newest stamp of a key, also of a removed one.
 func (t *Table) StampOf(key string) state.Stamp {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if h := t.m[key]; h != nil {
-		return h.e.Stamp
+	if h := t.records[key]; h != nil {
+		return h.entry.Stamp
 	}
 	return state.Stamp{}
 }
 
-// List gives the entries whose keys start with prefix.
+// List returns the entries whose keys start with prefix.
 func (t *Table) List(prefix string) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Entry
-	for k, h := range t.m {
-		if !h.e.Gone && strings.HasPrefix(k, prefix) {
-			out = append(out, h.e)
+	for k, h := range t.records {
+		if !h.entry.Deleted && strings.HasPrefix(k, prefix) {
+			out = append(out, h.entry)
 		}
 	}
 	return out
 }
 
-// Len is the number of entries and of those refused because the table was full.
+// Len returns the number of entries, and of those rejected because the table was full.
 func (t *Table) Len() (int, int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.m), t.dropped.Load()
+	return len(t.records), t.dropped.Load()
 }
 
-// Purge forgets keys that were removed longer ago than age, but for those that
-// must be remembered for good.
+// Purge deletes the tombstones of keys that were removed longer ago than age, except those
+// that are kept for good.
 func (t *Table) Purge(age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for k, h := range t.m {
-		if h.e.Gone && !lasting(k) && time.Since(h.at) > age {
-			xor(&t.sums[bucketOf(k)], sumOf(h.e))
-			delete(t.m, k)
-			t.changes.forget(h)
-			delete(t.hot, k)
+	for k, h := range t.records {
+		if h.entry.Deleted && !keepsTombstone(k) && time.Since(h.updatedAt) > age {
+			xorInto(&t.sums[bucketOf(k)], hashOf(h.entry))
+			delete(t.records, k)
+			t.changes.remove(h)
+			delete(t.pending, k)
 		}
 	}
 }
--- a/internal/member/fanout/fanout.go
+++ b/internal/member/fanout/fanout.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if tree.IsCore {
-		tree.Below = v.assignedAgents()
+		tree.Agents = v.assignedAgents()
 	} else {
 		tree.Neighbours = v.neighbours()
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-type broken struct {
-	pieces []string
+// brokenReader returns some chunks and then an error.
+type brokenReader struct {
+	chunks []string
 	err    error
 }
 
-func (b *broken) Read(p []byte) (int, error) {
-	if len(b.pieces) == 0 {
+func (b *brokenReader) Read(p []byte) (int, error) {
+	if len(b.chunks) == 0 {
 		return 0, b.err
 	}
-	n := copy(p, b.pieces[0])
-	b.pieces = b.pieces[1:]
+	n := copy(p, b.chunks[0])
+	b.chunks = b.chunks[1:]
 	return n, nil
 }
-func (*broken) Close() error { return nil }
+func (*brokenReader) Close() error { return nil }
 
-// However early a stream breaks off, the caller sees a broken answer: goa's
-// handler would end one cleanly that broke before its first byte.
-func TestABrokenStreamNeverEndsWell(t *testing.T) {
+// The client must see a broken answer however early the stream breaks: goa's
+// handler would cleanly end one that broke before its first byte.
+func TestInterruptedStreamAbortsResponse(t *testing.T) {
 	for _, c := range []struct {
 		pieces string
 		err    error
@@ -37,7 +38,7 @@
 		var cut atomic.Int64
 		done := 0
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			s := New(&broken{strings.Fields(c.pieces), c.err}, &cut, time.Now().Add(time.Minute), func() { done++ })
+			s := New(&brokenReader{strings.Fields(c.pieces), c.err}, &cut, time.Now().Add(time.Minute), func() { done++ })
 			defer s.Close()
 			w.WriteHeader(http.StatusOK)
 			_, _ = s.WriteTo(w)
@@ -49,14 +50,14 @@
 			_ = res.Body.Close()
 		}
 		if (err == nil) != c.whole {
-			t.Errorf("%q then %v: the caller saw %q, %v", c.pieces, c.err, got, err)
+			t.Errorf("%q then %v: the client saw %q, %v", c.pieces, c.err, got, err)
 		}
 		srv.Close()
 		if done != 1 {
-			t.Errorf("%q then %v: let go %d times", c.pieces, c.err, done)
+			t.Errorf("%q then %v: done was called %d times, want 1", c.pieces, c.err, done)
 		}
 		if (cut.Load() == 0) != c.whole {
-			t.Errorf("%q then %v: counted %d cuts", c.pieces, c.err, cut.Load())
+			t.Errorf("%q then %v: counted %d interrupted streams", c.pieces, c.err, cut.Load())
 		}
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -129,7 +129,7 @@
 		d.IsolationLimit = defaultIsolationLimit
 	}
 	rt := &Router{deps: d, gossip: d.Gossip, clock: d.Clock, group: d.Group, lives: map[string]*Live{}, reports: map[string]report{},
-		entries: map[string]*entry{}, loadingEntries: map[string]*entry{}, confRest: conf.ReadingRest(),
+		entries: map[string]*entry{}, loadingEntries: map[string]*entry{}, confRest: conf.ReadBackoff(),
 		departed: map[string]struct{}{},
 		lastFull: map[bool]time.Duration{true: -1 << 61, false: -1 << 61},
 		prefixes: newPrefixMemory(), bulk: newBulkDetector(d.Log), pressure: map[string]pressureCount{}, work: map[string]time.Duration{}}
@@ -138,7 +138,7 @@
 	// A new configuration or a withdrawn item takes effect at once, not at the next interval. Entries that arrive
 	// together lead to a single renewal.
 	rt.renewSoon = run.NewNudge(rt.actor, rt.renew)
-	d.Gossip.OnNew(func(gossip.Entry) { rt.renewSoon.Now() })
+	d.Gossip.OnUpdate(func(gossip.Entry) { rt.renewSoon.Now() })
 	if !d.PollReplicas {
 		return rt
 	}
