--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -85,7 +85,7 @@
 
 // Start begins to take part.
 func Start(s Settings, env core.Env) (*Agent, error) {
-	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), base: run.NewGroup(context.Background()),
+	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBootID(), base: run.NewGroup(context.Background()),
 		gossip: gossip.NewTable(), caller: wire.NewCaller(env.Net), mux: wire.NewMux(), feedMux: wire.NewMux()}
 	a.group = a.base.Child()
 	a.s.Bounds, a.s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
--- a/internal/core/tenants.go
+++ b/internal/core/tenants.go
@@ -7,7 +7,7 @@
 )
 
 // tenantsFresh is how old an edge's figures of tenants may be to be shown.
-const tenantsFresh = 30 * time.Second
+const tenantsMaxAge = 30 * time.Second
 
 // tenantSum is what one tenant has at all edges together, as status shows it.
 type tenantSum struct {
--- a/internal/core/tenants_test.go
+++ b/internal/core/tenants_test.go
@@ -6,7 +6,7 @@
 	"drumstall.example/internal/place/report"
 )
 
-func TestFiguresOfTenantsAreSummedOverEdges(t *testing.T) {
+func TestTenantFiguresAreSummedOverEdges(t *testing.T) {
 	s := tenantSums{}
 	s.add(map[string]report.Tenant{"a": {Share: 3, Kept: 10, Evicted: 1, Tokens: 100, Warm: 50, Bulk: true}, "b": {Share: 1}})
 	s.add(map[string]report.Tenant{"a": {Share: 3, Kept: 5, Evicted: 2, Tokens: 300, Warm: 250}})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -127,7 +127,7 @@
 // Start starts a proxy. It opens all its addresses or returns an error.
 func Start(s Settings, env core.Env) (*Proxy, error) {
 	s.Bounds, s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
-	p := &Proxy{settings: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), rootGroup: run.NewGroup(context.Background()),
+	p := &Proxy{settings: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBootID(), rootGroup: run.NewGroup(context.Background()),
 		gossip: gossip.NewTable(), budget: attempt.NewBudget(s.Bounds.Retry.Ratio), replicas: s.Replicas,
 		caller: wire.NewCaller(env.Net), demand: map[string]uint64{}}
 	p.group = p.rootGroup.Child()
--- a/internal/sim/capacity/agents_test.go
+++ b/internal/sim/capacity/agents_test.go
@@ -38,7 +38,7 @@
 	}
 	var cs []*core.Core
 	for i, a := range addrs {
-		c, err := core.Start(core.Settings{Fleet: "x", Name: fmt.Sprintf("core-%d", i), Zone: zone(i), Addr: a, Seeds: addrs, Folder: "d", Founders: addrs, MayFound: true, Cadence: Cadence(), Lister: list{replicas}, Replicas: fake{}}, env())
+		c, err := core.Start(core.Settings{Fleet: "x", Name: fmt.Sprintf("core-%d", i), Zone: zone(i), Addr: a, Seeds: addrs, Folder: "d", InitialAddrs: addrs, MayBootstrap: true, Cadence: Cadence(), Lister: list{replicas}, Replicas: fake{}}, env())
 		if err != nil {
 			fmt.Println(err)
 			return
--- a/internal/sim/capacity/onecore_test.go
+++ b/internal/sim/capacity/onecore_test.go
@@ -36,7 +36,7 @@
 	addr := ln.Addr().String()
 	_ = ln.Close()
 	cad := Cadence()
-	c, err := core.Start(core.Settings{Fleet: "x", Name: "core-1", Zone: "r0-z0", Addr: addr, Seeds: []string{addr}, Folder: "d", Founders: []string{addr}, MayFound: true, Cadence: cad, Lister: list{replicas}, Replicas: fake{}}, env)
+	c, err := core.Start(core.Settings{Fleet: "x", Name: "core-1", Zone: "r0-z0", Addr: addr, Seeds: []string{addr}, Folder: "d", InitialAddrs: []string{addr}, MayBootstrap: true, Cadence: cad, Lister: list{replicas}, Replicas: fake{}}, env)
 	if err != nil {
 		fmt.Println("core:", err)
 		return
--- a/internal/sim/fleet/process.go
+++ b/internal/sim/fleet/process.go
@@ -16,7 +16,7 @@
 	settings := core.Settings{Name: n.Name, Zone: n.Zone, Addr: n.IP + ":7000", Operator: n.IP + ":7001", Seeds: f.seeds.now(),
 		Folder: "data", Cores: f.D.Cores, Platform: platformAddr, Cadence: f.D.Cadence}
 	if f.D.Unattended {
-		settings.Cores, settings.Founders, settings.MayFound = 0, f.founders(), !f.formed
+		settings.Cores, settings.InitialAddrs, settings.MayBootstrap = 0, f.founders(), !f.formed
 	}
 	c, err := core.Start(settings, f.env(n, 0))
 	if err != nil {
--- a/internal/sim/hollow/node.go
+++ b/internal/sim/hollow/node.go
@@ -50,7 +50,7 @@
 func (p *process) startNode(i int) error {
 	l := p.spec.Layout
 	ip := l.NodeIP(i)
-	n := &node{name: capacity.NodeName(i), feed: at(ip, feedPort), caller: wire.NewCaller(wire.Host()), shared: p.shared, boot: core.NewBoot()}
+	n := &node{name: capacity.NodeName(i), feed: at(ip, feedPort), caller: wire.NewCaller(wire.Host()), shared: p.shared, boot: core.NewBootID()}
 	n.callers = callers{load: p.spec.Load, share: p.spec.Load.Misses / float64(max(l.Nodes, 1)), catalogue: p.spec.Catalogue,
 		rnd: rand.New(rand.NewPCG(uint64(i), 1))}
 	n.now = report.Report{Boot: n.boot, Zone: l.ZoneName(i), Serving: true, Demand: map[string]uint64{}, WorkMs: map[string]uint64{}, Acked: map[string]state.Stamp{}}
