--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -145,7 +145,7 @@
 	case errors.Is(err, state.ErrNoQuorum), errors.Is(err, state.ErrNotOwner):
 		return a, operator.ErrNoQuorum
 	case err != nil:
-		return a, operator.ErrUnknown
+		return a, operator.ErrOutcomeUnknown
 	}
 	return a, nil
 }
