--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -58,7 +58,7 @@
 	gossip       *gossip.Table
 	spread       *gossip.Spreader
 	members      *member.Table
-	watch        *inventory.Watch
+	watch        *inventory.Watcher
 	caller       *wire.Caller
 	mux          *wire.Mux
 	feedMux      *wire.Mux
@@ -93,8 +93,8 @@
 	if s.Lister == nil {
 		s.Lister = inventory.NewLister(env.Net, s.Platform, a.log)
 	}
-	a.watch = inventory.NewWatch(s.Lister, env.Clock, a.log, a.gossip)
-	a.touch = touch.New(env.Clock, func() time.Duration { return a.watch.HeardFor() })
+	a.watch = inventory.NewWatcher(s.Lister, env.Clock, a.log, a.gossip)
+	a.touch = touch.New(env.Clock, func() time.Duration { return a.watch.SinceContact() })
 	ln, err := env.Net.Listen(s.Addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "agent: peers' address")
--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -49,7 +49,7 @@
 		}
 	}
 	// Why: with the platform dark the replicas go on, so those known from the gossip stay controlled.
-	heard := c.watch.HeardFor() < 5*time.Second
+	heard := c.watch.SinceContact() < 5*time.Second
 	for _, v := range c.views.Statuses().All {
 		id := v.Listed.ID
 		if _, there := listed[id]; there {
@@ -84,7 +84,7 @@
 		g := c.group.Child()
 		c.controllers[id] = &controlled{group: g, controller: order.NewController(g, order.Deps{Clock: c.env.Clock, Log: c.log, Self: c.s.Name, Boot: c.boot,
 			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.owner, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, PredictedRequests: c.planner.PredictedRequests,
-			Others: c.views.Statuses, LiveAgents: c.liveAgents, PlatformAge: c.watch.HeardFor, Grant: c.grant, Afloat: c.reportOutstanding}, l)}
+			Others: c.views.Statuses, LiveAgents: c.liveAgents, PlatformAge: c.watch.SinceContact, Grant: c.grant, Afloat: c.reportOutstanding}, l)}
 	}
 	snap := map[string]*order.Controller{}
 	for id, one := range c.controllers {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -102,7 +102,7 @@
 	relay               *relay.Relay
 	lag                 *load.Lag
 	views               *plan.StatusCache
-	watch               *inventory.Watch
+	watch               *inventory.Watcher
 	replicas            backend.Client
 	caller              *wire.Caller
 	mux                 *wire.Mux
@@ -183,8 +183,8 @@
 		return nil, err
 	}
 	c.post = wire.NewPost(pc)
-	c.watch = inventory.NewWatch(s.Lister, env.Clock, c.log, c.gossip)
-	c.touch = touch.New(env.Clock, func() time.Duration { return c.watch.HeardFor() }, c.sinceQuorumContact)
+	c.watch = inventory.NewWatcher(s.Lister, env.Clock, c.log, c.gossip)
+	c.touch = touch.New(env.Clock, func() time.Duration { return c.watch.SinceContact() }, c.sinceQuorumContact)
 	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acceptor.DiskID(),
 		Phase: string(c.acceptor.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -133,7 +133,7 @@
 	return map[string]any{
 		"core": c.s.Name, "phase": string(st.Phase), "coreSet": st.Set, "slots": held, "members": members,
 		"busy": c.lag.Busy(), "served": c.served(), "decisions": c.planner.Progress(), "conf": serial, "laggards": laggards, "edges": edges, "tenants": tenants, "replicas": views.All,
-		"claimsUnmet": mergeFromCores(ctx, c, "/place/unmet", c.planner.UnmetClaims), "afloatS": mergeFromCores(ctx, c, "/place/afloat", c.planner.OutstandingLoads), "inflight": inflight, "platformHeardMs": c.watch.HeardFor().Milliseconds(),
+		"claimsUnmet": mergeFromCores(ctx, c, "/place/unmet", c.planner.UnmetClaims), "afloatS": mergeFromCores(ctx, c, "/place/afloat", c.planner.OutstandingLoads), "inflight": inflight, "platformHeardMs": c.watch.SinceContact().Milliseconds(),
 		"counts": map[string]int64{"garbledCalls": c.mux.Garbled(), "garbledAnswers": c.caller.Garbled(), "garbledGrams": c.post.Garbled(),
 			"news": int64(known), "newsDropped": dropped, "handedOver": c.owner.Repaired(), "edgesRelayed": c.relay.Agents(),
 			"callsMade": calls, "bytesCalled": bytes, "gramsSent": c.post.Sent()},
--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -148,7 +148,7 @@
 
 // leaving reports whether the replica is leaving, by its listing, its report, a mark in gossip or a configured drain.
 func (c *Controller) leaving() bool {
-	return c.listed.Leaving || c.report.Leaving || inventory.Marked(c.d.Gossip, c.listed.ID) || c.d.Conf().Drained(c.listed.Labels, c.listed.Zone)
+	return c.listed.Leaving || c.report.Leaving || inventory.MarkedLeaving(c.d.Gossip, c.listed.ID) || c.d.Conf().Drained(c.listed.Labels, c.listed.Zone)
 }
 
 // reconcile polls the replica, advances the tasks and publishes the status.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -101,7 +101,7 @@
 	budget           *attempt.Budget
 	replicas         backend.Client
 	caller           *wire.Caller
-	watch            *inventory.Watch
+	watch            *inventory.Watcher
 	servers          []*wire.Server
 	reports          atomic.Uint64 // version of the last report
 	urgentReport     *run.Nudge
@@ -143,8 +143,8 @@
 		s.Lister = inventory.NewLister(env.Net, s.Platform, p.log)
 	}
 	p.edgeCount.Store(initialEdgeCount)
-	p.watch = inventory.NewWatch(s.Lister, env.Clock, p.log, p.gossip)
-	p.contact = touch.New(env.Clock, func() time.Duration { return p.watch.HeardFor() })
+	p.watch = inventory.NewWatcher(s.Lister, env.Clock, p.log, p.gossip)
+	p.contact = touch.New(env.Clock, func() time.Duration { return p.watch.SinceContact() })
 	p.agentSeenAt.Store(-1 << 62)
 	p.agentFirstSeenAt.Store(-1 << 62)
 	p.peers.Store(&[]string{})
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -176,7 +176,7 @@
 	case isModel && r.Told && r.Live.reportedMissing(item, now):
 		return false
 	}
-	return !inventory.Marked(rt.gossip, id)
+	return !inventory.MarkedLeaving(rt.gossip, id)
 }
 
 // holds reports whether a replica holds the model that a request needs, and its adapter.
--- a/internal/route/renew_fixture_test.go
+++ b/internal/route/renew_fixture_test.go
@@ -92,9 +92,9 @@
 	case 5, 6:
 		w.gossip.Put(gossip.Entry{Key: plan.ExpectationKey(w.item()), Stamp: w.stamp(), Value: wire.Pack(plan.Expectation{ReadyMs: w.rng.IntN(9)}), Gone: w.rng.IntN(4) == 0})
 	case 7:
-		inventory.Mark(w.gossip, w.id())
+		inventory.MarkLeaving(w.gossip, w.id())
 	case 8:
-		inventory.Unmark(w.gossip, w.id())
+		inventory.UnmarkLeaving(w.gossip, w.id())
 	case 9:
 		if w.rng.IntN(4) == 0 {
 			w.gossip.Put(gossip.Entry{Key: conf.Key, Stamp: w.stamp(), Value: w.configuration()})
--- a/internal/route/renew_test.go
+++ b/internal/route/renew_test.go
@@ -38,7 +38,7 @@
 			w.t.Fatalf("step %d: %v can serve %s, the index finds %v", step, all, t.Lane(), found)
 		}
 		for _, id := range found {
-			if inventory.Marked(w.gossip, id) {
+			if inventory.MarkedLeaving(w.gossip, id) {
 				w.t.Fatalf("step %d: %s is leaving, and the index finds it", step, id)
 			}
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -181,7 +181,7 @@
 // Sendable reports whether a request may be sent to a replica right now.
 func (rt *Router) Sendable(id string) bool {
 	// A leaving mark may have arrived since the table was built, and an isolated proxy receives no marks.
-	return !inventory.Marked(rt.gossip, id) && !rt.Isolated()
+	return !inventory.MarkedLeaving(rt.gossip, id) && !rt.Isolated()
 }
 
 // MonotonicNow reads the clock that the times in Snapshot.Coming refer to.
