--- a/internal/core/announce.go
+++ b/internal/core/announce.go
@@ -8,23 +8,23 @@
 	"drumstall.example/internal/kernel/run"
 )
 
-// announceWait is how long an acknowledgement waits for the nodes that are told of a configuration.
+// announceWait bounds how long an acknowledgement waits for a configuration to be pushed.
 const announceWait = 700 * time.Millisecond
 
-// announce tells a configuration to those who pass it on, and waits until they have it or
-// ctx ends. Why: who has it before the acknowledgement needs no luck to have it in time;
-// the rest get it by gossip.
+// announce pushes a configuration to the first nodes of the gossip tree and waits until they
+// have it, announceWait has passed or ctx ends. Nodes reached before the acknowledgement do not
+// depend on the timing of gossip; the others receive it by gossip.
 func (c *Core) announce(ctx context.Context, e gossip.Entry) {
-	told := make(chan struct{})
-	// Why: it is kept, whether or not whoever sent it still waits, so it must come into force everywhere.
+	pushed := make(chan struct{})
+	// The configuration is stored whether or not the submitter still waits, so the push outlives the call.
 	started := c.group.Go(func(ctx context.Context) {
-		defer close(told)
+		defer close(pushed)
 		began := c.env.Clock.Since()
 		nodes, reached := c.spread.Announce(ctx, e)
 		c.log.Info("configuration pushed", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "bytes", len(e.Value), "nodes", nodes, "reached", reached,
 			"tookMs", (c.env.Clock.Since() - began).Milliseconds())
 	})
 	if started {
-		run.WaitOn(ctx, told, announceWait)
+		run.WaitOn(ctx, pushed, announceWait)
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -14,8 +14,8 @@
 
 func (c *Core) effective() conf.Effective { return *c.conf.Load() }
 
-// checkedConf is the last configuration that this core has checked as its owner. Why: to read a
-// large document is most of what a change costs, and it need not be read twice.
+// checkedConf is the last configuration that this core parsed and validated as its owner. Parsing
+// a large document is most of the cost of a change, so the result is reused.
 type checkedConf struct {
 	stamp     state.Stamp
 	serial    uint64
@@ -29,8 +29,8 @@
 	}
 }
 
-// takeConf brings the newest configuration into force on this core. Of several that come while
-// it rests from reading one, the newest is read.
+// applyConf applies the newest configuration on this core. Of several that arrive during the
+// back-off after reading one, only the newest is read.
 func (c *Core) applyConf() {
 	began := c.env.Clock.Since()
 	if c.readBackoff.Left(began) > 0 || !c.confPending.Swap(false) {
@@ -42,7 +42,7 @@
 	}
 	read, err := c.readConf(e)
 	if err != nil {
-		c.log.Error("news of a configuration that cannot be read", "error", err)
+		c.log.Error("cannot read configuration received by gossip", "error", err)
 		return
 	}
 	ended := c.env.Clock.Since()
@@ -52,7 +52,7 @@
 	c.log.Info("configuration in force", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "serial", read.serial, "tookMs", (ended - began).Milliseconds())
 }
 
-// readConf is what a configuration in the gossip means.
+// readConf parses a configuration from the gossip table, or returns the cached result.
 func (c *Core) readConf(e gossip.Entry) (checkedConf, error) {
 	if own := c.checked.Load(); own != nil && own.stamp == e.Stamp {
 		return *own, nil
@@ -61,8 +61,8 @@
 	return checkedConf{stamp: e.Stamp, serial: kept.Serial, effective: effective}, err
 }
 
-// submit keeps a configuration as the owner of its key, and tells everyone
-// before it is acknowledged.
+// submit stores a configuration as the owner of its key and pushes it to other
+// nodes before acknowledging it.
 func (c *Core) submit(ctx context.Context, s operator.Submission) (operator.Submitted, error) {
 	var out operator.Submitted
 	errStop := errors.New("refused")
@@ -104,12 +104,12 @@
 	if effective != nil {
 		c.checked.Store(&checkedConf{stamp: rec.Stamp, serial: out.Serial, effective: *effective})
 	}
-	c.log.Info("configuration kept", "epoch", rec.Stamp.Epoch, "version", rec.Stamp.Version, "serial", out.Serial, "bytes", len(rec.Value), "tookMs", time.Since(began).Milliseconds())
+	c.log.Info("configuration stored", "epoch", rec.Stamp.Epoch, "version", rec.Stamp.Version, "serial", out.Serial, "bytes", len(rec.Value), "tookMs", time.Since(began).Milliseconds())
 	c.announce(ctx, gossip.Entry{Key: conf.Key, Stamp: rec.Stamp, Value: rec.Value})
 	return out, nil
 }
 
-// newest answers as the owner of the configuration.
+// newest returns the newest configuration; it runs on the owner of its key.
 func (c *Core) newest(ctx context.Context, q NewestQuery) (Newest, error) {
 	rec, found, err := c.owner.Get(ctx, conf.Key)
 	if err != nil || !found {
@@ -122,13 +122,13 @@
 	return Newest{Found: true, Entry: entry}, nil
 }
 
-// askNewest asks the owner of the configuration, wherever that is.
+// queryNewest asks the core that owns the configuration, locally or remotely.
 func (c *Core) queryNewest(ctx context.Context, q NewestQuery) (Newest, error) {
 	return callOwner(ctx, c, conf.Key, newestPath, q, c.newest)
 }
 
-// confirm answers an agent. Why: after a loss of power all agents ask at once, and the
-// owner's link does not carry the document for each of them.
+// confirm answers an agent's query. Queries for the stamp alone are coalesced: after a power loss
+// all agents ask at once, and the owner's link cannot send the document to each of them.
 func (c *Core) confirm(ctx context.Context, q NewestQuery) (Newest, error) {
 	if q.StampOnly {
 		return c.newestStamp.Ask(ctx)
@@ -136,7 +136,7 @@
 	return c.queryNewest(ctx, q)
 }
 
-// Submit takes a configuration from an operator at whichever core.
+// Submit accepts a configuration from an operator on any core and forwards it to the owner.
 func (c *Core) Submit(ctx context.Context, s operator.Submission) (operator.Submitted, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -165,8 +165,8 @@
 	return k, err == nil, err
 }
 
-// document is the configuration of a stamp, or a newer one: from here if it has come, and
-// else from the owner.
+// document returns the configuration with the given stamp from the local gossip table, or else
+// the owner's newest.
 func (c *Core) document(ctx context.Context, named Newest) (Newest, error) {
 	if here, found := c.gossip.Get(conf.Key); found && here.Stamp == named.Entry.Stamp {
 		return Newest{Found: true, Entry: here}, nil
--- a/internal/core/consider.go
+++ b/internal/core/consider.go
@@ -16,7 +16,7 @@
 	considerAllPath = "/place/consider-all"
 )
 
-// considerHere has the controller of a replica, if it is here, consider a load.
+// considerLocal asks the replica's controller on this core to consider a load.
 func (c *Core) considerLocal(ctx context.Context, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 	controller := (*c.controllersSnapshot.Load())[q.Replica]
 	if controller == nil {
@@ -25,15 +25,15 @@
 	return controller.Consider(ctx, q)
 }
 
-// considerAllHere asks the controllers of several replicas side by side, dry.
-// Why: who asks waits for so long for all of them; one that is slow must not keep the others' answers back.
+// considerAllLocal asks the local controllers of several replicas concurrently, as a dry run. It
+// takes at most 3/4 of the caller's timeout, so that one slow controller does not delay the other answers past it.
 func (c *Core) considerAllLocal(ctx context.Context, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 	ctx, cancel := context.WithTimeout(ctx, c.s.Cadence.Ask*3/4)
 	defer cancel()
 	return c.considerEach(q, func(one order.ConsiderRequest) (order.ConsiderResponse, error) { return c.considerLocal(ctx, one) })
 }
 
-// eachReplica asks about each replica of q side by side.
+// considerEach calls ask for each replica of q concurrently, as a dry run.
 func (c *Core) considerEach(q order.ConsiderBatchRequest, ask func(order.ConsiderRequest) (order.ConsiderResponse, error)) []order.ConsiderResponse {
 	type answered struct {
 		i int
@@ -56,7 +56,7 @@
 	return answers
 }
 
-// consider asks the controller of a replica, on whichever core it is.
+// consider asks the controller of a replica, on this core or another.
 func (c *Core) consider(ctx context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 	if controller == c.s.Name {
 		return c.considerLocal(ctx, q)
@@ -68,7 +68,7 @@
 	return wire.Call[order.ConsiderRequest, order.ConsiderResponse](ctx, c.caller, addr, considerPath, q)
 }
 
-// considerAll asks the core that controls several replicas about all of them.
+// considerAll asks the core that controls several replicas about all of them, as a dry run.
 func (c *Core) considerAll(ctx context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 	if controller == c.s.Name {
 		return c.considerAllLocal(ctx, q)
@@ -80,7 +80,8 @@
 	return c.considerAllRemote(ctx, addr, q)
 }
 
-// considerAllAt asks with one message; a core of an earlier version is asked about each replica.
+// considerAllRemote sends one batch call. A core of an earlier version does not serve it and is
+// called once per replica instead.
 func (c *Core) considerAllRemote(ctx context.Context, addr string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 	got, err := wire.Call[order.ConsiderBatchRequest, order.ConsiderBatchResponse](ctx, c.caller, addr, considerAllPath, q)
 	switch {
@@ -96,7 +97,7 @@
 	return got.Answers
 }
 
-// unheard is the answers where none came.
+// unanswered returns one response per replica that records the failure err.
 func unanswered(q order.ConsiderBatchRequest, err error) []order.ConsiderResponse {
 	answers := make([]order.ConsiderResponse, len(q.Replicas))
 	for i := range answers {
@@ -105,7 +106,7 @@
 	return answers
 }
 
-// coreAddr is where a core is reached; false when it is thought gone.
+// coreAddr returns the address of a core; live is false when the core is not considered alive.
 func (c *Core) coreAddr(name string) (addr string, live bool) {
 	for _, n := range c.members.Live(member.RoleCore) {
 		if n.Name == name {
--- a/internal/core/consider_test.go
+++ b/internal/core/consider_test.go
@@ -13,11 +13,11 @@
 	"drumstall.example/internal/sim/simnet"
 )
 
-// askedCore answers about replicas by name, by one message or one by one, and counts the calls.
+// fakeCore answers consider calls by replica name, in a batch or singly, and counts the calls.
 type fakeCore struct {
 	calls  atomic.Int64
-	batch  bool // it knows the call about several replicas
-	garble bool // it answers about fewer than it was asked about
+	batch  bool // it serves the batch call
+	garble bool // its batch answer lacks one replica
 }
 
 func (a *fakeCore) mux() *wire.Mux {
@@ -51,7 +51,7 @@
 	return mux
 }
 
-// asked is what a core hears that asks another about replicas.
+// considerVia returns the answers that a core gets from a fake peer.
 func considerVia(t *testing.T, a *fakeCore, replicas ...string) (answers []order.ConsiderResponse) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -72,29 +72,29 @@
 	return answers
 }
 
-// One message asks about all replicas of one core.
+// All replicas of one core are queried with one message.
 func TestReplicasOfOneCoreAreQueriedInOneCall(t *testing.T) {
 	a := &fakeCore{batch: true}
 	got := considerVia(t, a, "r1", "full", "r2")
 	if a.calls.Load() != 1 || len(got) != 3 || !got[0].Accepted || got[1].Accepted || !got[2].Accepted || got[2].Why != "r2" {
-		t.Errorf("%d calls, %+v", a.calls.Load(), got)
+		t.Errorf("unexpected result after %d calls: %+v", a.calls.Load(), got)
 	}
 }
 
-// A core of an earlier version does not know that message, and is asked about each replica.
+// A core of an earlier version does not serve the batch call and is queried once per replica.
 func TestCoreWithoutBatchCallIsQueriedPerReplica(t *testing.T) {
 	a := &fakeCore{}
 	got := considerVia(t, a, "r1", "elsewhere", "full")
 	if a.calls.Load() != 3 || len(got) != 3 || !got[0].Accepted || !got[1].Unanswered || got[1].Accepted || got[2].Accepted || got[2].Unanswered {
-		t.Errorf("%d calls, %+v", a.calls.Load(), got)
+		t.Errorf("unexpected result after %d calls: %+v", a.calls.Load(), got)
 	}
 }
 
-// Answers that are not one for each replica are none.
+// A batch answer that does not have one entry per replica is rejected whole.
 func TestIncompleteBatchAnswerIsRejected(t *testing.T) {
 	for _, x := range considerVia(t, &fakeCore{batch: true, garble: true}, "r1", "r2") {
 		if !x.Unanswered || x.Accepted {
-			t.Errorf("%+v", x)
+			t.Errorf("incomplete batch answer was used: %+v", x)
 		}
 	}
 }
--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -11,21 +11,24 @@
 	"drumstall.example/internal/place/plan"
 )
 
+// controlled is a controller with the group its goroutines run in.
 type controlled struct {
 	controller *order.Controller
 	group      *run.Group
 }
 
-// afloat tells the store's keeper of a load that may still start.
-func (c *Core) reportOutstanding(ctx context.Context, who string) {
-	_, _ = callOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: who, Outstanding: true}, c.planner.Grant)
+// reportOutstanding reports a load that may still start to the rate limiter of the weight store.
+func (c *Core) reportOutstanding(ctx context.Context, loadID string) {
+	_, _ = callOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: loadID, Outstanding: true}, c.planner.Grant)
 }
 
+// grant requests permission for a load from the rate limiter of the weight store.
 func (c *Core) grant(ctx context.Context, l order.GrantRequest) (time.Duration, bool) {
 	g, err := callOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.Who, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
 	return time.Duration(g.WaitMs) * time.Millisecond, err == nil && g.Granted
 }
 
+// sharePredictions sends predictions to all other live cores and waits for their answers.
 func (c *Core) sharePredictions(ctx context.Context, s plan.SharedPredictions) {
 	to := c.otherCores()
 	ch := run.Fan(c.group, len(to), func(ctx context.Context, i int) bool {
@@ -39,7 +42,8 @@
 	}
 }
 
-// tend opens and closes controllers, as slots come and go and the platform lists.
+// reconcileControllers starts and stops controllers so that they match the slots held here and
+// the replicas that the platform lists.
 func (c *Core) reconcileControllers(context.Context) {
 	now := c.env.Clock.Since()
 	listed := map[string]inventory.Listed{}
@@ -48,15 +52,15 @@
 			listed[l.ID] = l
 		}
 	}
-	// Why: with the platform dark the replicas go on, so those known from the gossip stay controlled.
-	heard := c.watch.SinceContact() < 5*time.Second
+	// Replicas keep running while the platform does not answer, so those known from gossip stay controlled.
+	contacted := c.watch.SinceContact() < 5*time.Second
 	for _, v := range c.views.Statuses().All {
 		id := v.Listed.ID
-		if _, there := listed[id]; there {
+		if _, present := listed[id]; present {
 			delete(c.absentSince, id)
 			continue
 		}
-		if since, found := c.absentSince[id]; !found || !heard {
+		if since, found := c.absentSince[id]; !found || !contacted {
 			c.absentSince[id] = now
 			listed[id] = v.Listed
 		} else if now-since < 5*time.Second {
@@ -64,15 +68,15 @@
 		}
 	}
 	for id, one := range c.controllers {
-		_, there := listed[id]
-		if there && c.owner.Holds(order.Key(id)) {
+		_, present := listed[id]
+		if present && c.owner.Holds(order.Key(id)) {
 			one.controller.SetListed(listed[id])
 			continue
 		}
-		gone := !there && c.owner.Holds(order.Key(id))
+		gone := !present && c.owner.Holds(order.Key(id))
 		delete(c.controllers, id)
 		c.group.Go(func(ctx context.Context) {
-			// Why: its last word must be out before its actor ends.
+			// Close publishes the final status, which must happen before the actor ends.
 			one.controller.Close(ctx, gone)
 			one.group.Stop()
 		})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,4 +1,4 @@
-// Package core puts a dscore together: control state, membership, gossip,
+// Package core assembles the dscore process: control state, membership, gossip,
 // placement and the operators' API.
 package core
 
@@ -40,7 +40,7 @@
 	"drumstall.example/internal/state/owner"
 )
 
-// Settings of a core.
+// Settings configures a core.
 type Settings struct {
 	Fleet    string
 	Name     string
@@ -52,28 +52,28 @@
 	Cores    int
 	Replaces string
 	Platform string
-	// Founders are the addresses of the cores that form the first set, in place
-	// of a count; a core that is none of them, or is not to found, joins.
+	// InitialAddrs are the addresses of the cores that form the first core set, in place
+	// of a count. A core that is not listed, or without MayBootstrap, joins an existing set.
 	InitialAddrs []string
 	MayBootstrap bool
 	Bounds       bounds.Bounds
 	Cadence      bounds.Cadence
-	Lister       inventory.Lister // nil asks Platform over the design's own API
-	Replicas     backend.Client   // nil asks replicas over the design's own API
-	// Operators are further APIs for operators, by address.
+	Lister       inventory.Lister // nil queries Platform over the native API
+	Replicas     backend.Client   // nil queries replicas over the native API
+	// Operators holds additional operator APIs, by address.
 	Operators map[string]func(operator.Control) http.Handler
 }
 
-// Env is the machine a core runs on, real or simulated.
+// Env is the environment that a core runs in, real or simulated.
 type Env struct {
 	Net   wire.Net
 	Clock tick.Clock
 	FS    vfs.FS
 	Log   *ring.Ring
-	Build string // "" is the linker's
+	Build string // "" uses the build name set by the linker
 }
 
-// BuildName is what this process calls its build.
+// BuildName returns the build name that this process reports.
 func (e Env) BuildName() string {
 	if e.Build != "" {
 		return e.Build
@@ -88,8 +88,8 @@
 	log                 *slog.Logger
 	boot                string
 	startedAt           time.Duration
-	group               *run.Group // what this core does
-	base                *run.Group // what it stands on: servers, datagrams, disk
+	group               *run.Group // the core's activities; a child of base
+	base                *run.Group // the layers below: servers, datagrams, disk
 	acceptor            *acceptor.Acceptor
 	owner               *owner.Owner
 	coreSet             *coremembers.Manager
@@ -111,37 +111,37 @@
 	conf                atomic.Pointer[conf.Effective]
 	serial              atomic.Uint64
 	checked             atomic.Pointer[checkedConf]
-	confPending         atomic.Bool // a configuration has come that was not read yet
+	confPending         atomic.Bool // a configuration has arrived and is not read yet
 	confNudge           *run.Nudge
-	newestStamp         *flight.Shared[Newest] // the owner's word on the newest configuration
-	readBackoff         rest.Rest              // of configurations; owned by the actor of confSoon
-	controllers         map[string]*controlled // owned by the actor of tend
+	newestStamp         *flight.Shared[Newest] // coalesces queries to the owner for the newest stamp
+	readBackoff         rest.Rest              // between reads of configurations; owned by the actor of confNudge
+	controllers         map[string]*controlled // owned by the actor of reconcileControllers
 	controllersSnapshot atomic.Pointer[map[string]*order.Controller]
 	absentSince         map[string]time.Duration
 	preferred           preference
-	// tendSoon looks at once at which replicas are to be controlled here.
+	// reconcileNudge triggers reconcileControllers at once.
 	reconcileNudge *run.Nudge
-	lastHolders    [state.SlotCount]atomic.Pointer[string] // who held each slot when last asked
+	lastHolders    [state.SlotCount]atomic.Pointer[string] // name of the last known holder of each slot
 }
 
 const (
-	holderProbeTimeout = 400 * time.Millisecond  // for asking who holds a slot
-	ownerCallTimeout   = 3 * time.Second         // for what is done at the holder
-	drainTimeout       = 1500 * time.Millisecond // for the calls that are under way when this core stops
-	reconcileInterval  = 300 * time.Millisecond  // between two looks at which replicas are controlled here
-	confReadInterval   = 100 * time.Millisecond  // between two looks whether a configuration is to be read
+	holderProbeTimeout = 400 * time.Millisecond  // timeout for asking a core which slots it holds
+	ownerCallTimeout   = 3 * time.Second         // timeout for a call to the holder of a slot
+	drainTimeout       = 1500 * time.Millisecond // grace period for calls in flight when this core stops
+	reconcileInterval  = 300 * time.Millisecond  // between two runs of reconcileControllers
+	confReadInterval   = 100 * time.Millisecond  // between two checks for an unread configuration
 )
 
-// NewBoot is a fresh identity for a process.
+// NewBootID returns a random identifier for one run of a process.
 func NewBootID() string {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		panic("no randomness: " + err.Error())
+		panic("cannot read random bytes: " + err.Error())
 	}
 	return hex.EncodeToString(b[:])
 }
 
-// Start opens the data folder and begins to take part.
+// Start opens the data folder, starts the servers and joins the cluster.
 func Start(s Settings, env Env) (*Core, error) {
 	c := &Core{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: NewBootID(),
 		base: run.NewGroup(context.Background()), gossip: gossip.NewTable(), reports: report.NewTable(),
@@ -235,7 +235,7 @@
 	return c, nil
 }
 
-// operatorServers opens the APIs for operators, the design's own among them.
+// operatorServers opens the listeners of the operator APIs, including the native one.
 func (c *Core) operatorServers() ([]*wire.Server, error) {
 	at := map[string]http.Handler{}
 	if c.s.Operator != "" {
@@ -258,15 +258,15 @@
 	return out, nil
 }
 
-// Reseed names other seeds.
+// Reseed replaces the seed addresses.
 func (c *Core) Reseed(seeds []string) { c.members.Reseed(seeds) }
 
-// Stop ends cleanly: slots are handed over, then all is let go.
+// Stop shuts down cleanly: it hands over the slots, leaves the cluster, drains the servers and closes everything.
 func (c *Core) Stop(ctx context.Context) error {
 	c.coreSet.Stop()
 	c.owner.Stop(ctx)
 	c.members.Leave(ctx)
-	// Why: calls that are under way are short; a connection that was only opened would be waited for longer.
+	// Calls in flight are short; without this limit, draining would also wait for connections that carry no call.
 	within, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	for _, s := range c.servers {
@@ -275,7 +275,7 @@
 	return c.Kill()
 }
 
-// Kill ends at once, as a crash does for everyone else.
+// Kill stops at once; to its peers it looks like a crash.
 func (c *Core) Kill() error {
 	c.post.Close()
 	for _, s := range c.servers {
@@ -289,17 +289,17 @@
 	return c.acceptor.Close()
 }
 
-// Freeze and Thaw stop and go on with everything this core does; simulations use them.
+// Freeze pauses everything this core does until Thaw; simulations use it.
 func (c *Core) Freeze() { c.base.Freeze() }
 
-// Thaw ends a freeze.
+// Thaw resumes a frozen core.
 func (c *Core) Thaw() { c.base.Thaw() }
 
-// Held lists the slots this core holds now, with their epochs.
+// Held returns the slots that this core holds now, with their epochs.
 func (c *Core) Held() map[int]uint64 { return c.owner.Held() }
 
-// Phase is how far this core has come towards voting.
+// Phase returns this core's membership phase on the way to voting.
 func (c *Core) Phase() acceptor.Phase { return c.acceptor.Membership().Phase }
 
-// Sick says whether the disk has failed, so that the process may end.
+// Sick reports whether the disk has failed, in which case the process may exit.
 func (c *Core) Sick() bool { return c.acceptor.DiskFailed() }
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -12,6 +12,7 @@
 	"drumstall.example/internal/state"
 )
 
+// onSlotAcquired is called with the records of a slot when this core has acquired it.
 func (c *Core) onSlotAcquired(slot int, recs []state.Record) {
 	if c.reconcileNudge != nil {
 		c.reconcileNudge.Now()
@@ -20,26 +21,26 @@
 	c.planner.OnSlotAcquired(slot, epoch, recs)
 	for _, r := range recs {
 		if r.Key == conf.Key {
-			// Why: the owner before us may have died between keeping it and telling it.
+			// The previous owner may have crashed after storing the configuration and before announcing it.
 			c.gossip.Put(gossip.Entry{Key: r.Key, Stamp: r.Stamp, Value: r.Value})
 		}
 	}
 }
 
 const (
-	// newestPath asks the owner of the configuration for the newest.
+	// newestPath is served by the owner of the configuration and returns the newest.
 	newestPath = "/conf/newest"
-	// ConfirmPath asks any core, which asks the owner.
+	// ConfirmPath is served by any core, which queries the owner.
 	ConfirmPath = "/conf/confirm"
 )
 
 // NewestQuery asks for the newest configuration.
 type NewestQuery struct {
-	// StampOnly asks for its stamp alone; the document comes by gossip.
+	// StampOnly requests the stamp without the document, which arrives by gossip.
 	StampOnly bool `cbor:"1,keyasint,omitempty"`
 }
 
-// Newest is the newest configuration under the owner's lease, or only its headline.
+// Newest is the newest configuration read under the owner's lease, or only its stamp.
 type Newest struct {
 	Found bool         `cbor:"1,keyasint"`
 	Entry gossip.Entry `cbor:"2,keyasint"`
@@ -47,8 +48,8 @@
 
 var errNotOwner = wire.Refuse("not-owner", "the key is not held here")
 
-// holder is the core that holds a slot: the one that did last, or else the one
-// that says so now, under the highest epoch.
+// holder returns the address of the core that holds a slot: the last known holder, or else the
+// core that claims the slot with the highest epoch when asked.
 func (c *Core) holder(ctx context.Context, slot int) (addr string, known bool) {
 	voters := c.voters(slot)
 	if last := c.lastHolders[slot].Load(); last != nil {
@@ -62,7 +63,7 @@
 		v     state.Core
 		epoch uint64
 	}
-	// Why: a preferred core may be alive for the edges and cut off from us; asking all at once does not wait for it.
+	// All voters are asked concurrently: a preferred core may be reachable by the edges but not from here, and must not delay the answer.
 	ch := run.Fan(c.group, len(voters), func(_ context.Context, i int) claim {
 		one, cancel := context.WithTimeout(ctx, holderProbeTimeout)
 		defer cancel()
@@ -88,7 +89,8 @@
 	return best.v.Addr, true
 }
 
-// atOwner does something where a key is held: here, or on the core that says so.
+// callOwner runs an operation at the holder of a key: local on this core, or path on the core
+// that holds the key's slot.
 func callOwner[Q, A any](ctx context.Context, c *Core, key, path string, q Q, local func(context.Context, Q) (A, error)) (A, error) {
 	var a A
 	slot := state.SlotOf(key)
@@ -113,12 +115,13 @@
 		case "no-quorum":
 			return a, state.ErrNoQuorum
 		}
-		// Why: it may have been done there, so it is not tried elsewhere.
+		// The operation may have taken effect there, so it is not retried on another core.
 		return a, errors.Wrap(state.ErrOutcomeUnknown, err.Error())
 	}
 	return a, errors.Wrap(state.ErrNoQuorum, "no core is known to hold "+key)
 }
 
+// toRefusal maps errors of the control state to the refusals that a peer understands.
 func toRefusal(err error) error {
 	switch {
 	case errors.Is(err, state.ErrNotOwner):
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -11,11 +11,12 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
+// self returns this core as a member of the core set.
 func (c *Core) self() state.Core {
 	return state.Core{Name: c.s.Name, DiskID: c.acceptor.DiskID(), Addr: c.s.Addr}
 }
 
-// addrOf is where a voter is reached; the roll knows better than the set.
+// addrOf returns the address of a voter. The membership table takes precedence over the core set.
 func (c *Core) addrOf(v state.Core) (string, bool) {
 	for _, n := range c.members.Nodes() {
 		if n.Role == member.RoleCore && n.Name == v.Name {
@@ -28,6 +29,7 @@
 	return v.Addr, v.Addr != ""
 }
 
+// liveCores returns the live cores and their phases.
 func (c *Core) liveCores() map[state.Core]acceptor.Phase {
 	out := map[state.Core]acceptor.Phase{}
 	for _, n := range c.members.Live(member.RoleCore) {
@@ -36,11 +38,11 @@
 	return out
 }
 
-// unheardAfter is for how long a voter must not have answered this core to be passed over for slots.
+// unresponsiveAfter is the time without an answer after which a voter is skipped as holder of slots.
 const unresponsiveAfter = 1500 * time.Millisecond
 
-// unheard says that a voter does not answer this core. Why: one that others still
-// reach may be cut off from the cores, and a slot that waits for it is held by nobody.
+// isUnresponsive reports whether a voter does not answer this core. A voter that other nodes
+// still reach may be partitioned from the cores, and a slot that waits for it has no holder.
 func (c *Core) isUnresponsive(v state.Core) bool {
 	if v.SameVoter(c.self()) || c.env.Clock.Since()-c.startedAt < unresponsiveAfter {
 		return false
@@ -48,8 +50,8 @@
 	return c.sinceContact(v) > unresponsiveAfter
 }
 
-// goneFor says whether a voter has left on purpose, and for how long it has not
-// answered; 0 while it is thought to be there.
+// absence reports whether a voter has left on purpose, and for how long it has not
+// answered; 0 while it is considered present.
 func (c *Core) absence(v state.Core) (left bool, away time.Duration) {
 	for _, n := range c.members.Nodes() {
 		if n.Role != member.RoleCore || n.Name != v.Name || n.Disk != v.DiskID {
@@ -63,17 +65,17 @@
 	return false, c.sinceContact(v)
 }
 
-// heardFor is how long ago a voter answered this core.
+// sinceContact returns the time since a voter last answered this core.
 func (c *Core) sinceContact(v state.Core) time.Duration {
 	return min(c.members.HeardFor(v.Name), c.owner.SinceLastGrant(v))
 }
 
-// gossipTree is whom this core tells its news in a large fleet.
+// gossipTree returns the tree along which this core gossips in a large fleet.
 func (c *Core) gossipTree() gossip.Tree {
 	return fanout.View{Self: c.members.Self(), Nodes: c.members.Nodes(), HeardFor: c.members.HeardFor}.Tree()
 }
 
-// others are the live cores but this one.
+// otherCores returns the live cores except this one.
 func (c *Core) otherCores() []member.Node {
 	var out []member.Node
 	for _, n := range c.members.Live(member.RoleCore) {
@@ -84,7 +86,8 @@
 	return out
 }
 
-// heardMost is how long ago most of the core membership was heard, this core among them.
+// sinceQuorumContact returns the time since this core was last in contact with a quorum of the core
+// set, itself included; touch.Never if it is not a voter.
 func (c *Core) sinceQuorumContact() time.Duration {
 	st := c.acceptor.Membership()
 	if st.Phase != acceptor.Voter {
@@ -99,6 +102,7 @@
 	return touch.Most(st.Set.Quorum(), ago)
 }
 
+// liveAgents returns the names of the live agents.
 func (c *Core) liveAgents() map[string]bool {
 	out := map[string]bool{}
 	for _, n := range c.members.Live(member.RoleAgent) {
--- a/internal/core/preference.go
+++ b/internal/core/preference.go
@@ -11,15 +11,16 @@
 	"drumstall.example/internal/state/acceptor"
 )
 
-// preference is which voter is preferred for each slot, kept as long as the voters are the same.
+// preference caches the ranking of voters for each slot; it is recomputed when the voters change.
 type preference struct {
 	mu     sync.Mutex
-	voters string // names, joined
+	voters string // names of the ranked voters, joined
 	ranked [state.SlotCount][]string
 }
 
-// of is the voters by how much each is preferred for a slot. First comes the one that is to hold it, so that no voter
-// is to hold more than an equal part; the others follow by their draws. The names are sorted; nobody may change the answer.
+// ranking returns the voters in order of preference for a slot. The first is the intended holder, chosen so that no
+// voter is to hold more than an equal part of the slots; the others follow in the order of their hashes. names must be
+// sorted, and callers must not modify the result.
 func (p *preference) ranking(slot int, names []string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +31,7 @@
 	return p.ranked[slot]
 }
 
-// rank ranks the voters for every slot.
+// rank computes the ranking of the voters for every slot.
 func (p *preference) rank(names []string) {
 	keys := make([][]byte, state.SlotCount)
 	for slot := range keys {
@@ -47,7 +48,7 @@
 	}
 }
 
-// voters are the live members of the core membership, most preferred for the slot first.
+// voters returns the live, responsive voters of the core set, most preferred for the slot first.
 func (c *Core) voters(slot int) []state.Core {
 	set := c.acceptor.Membership().Set
 	byName := map[string]state.Core{}
--- a/internal/core/serve.go
+++ b/internal/core/serve.go
@@ -12,9 +12,10 @@
 	"drumstall.example/internal/place/report/relay"
 )
 
-// none is an empty message.
+// empty is a message without content.
 type empty struct{}
 
+// registerHandlers registers the calls that this core serves to its peers.
 func (c *Core) registerHandlers() {
 	wire.Handle(c.mux, "/state/held", func(context.Context, empty) (map[int]uint64, error) { return c.owner.Held(), nil })
 	wire.Handle(c.mux, "/conf/submit", func(ctx context.Context, s operator.Submission) (operator.Submitted, error) {
@@ -53,9 +54,9 @@
 	})
 }
 
-// takeReport takes an agent's report from the agent itself.
+// handleReport applies a report that an agent sent directly.
 func (c *Core) handleReport(ctx context.Context, r report.Report) (report.Taken, error) {
-	// Why: the word is of the moment before; what was learned since is told with the next.
+	// The contact word predates this report; what changes from here on goes into the next answer.
 	taken := report.Taken{Touch: c.touch.Word(), Differences: true, InflightDifferences: true, Conf: c.gossip.StampOf(conf.Key), Busy: c.lag.Busy()}
 	outcome, err := c.planner.ApplyReport(ctx, r)
 	if err != nil {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -12,22 +12,23 @@
 	"drumstall.example/internal/place/plan"
 )
 
-// about asks for decisions about a model.
+// explainQuery requests the placement decisions about a model.
 type explainQuery struct {
 	Model string `cbor:"1,keyasint"`
 }
 
-// told is decisions as JSON: they are for people, not for acting on.
+// explainAnswer holds decisions as JSON, which only people read.
 type explainAnswer struct {
 	JSON []byte `cbor:"1,keyasint"`
 }
 
+// explainHere returns this core's decisions about a model.
 func (c *Core) explainHere(ctx context.Context, q explainQuery) (explainAnswer, error) {
 	b, err := json.Marshal(c.planner.Explain(ctx, q.Model))
 	return explainAnswer{b}, err
 }
 
-// Explain gives decisions of all cores about a model, newest first.
+// Explain returns the decisions of all cores about a model, newest first.
 func (c *Core) Explain(ctx context.Context, model string) any {
 	out := c.planner.Explain(ctx, model)
 	for _, n := range c.otherCores() {
@@ -43,7 +44,7 @@
 	return out
 }
 
-// gather joins what this core and all others say to a question.
+// mergeFromCores merges this core's values with those that the other cores return at path.
 func mergeFromCores[V any](ctx context.Context, c *Core, path string, mine func(context.Context) map[string]V) map[string]V {
 	out := mine(ctx)
 	for _, n := range c.otherCores() {
@@ -56,7 +57,7 @@
 	return out
 }
 
-// ReportAges is how long ago each edge's newest report came, by the edge's name.
+// ReportAges returns the age of each edge's newest report, by edge name.
 func (c *Core) ReportAges() map[string]time.Duration {
 	now, ages := c.env.Clock.Since(), map[string]time.Duration{}
 	for name, r := range c.reports.All() {
@@ -65,7 +66,7 @@
 	return ages
 }
 
-// servedCalls is what the calls at one path have cost since this core started.
+// servedCalls sums the cost of the calls at one path since this core started.
 type servedCalls struct {
 	Calls    int64 `json:"calls"`
 	BytesIn  int64 `json:"bytesIn"`
@@ -73,7 +74,7 @@
 	TookMs   int64 `json:"tookMs"`
 }
 
-// served is what calls and datagrams have cost this core, by path and kind.
+// served returns the cost of calls and datagrams on this core, by path and kind.
 func (c *Core) served() map[string]servedCalls {
 	out := map[string]servedCalls{}
 	for name, s := range load.Served(c.mux.Served, c.post.Served) {
@@ -82,10 +83,10 @@
 	return out
 }
 
-// Busy says that this core has no processor time to spare.
+// Busy reports whether this core is short of processor time.
 func (c *Core) Busy() bool { return c.lag.Busy() }
 
-// Status is what this core sees.
+// Status returns this core's view of the system, to be rendered as JSON.
 func (c *Core) Status(ctx context.Context) any {
 	st := c.acceptor.Membership()
 	now := c.env.Clock.Since()
--- a/internal/core/tenants.go
+++ b/internal/core/tenants.go
@@ -6,24 +6,24 @@
 	"drumstall.example/internal/place/report"
 )
 
-// tenantsFresh is how old an edge's figures of tenants may be to be shown.
+// tenantsMaxAge is the maximum age of an edge's report whose tenant figures are included in the status.
 const tenantsMaxAge = 30 * time.Second
 
-// tenantSum is what one tenant has at all edges together, as status shows it.
+// tenantSum holds one tenant's figures over all edges, as the status shows them.
 type tenantSum struct {
 	Share       int     `json:"share"`
-	Prefixes    int     `json:"prefixes"`    // remembered as warm
-	Evicted     uint64  `json:"evicted"`     // prefixes that gave way, so far
-	Tokens      uint64  `json:"tokens"`      // of prompts that were sent, so far
-	WarmTokens  uint64  `json:"warmTokens"`  // of those, expected warm where they were sent
-	WarmPart    float64 `json:"warmPart"`    // of all tokens
-	BulkAtEdges int     `json:"bulkAtEdges"` // edges that hold it to its share of the replicas
+	Prefixes    int     `json:"prefixes"`    // currently recorded as warm
+	Evicted     uint64  `json:"evicted"`     // prefixes evicted so far
+	Tokens      uint64  `json:"tokens"`      // of prompts sent so far
+	WarmTokens  uint64  `json:"warmTokens"`  // of Tokens, expected to be cached at the replica
+	WarmPart    float64 `json:"warmPart"`    // WarmTokens as a fraction of Tokens
+	BulkAtEdges int     `json:"bulkAtEdges"` // edges that limit it to its share of the replicas
 }
 
-// tenantSums are those of all tenants, by name.
+// tenantSums holds the figures of all tenants, by name.
 type tenantSums map[string]*tenantSum
 
-// add takes what one edge reports.
+// add adds the figures that one edge reports.
 func (s tenantSums) add(tenants map[string]report.Tenant) {
 	for name, t := range tenants {
 		sum := s[name]
