--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent puts a dsagent together: the link to the control plane beside
-// each proxy.
+// Package agent assembles the dsagent process, which keeps the control link of the
+// proxy on the same machine.
 package agent
 
 import (
@@ -28,13 +28,13 @@
 const (
 	callTimeout = time.Second
 	maxPeers    = 16
-	// maxHold bounds how long a proxy may have its answer held back.
+	// maxHold bounds how long an exchange may wait for changes before it is answered.
 	maxHold = 500 * time.Millisecond
-	// lingerGap is how long a stopping agent must not have been asked by its proxy before it goes.
+	// proxyIdleTime is the time without an exchange after which a stopping agent exits.
 	proxyIdleTime = time.Second
 )
 
-// Settings of an agent.
+// Settings configures an agent.
 type Settings struct {
 	Name     string
 	Zone     string
@@ -44,7 +44,7 @@
 	Platform string
 	Bounds   bounds.Bounds
 	Cadence  bounds.Cadence
-	Lister   inventory.Lister // nil asks Platform over the design's own API
+	Lister   inventory.Lister // nil queries Platform over the native API
 }
 
 // Agent is a running dsagent.
@@ -68,22 +68,22 @@
 	confirmation confirmation
 	touch        *touch.Keeper
 	latest       atomic.Pointer[receivedReport]
-	feedReport   atomic.Pointer[report.Report] // the last report that came with an exchange
+	feedReport   atomic.Pointer[report.Report] // the last report received in an exchange
 	reports      coreReports
-	reportActor  *run.Actor    // of the reports
-	reportSeq    atomic.Uint64 // of reports
-	lastExchange atomic.Int64  // when the proxy asked last, on our clock
+	reportActor  *run.Actor    // runs report and owns reports
+	reportSeq    atomic.Uint64 // sequence number of the newest report
+	lastExchange atomic.Int64  // time of the last exchange, by the local clock
 	urgentNudge  *run.Nudge
 }
 
-// dated is a report of the proxy, when it came, and which it was of all that did.
+// receivedReport is a report of the proxy with its time of arrival and sequence number.
 type receivedReport struct {
 	r     report.Report
 	at    time.Duration
 	order uint64
 }
 
-// Start begins to take part.
+// Start opens the listeners and joins the cluster.
 func Start(s Settings, env core.Env) (*Agent, error) {
 	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBootID(), base: run.NewGroup(context.Background()),
 		gossip: gossip.NewTable(), caller: wire.NewCaller(env.Net), mux: wire.NewMux(), feedMux: wire.NewMux()}
@@ -129,22 +129,22 @@
 	return a, nil
 }
 
-// asksPlatform says whether this agent asks for the list itself.
+// pollsPlatform reports whether this agent queries the platform's list itself.
 func (a *Agent) pollsPlatform() bool {
 	return a.s.Cadence.ListSpare == 0 || a.touch.For() > a.s.Cadence.ListSpare
 }
 
-// gossipTree is whom this agent tells its news in a large fleet.
+// gossipTree returns the tree along which this agent gossips in a large fleet.
 func (a *Agent) gossipTree() gossip.Tree {
 	return fanout.View{Self: a.members.Self(), Nodes: a.members.Nodes()}.Tree()
 }
 
-// Reseed names other seeds.
+// Reseed replaces the seed addresses.
 func (a *Agent) Reseed(seeds []string) { a.members.Reseed(seeds) }
 
-// Stop leaves on purpose.
+// Stop shuts down cleanly: it waits until the proxy is quiet, leaves the cluster and drains the servers.
 func (a *Agent) Stop(ctx context.Context) error {
-	// Why: a proxy that is stopped with us still needs to hear what is in force while it finishes.
+	// A proxy that is stopped together with this agent still needs current state while it drains.
 	for a.env.Clock.Since()-time.Duration(a.lastExchange.Load()) < proxyIdleTime && run.Wait(ctx, proxyIdleTime/10) {
 	}
 	a.members.Leave(ctx)
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// Kill ends at once.
+// Kill stops at once, without leaving the cluster.
 func (a *Agent) Kill() {
 	a.post.Close()
 	for _, s := range a.servers {
@@ -167,38 +167,39 @@
 	a.watch.Close()
 }
 
-// Sent counts what this agent has sent: calls, bytes in them, datagrams.
+// Sent returns the calls, bytes in calls and datagrams that this agent has sent.
 func (a *Agent) Sent() (calls, bytes, grams int64) {
 	calls, bytes = a.caller.Sent()
 	return calls, bytes, a.post.Sent()
 }
 
-// Freeze and Thaw are for simulations.
+// Freeze pauses the agent until Thaw; simulations use it.
 func (a *Agent) Freeze() { a.base.Freeze() }
 
-// Thaw ends a freeze.
+// Thaw resumes a frozen agent.
 func (a *Agent) Thaw() { a.base.Thaw() }
 
-// onGossip logs when a configuration has come.
+// onGossip logs the arrival of a configuration.
 func (a *Agent) onGossip(e gossip.Entry) {
 	if e.Key == conf.Key {
 		a.log.Info("configuration learned", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "bytes", len(e.Value))
 	}
 }
 
-// takeUrgent passes a report on at once.
+// handleUrgent stores a report and sends it to the cores at once.
 func (a *Agent) handleUrgent(_ context.Context, r report.Report) (feed.Taken, error) {
 	a.storeReport(r)
 	a.urgentNudge.Now()
 	return feed.Taken{}, nil
 }
 
+// storeReport records r as the proxy's newest report.
 func (a *Agent) storeReport(r report.Report) {
 	r.Agent, r.Zone = a.s.Name, a.s.Zone
 	a.latest.Store(&receivedReport{r, a.env.Clock.Since(), a.reportSeq.Add(1)})
 }
 
-// exchange answers the proxy.
+// exchange handles one exchange with the proxy.
 func (a *Agent) exchange(ctx context.Context, up feed.Up) (feed.Down, error) {
 	a.lastExchange.Store(int64(a.env.Clock.Since()))
 	for _, e := range up.Entries {
@@ -207,7 +208,7 @@
 	if len(up.Peers) > 0 {
 		a.members.Meet(up.Peers[:min(len(up.Peers), maxPeers)])
 	}
-	// Why: a surviving proxy has in force what this machine had; with that here, nothing goes back.
+	// A proxy that kept running has applied the newest configuration of this machine, so with that one here nothing is rolled back.
 	if up.Confirmed && !up.Conf.Newer(a.gossip.StampOf(conf.Key)) {
 		a.confirmed.Store(true)
 	}
@@ -232,9 +233,9 @@
 	return d, nil
 }
 
-// takeFed takes a report that came with an exchange, whole or as the difference
-// from the one before. What it cannot be laid on is asked for again by what the answer
-// says is held.
+// mergeFeedReport stores a report received in an exchange, full or as a difference from the
+// previous one. If the base is missing, the stored report is dropped; the answer then names no
+// held version, which makes the proxy send a full report.
 func (a *Agent) mergeFeedReport(r report.Report) {
 	r.Agent = a.s.Name
 	var base report.Report
@@ -250,7 +251,7 @@
 	a.storeReport(whole)
 }
 
-// awaitGossip holds an answer back until there is something to tell.
+// awaitGossip delays an answer until there are new gossip entries, the requested hold time has passed or ctx ends.
 func (a *Agent) awaitGossip(ctx context.Context, up feed.Up) {
 	hold := min(time.Duration(up.HoldMs)*time.Millisecond, maxHold)
 	if hold <= 0 {
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -15,32 +15,31 @@
 )
 
 const (
-	// confirmInterval is the time between two looks whether the configuration is confirmed.
+	// confirmInterval is the time between two runs of confirm.
 	confirmInterval = 100 * time.Millisecond
-	// confirmPause is how long a question that brought nothing is rested from; it doubles with every
-	// confirmTries of them, up to confirmPauseMost. Why: at a start cores are ready within some hundred ms, and
-	// after a loss of power all agents ask for seconds while the cores return.
+	// confirmPause is the back-off after a failed query; it doubles with every confirmTriesPerStep
+	// failures, up to confirmPauseMax. At a normal start cores are ready within some hundred ms; after a
+	// power loss all agents query for seconds while the cores restart.
 	confirmPause        = 100 * time.Millisecond
 	confirmPauseMax     = 400 * time.Millisecond
 	confirmTriesPerStep = 6
-	// fetchGap is the time between two pulls of the document that was named.
+	// fetchGap is the time between two pulls of the document whose stamp a core returned.
 	fetchGap = 500 * time.Millisecond
 )
 
-// confirmation is how far an agent that has just started has come towards knowing that
-// its configuration is no older than any that was ever in force on this machine. It is used by
-// one goroutine.
+// confirmation tracks, after a start, the check that the configuration here is no older than any
+// that was ever applied on this machine. It is used by one goroutine.
 type confirmation struct {
-	known    bool        // a core has said since the start which is the newest
-	newest   state.Stamp // that one
-	core     member.Node // the core that said so
-	failures int         // questions that brought nothing
-	next     time.Duration
+	known    bool          // a core has returned the newest stamp since the start
+	newest   state.Stamp   // the stamp that it returned
+	core     member.Node   // the core that returned it
+	failures int           // failed queries
+	next     time.Duration // earliest time of the next query or fetch
 }
 
-// confirm makes sure that the configuration here is no older than any that
-// was ever in force on this machine: the owner's word is the newest there is. Why: the word is
-// a stamp, and the document comes by gossip, since the owner cannot send it to every agent.
+// confirm ensures that the configuration here is no older than any that was ever applied on this
+// machine, by comparing it with the newest stamp at the owner. Only the stamp is queried, and the
+// document is fetched by gossip, since the owner cannot send it to every agent.
 func (a *Agent) confirm(ctx context.Context) {
 	if a.confirmed.Load() {
 		return
@@ -62,7 +61,7 @@
 	}
 }
 
-// askNewest asks one core which configuration is the newest, another one each time.
+// queryNewest asks one core for the newest configuration stamp; after a failure the next core is asked.
 func (a *Agent) queryNewest(ctx context.Context) {
 	c := &a.confirmation
 	cores := nearestFirst(a.members.Self(), a.members.Live(member.RoleCore))
@@ -80,19 +79,19 @@
 		return
 	}
 	c.known, c.newest, c.core = true, got.Entry.Stamp, asked
-	// Why: a core of an earlier version answers with the document.
+	// A core of an earlier version answers with the document.
 	if got.Found && !got.Entry.Head {
 		a.gossip.Put(got.Entry)
 	}
 }
 
-// pauseAfter is how long nobody is asked after so many questions that brought nothing.
-func pauseAfter(tries int) time.Duration {
-	pause := min(confirmPause<<min(tries/confirmTriesPerStep, 8), confirmPauseMax)
+// pauseAfter returns the randomized back-off after a number of failed queries.
+func pauseAfter(failures int) time.Duration {
+	pause := min(confirmPause<<min(failures/confirmTriesPerStep, 8), confirmPauseMax)
 	return pause/2 + rand.N(pause)
 }
 
-// nearestFirst is some cores in a turn that begins with the one that tells this agent its news.
+// nearestFirst rotates cores so that this agent's core in the gossip tree comes first.
 func nearestFirst(self member.Node, cores []member.Node) []member.Node {
 	first := fanout.CoreOf(self, cores)
 	at := max(0, slices.IndexFunc(cores, func(n member.Node) bool { return n.Name == first }))
--- a/internal/agent/feed_report_test.go
+++ b/internal/agent/feed_report_test.go
@@ -12,8 +12,8 @@
 	"drumstall.example/internal/place/report"
 )
 
-// Whatever a proxy sends, whole reports or differences from what it was told that the
-// agent holds, the agent has the newest whole report, or says that it holds none.
+// Guards against a wrong report after any sequence of full reports and differences, with lost
+// messages and agent restarts: the agent holds the newest full report, or none.
 func TestFeedReportDiffsRebuildFullReport(t *testing.T) {
 	for seed := range uint64(100) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -29,9 +29,9 @@
 				sent = now.Since(base)
 			}
 			switch rnd.IntN(10) {
-			case 0: // another agent in its place
+			case 0: // the agent restarted
 				a.feedReport.Store(nil)
-			case 1: // lost on the way
+			case 1: // the report is lost
 				base = report.Report{}
 				continue
 			}
@@ -44,7 +44,7 @@
 			if !reflect.DeepEqual(*held, now) || !reflect.DeepEqual(a.latest.Load().r, now) {
 				t.Fatalf("seed %d: held %+v, want %+v", seed, *held, now)
 			}
-			if base = now; rnd.IntN(10) == 0 { // its answer was lost
+			if base = now; rnd.IntN(10) == 0 { // the answer is lost
 				base = report.Report{}
 			}
 		}
@@ -58,6 +58,6 @@
 	other := report.Report{Boot: "c", Version: 2}
 	a.mergeFeedReport(other.Since(report.Report{Boot: "c", Version: 1}))
 	if a.feedReport.Load() != nil || a.latest.Load().r.Version != 1 {
-		t.Errorf("held %+v", a.latest.Load().r)
+		t.Errorf("a difference from an unknown base was applied: %+v", a.latest.Load().r)
 	}
 }
--- a/internal/agent/relays.go
+++ b/internal/agent/relays.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// avoidedFor is how long a core that did not answer is not asked to pass reports on.
+	// avoidDuration is how long a core that did not answer is not used as relay.
 	avoidDuration = 5 * time.Second
-	// relayGrace is how long a core that has just been chosen need not vouch for the others.
+	// relayGrace is how long a newly chosen relay need not list the other cores as covered.
 	relayGrace = 800 * time.Millisecond
-	// directGap is the time between two reports to a core that nobody vouches for.
+	// directInterval is the minimum time between two direct reports to a core that the relay does not cover.
 	directInterval = time.Second
-	// busyFor is how long a core counts as busy that has said so.
+	// busyDuration is how long a core counts as busy after it has reported so.
 	busyDuration = 2 * time.Second
-	// The core that passes reports on may take relayLimit to answer, or relayTimes as long as it took of late, but
-	// no more than limit, before another is asked. Why: cores that are slow for want of processor time are
-	// slower still when every agent tells all of them itself.
+	// The relay may take relayMinTimeout to answer, or relayLatencyFactor times its recent latency, but no more than
+	// callTimeout, before another core is chosen. Cores that are short of processor time slow down further
+	// when every agent reports to all of them directly.
 	relayMinTimeout    = 300 * time.Millisecond
 	relayLatencyFactor = 4
 )
 
-// relays is which core passes this agent's reports on, and how well.
+// relayState tracks the core that relays this agent's reports to the other cores, and its performance.
 type relayState struct {
-	covered      []uint32                 // keys of the cores that have the last report but one, by its word
-	core         string                   // that passed it on
-	since        time.Duration            // when it was chosen
-	latency      time.Duration            // how long its answers took of late
-	avoidedUntil map[string]time.Duration // by name: until when
-	lastDirect   map[string]time.Duration // by name: when a core was last told though another passes reports on
-	busyUntil    map[string]time.Duration // by name: until when
+	covered      []uint32                 // keys of the cores that have the previous report, as the relay states
+	core         string                   // name of the relay; "" without one
+	since        time.Duration            // time at which it was chosen
+	latency      time.Duration            // moving average of its answer times
+	avoidedUntil map[string]time.Duration // by core name: end of the period
+	lastDirect   map[string]time.Duration // by core name: time of the last direct report
+	busyUntil    map[string]time.Duration // by core name: end of the period
 }
 
-// choose is the name of the core that is to pass reports on; none in a small fleet,
-// where every core is told at once.
+// choose selects the relay and returns its name; "" in a small fleet, where the agent
+// reports to every core directly.
 func (r *relayState) choose(self member.Node, nodes []member.Node, now time.Duration) string {
-	for _, past := range []map[string]time.Duration{r.avoidedUntil, r.busyUntil} {
-		maps.DeleteFunc(past, func(_ string, until time.Duration) bool { return now >= until })
+	for _, deadlines := range []map[string]time.Duration{r.avoidedUntil, r.busyUntil} {
+		maps.DeleteFunc(deadlines, func(_ string, until time.Duration) bool { return now >= until })
 	}
 	core := ""
 	if isLarge(nodes) {
@@ -54,7 +54,7 @@
 	return core
 }
 
-// isLarge says that there are more nodes than one could tell all of.
+// isLarge reports whether there are too many live nodes for direct reports to all cores.
 func isLarge(nodes []member.Node) bool {
 	live := 0
 	for _, n := range nodes {
@@ -65,7 +65,7 @@
 	return live > gossip.AllTold
 }
 
-// able is the cores that may be asked to pass reports on.
+// eligible returns the cores that may be used as relay.
 func (r *relayState) eligible(nodes []member.Node) []member.Node {
 	var out []member.Node
 	for _, n := range nodes {
@@ -76,10 +76,11 @@
 	return out
 }
 
-// is says whether a core is the one that passes reports on.
+// isRelay reports whether a core is the current relay.
 func (r *relayState) isRelay(core member.Node) bool { return core.Name == r.core }
 
-// avoid has another core chosen for a while, which is given longer to answer, and takes nothing for told.
+// avoid excludes a core as relay for avoidDuration. It raises the timeout for the next relay and
+// clears the list of covered cores.
 func (r *relayState) avoid(core string, now time.Duration) {
 	r.latency = 2 * r.timeout() / relayLatencyFactor
 	if r.avoidedUntil == nil {
@@ -89,8 +90,8 @@
 	r.covered = nil
 }
 
-// split gives the cores that are told first: in a small fleet all, and else the one that passes
-// reports on; and the others.
+// split returns the cores to send to first, which are all in a small fleet and else only the
+// relay, and the other cores.
 func (r *relayState) split(cores []member.Node, core string) (first, others []member.Node) {
 	if core == "" {
 		return cores, nil
@@ -105,8 +106,8 @@
 	return first, others
 }
 
-// unvouched is those of some cores that are to be told from here, since the core that passes reports
-// on does not vouch for them; they count as told now.
+// uncovered returns those of some cores that need a direct report since the relay does not cover
+// them, and records the report as sent now.
 func (r *relayState) uncovered(cores []member.Node, now time.Duration) []member.Node {
 	if now-r.since < relayGrace {
 		return nil
@@ -120,15 +121,15 @@
 	return r.due(out, now)
 }
 
-// due is those of some cores that may be told from here again; they count as told now.
+// due returns those of some cores that may get a direct report again, and records it as sent now.
 func (r *relayState) due(cores []member.Node, now time.Duration) []member.Node {
 	if r.lastDirect == nil {
 		r.lastDirect = map[string]time.Duration{}
 	}
 	var out []member.Node
 	for _, c := range cores {
-		last, told := r.lastDirect[c.Name]
-		if _, busy := r.busyUntil[c.Name]; busy || told && now-last < directInterval {
+		last, sent := r.lastDirect[c.Name]
+		if _, busy := r.busyUntil[c.Name]; busy || sent && now-last < directInterval {
 			continue
 		}
 		r.lastDirect[c.Name] = now
@@ -137,12 +138,12 @@
 	return out
 }
 
-// within is how long the core that passes reports on may take to answer.
+// timeout returns how long the relay may take to answer.
 func (r *relayState) timeout() time.Duration {
 	return min(max(relayMinTimeout, relayLatencyFactor*r.latency), callTimeout)
 }
 
-// answeredIn notes how long the core that passes reports on took to answer.
+// recordLatency adds an answer time of the relay to the moving average.
 func (r *relayState) recordLatency(took time.Duration) {
 	if r.latency == 0 {
 		r.latency = took
@@ -151,7 +152,7 @@
 	r.latency += (took - r.latency) / 4
 }
 
-// saidBusy notes that a core has no time to spare.
+// markBusy records that a core is short of processor time.
 func (r *relayState) markBusy(core string, now time.Duration) {
 	if r.busyUntil == nil {
 		r.busyUntil = map[string]time.Duration{}
@@ -159,7 +160,7 @@
 	r.busyUntil[core] = now + busyDuration
 }
 
-// isBusy says that the core which passes reports on has no time to spare.
+// isBusy reports whether the relay is short of processor time.
 func (r *relayState) isBusy() bool {
 	_, busy := r.busyUntil[r.core]
 	return busy
--- a/internal/agent/relays_test.go
+++ b/internal/agent/relays_test.go
@@ -12,7 +12,7 @@
 
 var self = member.Node{Name: "agent", Role: member.RoleAgent, Zone: "z1"}
 
-// fleet is three cores, one of them in the agent's zone, among so many nodes.
+// fleet returns size nodes, three of them cores, one of which is in the agent's zone.
 func fleet(size int) []member.Node {
 	nodes := []member.Node{
 		{Name: "core-1", Role: member.RoleCore, Zone: "z1", Addr: "1"},
@@ -33,38 +33,38 @@
 	return out
 }
 
-// In a small fleet every core is told at once; in a large one a core of the own zone passes
-// reports on, another while that one is not alive or has not answered.
+// A small fleet has no relay. In a large one the relay is a core of the agent's own zone, or another
+// core while that one is not alive or has not answered.
 func TestRelayCoreSelection(t *testing.T) {
 	var r relayState
 	if got := r.choose(self, fleet(gossip.AllTold), 0); got != "" {
-		t.Errorf("%q in a small fleet", got)
+		t.Errorf("relay %q in a small fleet, want none", got)
 	}
 	large := fleet(gossip.AllTold + 1)
 	if got := r.choose(self, large, 0); got != "core-1" {
-		t.Errorf("%q, want the one of the own zone", got)
+		t.Errorf("relay %q, want the core of the own zone", got)
 	}
 	r.avoid("core-1", time.Second)
 	second := r.choose(self, large, time.Second)
 	if second != "core-2" && second != "core-3" {
-		t.Errorf("%q while core-1 does not answer", second)
+		t.Errorf("relay %q while core-1 does not answer", second)
 	}
 	if got := r.choose(self, large, time.Second+avoidDuration); got != "core-1" {
-		t.Errorf("%q when core-1 may be asked again", got)
+		t.Errorf("relay %q when core-1 may be used again", got)
 	}
 	large[0].State = member.Suspect
 	if got := r.choose(self, large, time.Second+avoidDuration); got != second {
-		t.Errorf("%q while core-1 is suspected", got)
+		t.Errorf("relay %q while core-1 is suspected", got)
 	}
 	for i := range 3 {
 		large[i].State = member.Dead
 	}
 	if got := r.choose(self, large, 0); got != "" {
-		t.Errorf("%q of none", got)
+		t.Errorf("relay %q without live cores", got)
 	}
 }
 
-// Only cores that are vouched for are not told from here, and only by the core that passes on now.
+// Every core that the current relay does not cover gets direct reports.
 func TestUncoveredCoresGetDirectReports(t *testing.T) {
 	large := fleet(gossip.AllTold + 1)
 	cores := large[:3]
@@ -72,7 +72,7 @@
 	check := func(when, got, want string) {
 		t.Helper()
 		if got != want {
-			t.Errorf("%s: %q are told, want %q", when, got, want)
+			t.Errorf("%s: reports go to cores %q, want %q", when, got, want)
 		}
 	}
 	first, others := r.split(cores, "")
@@ -81,9 +81,9 @@
 	core := r.choose(self, large, now)
 	first, others = r.split(cores, core)
 	check("at first", names(first)+"|"+names(others), "1|23")
-	check("before the core can have vouched", names(r.uncovered(others, now+relayGrace-1)), "")
+	check("before the relay can cover others", names(r.uncovered(others, now+relayGrace-1)), "")
 	now += relayGrace
-	check("when none is vouched for", names(r.uncovered(others, now)), "23")
+	check("when none is covered", names(r.uncovered(others, now)), "23")
 	r.covered = []uint32{relay.Key("core-2"), relay.Key("core-3")}
 	check("when all are", names(r.uncovered(others, now+directInterval)), "")
 	r.covered = r.covered[:1]
@@ -91,20 +91,20 @@
 	check("and when it is due", names(r.uncovered(others, now+directInterval)), "3")
 	now += 2 * directInterval
 	r.avoid(core, now)
-	check("when the core did not answer", names(r.due(others, now)), "23")
+	check("when the relay did not answer", names(r.due(others, now)), "23")
 	check("when the next does not either", names(r.due(cores, now+directInterval/2)), "1")
 	now += directInterval
 	r.markBusy("core-2", now)
-	check("when core-2 has no time to spare", names(r.due(others, now)), "3")
+	check("when core-2 is busy", names(r.due(others, now)), "3")
 }
 
-// A core that answers slowly is given longer before another is asked in its place, up to a limit.
+// The relay timeout grows with the recent latency, up to callTimeout.
 func TestRelayTimeoutFollowsLatency(t *testing.T) {
 	var r relayState
 	check := func(when string, want time.Duration) {
 		t.Helper()
 		if got := r.timeout(); got != want {
-			t.Errorf("%s: %v, not %v", when, got, want)
+			t.Errorf("%s: timeout %v, want %v", when, got, want)
 		}
 	}
 	check("at first", relayMinTimeout)
@@ -122,6 +122,6 @@
 		r.recordLatency(150 * time.Millisecond)
 	}
 	if got := r.timeout(); got < 590*time.Millisecond || got > 600*time.Millisecond {
-		t.Errorf("while answers take 150 ms: %v", got)
+		t.Errorf("timeout %v while answers take 150 ms", got)
 	}
 }
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -15,49 +15,49 @@
 
 const (
 	reportPath = "/place/report"
-	// reportLasts is how old a report may be that is passed on.
+	// reportMaxAge is the maximum age of a report that is sent to the cores.
 	reportMaxAge = 2 * time.Second
-	// wholeEvery is how often a core is given the whole report though it has what it needs.
-	// Why: whatever went wrong with the differences ends there.
+	// fullReportInterval is how often a core gets a full report although a difference would do.
+	// This bounds the effect of any error in the differences.
 	fullReportInterval = 10 * time.Second
-	// wholeRate is how many bytes a second whole reports may cost for one core, and wholeLatest how
-	// long they are put off for that. Why: in a large fleet a report is tens of KB, for each core.
+	// fullReportRate limits the bytes per second of full reports to one core, and fullReportMaxInterval
+	// bounds the delay that this causes. In a large fleet a full report is tens of KB, for each core.
 	fullReportRate        = 100
 	fullReportMaxInterval = time.Minute
-	// busyGap is the time between two reports to a core that has no time to spare.
+	// busyInterval is the minimum time between two rounds of reports while the relay is busy.
 	busyInterval = time.Second
 )
 
-// reports is what the cores have of this agent, by their addresses; it is used on
-// the actor of the reports only.
+// coreReports tracks what each core has received from this agent, by core address. It is used
+// on reportActor only.
 type coreReports struct {
 	acked    map[string]ackedReport
-	inFlight map[string]bool // cores that are being told: whether there was more to tell since
+	inFlight map[string]bool // cores with a report in flight; true if another became due meanwhile
 	relay    relayState
-	lastSent time.Duration // when the cores that are told first were told last
+	lastSent time.Duration // time of the last round of reports
 }
 
-// takenReport is the newest report that a core has taken.
+// ackedReport is the newest report that a core has acknowledged.
 type ackedReport struct {
 	report   report.Report
-	fullAt   time.Duration // when it was last given a whole one
-	fullLen  int           // bytes of that one
-	inflight bool          // it reads what is in flight as a difference too
+	fullAt   time.Duration // time of the last full report
+	fullLen  int           // its size in bytes
+	inflight bool          // the core supports differences of in-flight counts
 }
 
-// told is what became of a report that one core was told.
+// delivery is the outcome of sending a report to one core.
 type delivery struct {
 	reached bool
 	acked   bool
-	whole   int // bytes of the whole report that it was given; 0 is none
-	// inflight says that the core reads what is in flight as a difference.
+	whole   int // size of the full report that was sent; 0 if none
+	// inflight is set if the core supports differences of in-flight counts.
 	inflight bool
-	relayed  []uint32 // keys of the cores that it vouches for
-	busy     bool     // it has no time to spare
+	relayed  []uint32 // keys of the cores that it covers as relay
+	busy     bool     // it is short of processor time
 	took     time.Duration
 }
 
-// newest is the proxy's newest report, if it may still be passed on.
+// newestReport returns the proxy's newest report unless it is older than reportMaxAge.
 func (a *Agent) newestReport(now time.Duration) (report.Report, bool) {
 	l := a.latest.Load()
 	if l == nil || now-l.at > reportMaxAge {
@@ -68,9 +68,9 @@
 	return r, true
 }
 
-// report passes the proxy's report to every core, as the difference from what
-// the core has of it. In a large fleet one core passes it on, and only the cores that
-// this one does not vouch for are told from here.
+// report sends the proxy's report to every core, as the difference from what the core has
+// acknowledged. In a large fleet one core relays it, and only the cores that the relay does not
+// cover get it directly.
 func (a *Agent) report() {
 	now := a.env.Clock.Since()
 	r, ok := a.newestReport(now)
@@ -88,10 +88,9 @@
 	a.send(r, first, others, now)
 }
 
-// tell sends a report to some cores, and to the others too that the core which passes
-// reports on turns out not to vouch for. It waits for no answer: one core that is
-// silent must not keep from the rest that requests wait. A core that has not answered
-// the report before gets the newest when it has.
+// send sends a report to some cores, and then to those of others that the relay turns out not to
+// cover. It does not wait for answers: an unresponsive core must not delay reports about waiting
+// requests to the rest. A core with a report in flight gets the newest one after it has answered.
 func (a *Agent) send(r report.Report, cores, others []member.Node, now time.Duration) {
 	relay, within := a.reports.relay.core, a.reports.relay.timeout()
 	cores = a.reports.reserve(cores)
@@ -106,7 +105,7 @@
 	}
 }
 
-// answered notes what became of a report at a core.
+// onDelivery processes the outcome of a report to one core.
 func (a *Agent) onDelivery(r report.Report, core member.Node, got delivery, others []member.Node, at time.Duration) {
 	a.reports.record(core.Addr, r, got, at)
 	now := a.env.Clock.Since()
@@ -117,13 +116,13 @@
 	switch {
 	case !relays.isRelay(core):
 	case !got.reached:
-		a.log.Info("the core that passes reports on does not answer", "core", core.Name)
+		a.log.Info("relay core does not answer", "core", core.Name)
 		relays.avoid(core.Name, now)
 		a.send(r, relays.due(others, now), nil, now)
 	default:
 		relays.recordLatency(got.took)
 		relays.covered = got.relayed
-		// Why: the report that was just sent is as good as told where the last one got through.
+		// Cores that the relay reached with its previous report are assumed to get the one just sent too.
 		a.send(r, relays.uncovered(others, now), nil, now)
 	}
 	if !a.reports.release(core.Addr) {
@@ -134,8 +133,8 @@
 	}
 }
 
-// tellCore sends a report to one core, whole where the core cannot use the difference. The core that
-// passes it on is given so long to answer.
+// sendToCore sends a report to one core, and again in full if the core cannot apply the difference.
+// The relay has relayWithin to answer.
 func (a *Agent) sendToCore(ctx context.Context, r report.Report, core member.Node, b payload, relayWithin time.Duration) delivery {
 	within := callTimeout
 	if b.relay {
@@ -156,7 +155,7 @@
 		relayed: got.Relayed, busy: got.Busy}
 }
 
-// keep forgets cores that are gone.
+// prune drops the state of cores that are no longer live.
 func (r *coreReports) prune(cores []member.Node) {
 	live := map[string]bool{}
 	for _, c := range cores {
@@ -165,8 +164,8 @@
 	maps.DeleteFunc(r.acked, func(addr string, _ ackedReport) bool { return !live[addr] })
 }
 
-// free is those of some cores that are not being told anything; they are from now on. The
-// rest are told again when they have answered.
+// reserve returns those of some cores that have no report in flight and marks them as having one.
+// The rest are marked to get another report after they have answered.
 func (r *coreReports) reserve(cores []member.Node) []member.Node {
 	if r.inFlight == nil {
 		r.inFlight = map[string]bool{}
@@ -183,21 +182,21 @@
 	return out
 }
 
-// release ends that a core is being told, and says whether it was passed over meanwhile.
+// release marks a core's report as answered, and reports whether another became due meanwhile.
 func (r *coreReports) release(addr string) bool {
 	again := r.inFlight[addr]
 	delete(r.inFlight, addr)
 	return again
 }
 
-// note keeps what a core has taken.
+// record stores what a core has acknowledged.
 func (r *coreReports) record(addr string, latest report.Report, got delivery, now time.Duration) {
 	if r.acked == nil {
 		r.acked = map[string]ackedReport{}
 	}
 	before := r.acked[addr]
 	if !got.acked {
-		// Why: whether the core has it, or can read differences, is not known; the whole one settles that.
+		// It is unknown whether the core has the report or supports differences; a full report resolves both.
 		delete(r.acked, addr)
 		return
 	}
@@ -208,7 +207,7 @@
 	r.acked[addr] = before
 }
 
-// tellReport sends a packed report to one core.
+// callReport sends an encoded report to one core.
 func (a *Agent) callReport(ctx context.Context, addr string, packed cbor.RawMessage, within time.Duration) (report.Taken, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -221,27 +220,27 @@
 	return got, err
 }
 
-// body is a report as one core is sent it.
+// payload is a report as encoded for one core.
 type payload struct {
 	packed cbor.RawMessage
 	whole  bool
-	relay  bool // the core is asked to pass it on
+	relay  bool // the core is asked to relay it
 }
 
-// wholeGap is how long after a whole report of some bytes the next is due.
+// fullReportGap returns the time from a full report of the given size to the next.
 func fullReportGap(bytes int) time.Duration {
 	return min(max(fullReportInterval, time.Duration(bytes)*time.Second/fullReportRate), fullReportMaxInterval)
 }
 
-// variant is a form of a report: whole, or the difference from the one of a version.
+// reportForm identifies an encoding of a report: full, or the difference from a version.
 type reportForm struct {
-	version  uint64 // 0 is the whole report
-	inflight bool   // what is in flight is a difference too
-	relay    bool   // it is to be passed on
+	version  uint64 // base of the difference; 0 for a full report
+	inflight bool   // in-flight counts are a difference too
+	relay    bool   // the core is to relay it
 }
 
-// bodies packs a report for each core, once for all that are sent the same form of it;
-// relay is the name of the core that is asked to pass it on.
+// encodeAll encodes a report for each core, once for all that get the same form;
+// relay is the name of the core that is asked to relay it.
 func (r *coreReports) encodeAll(latest report.Report, cores []member.Node, relay string, now time.Duration) []payload {
 	packed := map[reportForm]cbor.RawMessage{}
 	out := make([]payload, len(cores))
@@ -260,7 +259,7 @@
 	return out
 }
 
-// pack packs a report for a core that has another, or none.
+// encode encodes a report for a core that has acknowledged base, or nothing.
 func encode(latest report.Report, base ackedReport) cbor.RawMessage {
 	switch {
 	case base.report.Version == 0:
--- a/internal/agent/report_test.go
+++ b/internal/agent/report_test.go
@@ -18,10 +18,10 @@
 	return r
 }
 
-// Each core gets the difference from what it has taken, and the whole report where
-// that is nothing, of another life of the proxy, or long ago.
+// Each core gets the difference from its acknowledged report, or a full report if it has
+// none, one of another proxy boot, or its last full report is too old.
 func TestEachCoreGetsDiffFromItsAckedReport(t *testing.T) {
-	cores := []member.Node{{Addr: "new"}, {Addr: "current"}, {Addr: "behind"}, {Addr: "other life"}, {Addr: "long ago"}}
+	cores := []member.Node{{Addr: "new"}, {Addr: "current"}, {Addr: "behind"}, {Addr: "other boot"}, {Addr: "long ago"}}
 	first := report.Report{Agent: "e", Boot: "b", Version: 1, Demand: map[string]uint64{"m1": 1, "m2": 1}}
 	second := report.Report{Agent: "e", Boot: "b", Version: 2, Demand: map[string]uint64{"m1": 2, "m2": 1}}
 	latest := report.Report{Agent: "e", Boot: "b", Version: 3, Demand: map[string]uint64{"m1": 2, "m2": 2}}
@@ -29,20 +29,20 @@
 	r := coreReports{acked: map[string]ackedReport{
 		"current":    {report: second, fullAt: now - time.Second},
 		"behind":     {report: first, fullAt: now - time.Second},
-		"other life": {report: report.Report{Agent: "e", Boot: "a", Version: 2}, fullAt: now},
+		"other boot": {report: report.Report{Agent: "e", Boot: "a", Version: 2}, fullAt: now},
 		"long ago":   {report: second, fullAt: now - fullReportInterval - 1},
 	}}
 	got := r.encodeAll(latest, cores, "", now)
 	for i, want := range []struct{ base, items int }{{0, 2}, {2, 1}, {1, 2}, {0, 2}, {0, 2}} {
 		d := decode(t, got[i])
 		if int(d.Base) != want.base || len(d.Demand) != want.items || got[i].whole != (want.base == 0) {
-			t.Errorf("%s: from %d with %d items, whole %t; want %+v", cores[i].Addr, d.Base, len(d.Demand), got[i].whole, want)
+			t.Errorf("%s: base %d, %d items, full %t; want %+v", cores[i].Addr, d.Base, len(d.Demand), got[i].whole, want)
 		}
 	}
 }
 
-// What is in flight goes as a difference only to cores that read it so; another
-// gets it whole in the difference, as before.
+// In-flight counts are sent as a difference only to cores that support it; other cores get
+// them in full within the difference.
 func TestInflightDiffsGoOnlyToCoresThatSupportThem(t *testing.T) {
 	flights := func(n int) map[string]map[string]int {
 		out := map[string]map[string]int{}
@@ -66,13 +66,13 @@
 	}{{true, 1}, {false, 10}, {false, 10}} {
 		d := decode(t, got[i])
 		if d.InflightSince != want.since || len(d.Inflight) != want.told {
-			t.Errorf("%s: difference %t with %d; want %+v", cores[i].Addr, d.InflightSince, len(d.Inflight), want)
+			t.Errorf("%s: in-flight difference %t with %d entries; want %+v", cores[i].Addr, d.InflightSince, len(d.Inflight), want)
 		}
 	}
 }
 
-// Whole reports that are small go to a core as often as ever; large ones are put
-// off, for a minute at most.
+// Small full reports are sent every fullReportInterval; larger ones less often, but at least
+// once a minute.
 func TestLargeFullReportsAreSentLessOften(t *testing.T) {
 	first := report.Report{Agent: "e", Boot: "b", Version: 1}
 	latest := report.Report{Agent: "e", Boot: "b", Version: 2}
@@ -91,31 +91,31 @@
 	} {
 		r := coreReports{acked: map[string]ackedReport{"core": {report: first, fullAt: now - c.after, fullLen: c.bytes}}}
 		if got := r.encodeAll(latest, []member.Node{{Addr: "core"}}, "", now)[0]; got.whole != c.whole {
-			t.Errorf("%d bytes, %v ago: whole %t", c.bytes, c.after, got.whole)
+			t.Errorf("%d bytes, %v ago: full report %t", c.bytes, c.after, got.whole)
 		}
 	}
 }
 
-// A core that has not answered is told nothing more, and again once it has if there was more to tell.
+// A core gets no further report while one is in flight, and the newest afterwards if one became due.
 func TestOneReportInFlightPerCore(t *testing.T) {
 	cores := []member.Node{{Addr: "1"}, {Addr: "2"}}
 	var r coreReports
 	if got := r.reserve(cores); len(got) != 2 {
-		t.Fatalf("%d cores are told at first", len(got))
+		t.Fatalf("%d cores get the first report, want 2", len(got))
 	}
 	if again := r.release("1"); again {
-		t.Error("told again, with nothing new")
+		t.Error("another report is due although nothing changed")
 	}
 	if got := r.reserve(cores); len(got) != 1 || got[0].Addr != "1" {
-		t.Errorf("%+v are told while core 2 is silent", got)
+		t.Errorf("reports go to %+v while one to core 2 is in flight", got)
 	}
 	if again := r.release("2"); !again {
-		t.Error("a core that was passed over is not told again")
+		t.Error("no further report is due for a core that was skipped")
 	}
 	if got := r.reserve(cores[1:]); len(got) != 1 {
-		t.Error("a core that has answered is told nothing")
+		t.Error("a core that has answered gets no report")
 	}
 	if again := r.release("2"); again {
-		t.Error("told once more")
+		t.Error("another report is due although nothing changed")
 	}
 }
