--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -94,11 +94,11 @@
 func (a *Agent) send(r report.Report, cores, others []member.Node, now time.Duration) {
 	relay, within := a.reports.relay.core, a.reports.relay.timeout()
 	cores = a.reports.reserve(cores)
-	bodies := a.reports.encodeAll(r, cores, relay, now)
+	payloads := a.reports.encodeAll(r, cores, relay, now)
 	for i, core := range cores {
 		a.group.Go(func(ctx context.Context) {
 			began := a.env.Clock.Since()
-			got := a.sendToCore(ctx, r, core, bodies[i], within)
+			got := a.sendToCore(ctx, r, core, payloads[i], within)
 			got.took = a.env.Clock.Since() - began
 			_ = a.reportActor.Ask(ctx, func() { a.onDelivery(r, core, got, others, now) })
 		})
--- a/internal/agent/report_test.go
+++ b/internal/agent/report_test.go
@@ -61,11 +61,11 @@
 	}}
 	got := r.encodeAll(latest, cores, "", now)
 	for i, want := range []struct {
-		since bool
-		told  int
+		since   bool
+		entries int
 	}{{true, 1}, {false, 10}, {false, 10}} {
 		d := decode(t, got[i])
-		if d.InflightSince != want.since || len(d.Inflight) != want.told {
+		if d.InflightSince != want.since || len(d.Inflight) != want.entries {
 			t.Errorf("%s: in-flight difference %t with %d entries; want %+v", cores[i].Addr, d.InflightSince, len(d.Inflight), want)
 		}
 	}
--- a/internal/core/announce.go
+++ b/internal/core/announce.go
@@ -11,7 +11,7 @@
 // announceWait bounds how long an acknowledgement waits for a configuration to be pushed.
 const announceWait = 700 * time.Millisecond
 
-// announce pushes a configuration to the first nodes of the gossip tree and waits until they
+// announce pushes a configuration to the nodes that distribute it and waits until they
 // have it, announceWait has passed or ctx ends. Nodes reached before the acknowledgement do not
 // depend on the timing of gossip; the others receive it by gossip.
 func (c *Core) announce(ctx context.Context, e gossip.Entry) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -267,10 +267,10 @@
 	c.owner.Stop(ctx)
 	c.members.Leave(ctx)
 	// Calls in flight are short; without this limit, draining would also wait for connections that carry no call.
-	within, cancel := context.WithTimeout(ctx, drainTimeout)
+	drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	for _, s := range c.servers {
-		_ = s.Drain(within)
+		_ = s.Drain(drainCtx)
 	}
 	return c.Kill()
 }
--- a/internal/core/preference.go
+++ b/internal/core/preference.go
@@ -19,7 +19,7 @@
 }
 
 // ranking returns the voters in order of preference for a slot. The first is the intended holder, chosen so that no
-// voter is to hold more than an equal part of the slots; the others follow in the order of their hashes. names must be
+// voter is to hold more than an equal part of the slots; the others follow by rendezvous hash. names must be
 // sorted, and callers must not modify the result.
 func (p *preference) ranking(slot int, names []string) []string {
 	p.mu.Lock()
