--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the API towards operators: configuration, status and
-// explanations over the goa design.
+// Package operator serves the operators' HTTP API: configuration, status, placement
+// explanations, rescue and logs, as defined by the goa design.
 package operator
 
 import (
@@ -19,7 +19,7 @@
 	"drumstall.example/internal/kernel/ring"
 )
 
-// Submission is a configuration on its way to its owner.
+// Submission is a configuration submitted by an operator, as it is forwarded to the owner of its key.
 type Submission struct {
 	Manner      string  `cbor:"1,keyasint"`
 	ContentType string  `cbor:"2,keyasint"`
@@ -27,7 +27,7 @@
 	IfMatch     *uint64 `cbor:"4,keyasint"`
 }
 
-// Submitted is what became of it.
+// Submitted is the outcome of a submission.
 type Submitted struct {
 	Serial uint64   `cbor:"1,keyasint"`
 	Sum    string   `cbor:"2,keyasint"`
@@ -35,13 +35,13 @@
 	Stale  bool     `cbor:"4,keyasint"`
 }
 
-// Errors that the control state may give with a submission.
+// Errors of the control state for a submission.
 var (
 	ErrNoQuorum       = errors.New("no quorum; nothing was kept")
 	ErrOutcomeUnknown = errors.New("it is not known whether it was kept; read it back")
 )
 
-// Control is what stands behind the API.
+// Control implements the operations behind the API.
 type Control interface {
 	Submit(ctx context.Context, s Submission) (Submitted, error)
 	Newest(ctx context.Context) (conf.Kept, bool, error)
@@ -55,7 +55,7 @@
 	logs    *ring.Ring
 }
 
-// NewHandler mounts the API on goa's muxer.
+// NewHandler returns a handler that serves the API on goa's muxer.
 func NewHandler(c Control, logs *ring.Ring) http.Handler {
 	mux := httpapi.NewMuxer()
 	s := server.New(gen.NewEndpoints(&service{c, logs}), mux, httpapi.Decoder, httpapi.Encoder, httpapi.Quiet, httpapi.Formatter)
