--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory knows which replicas the platform lists, and marks those
-// that leave. How the platform is asked is a Lister's matter.
+// Package inventory tracks the replicas that the platform lists and marks leaving
+// ones in the gossip table. A Lister implements the query to the platform.
 package inventory
 
 import (
@@ -24,7 +24,7 @@
 
 const (
 	listTimeout = 450 * time.Millisecond
-	// disbelief is for how long a list that is suddenly empty is not believed.
+	// emptyListGrace is how long a list that is suddenly empty is ignored.
 	emptyListGrace = time.Minute
 )
 
@@ -36,29 +36,29 @@
 	Model   bool              `cbor:"4,keyasint" json:"model"`
 	Labels  map[string]string `cbor:"5,keyasint" json:"labels"`
 	Leaving bool              `cbor:"6,keyasint" json:"leaving"`
-	Slots   int               `cbor:"7,keyasint,omitempty" json:"slots,omitempty"`  // requests it runs side by side, where the list says so
+	Slots   int               `cbor:"7,keyasint,omitempty" json:"slots,omitempty"`  // concurrent requests, where listed
 	LeftMs  int               `cbor:"8,keyasint,omitempty" json:"leftMs,omitempty"` // time until a leaving replica is gone, where known
 }
 
-// Target is the replica as those that talk to it need it.
+// Target returns the replica as a target for a backend client.
 func (l Listed) Target() backend.Target {
 	return backend.Target{ID: l.ID, Addr: l.Addr, Service: l.Labels["service"], Model: l.Model, Slots: l.Slots}
 }
 
-// Lister asks the platform for its list of replicas.
+// Lister queries the platform for its list of replicas.
 type Lister interface {
 	List(ctx context.Context) ([]Listed, error)
 	Close()
 }
 
-// native asks over the design's own API.
+// nativeLister queries the platform over the native API.
 type nativeLister struct {
 	addr string
 	http *http.Client
 	log  *slog.Logger
 }
 
-// NewLister asks the platform at an address over the design's own API.
+// NewLister returns a Lister that queries the platform at addr over the native API.
 func NewLister(n wire.Net, addr string, log *slog.Logger) Lister {
 	return &nativeLister{addr: addr, log: log, http: &http.Client{
 		Transport:     &http.Transport{DialContext: n.Dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second},
@@ -66,10 +66,10 @@
 	}}
 }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 func (l *nativeLister) Close() { l.http.CloseIdleConnections() }
 
-// List asks once.
+// List queries the platform once and drops invalid entries.
 func (l *nativeLister) List(ctx context.Context) ([]Listed, error) {
 	c := client.NewClient("http", l.addr, httpapi.Bounded{HTTP: l.http, Max: 16 << 20}, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := c.List()(ctx, nil)
@@ -79,7 +79,7 @@
 	var out []Listed
 	for _, r := range res.([]*platform.Listed) {
 		if r == nil || r.ID == "" || r.Addr == "" || r.Kind != "model" && r.Kind != "service" {
-			l.log.Warn("platform lists something that is no replica")
+			l.log.Warn("platform listed an invalid replica")
 			continue
 		}
 		out = append(out, Listed{ID: r.ID, Addr: r.Addr, Zone: r.Zone, Model: r.Kind == "model", Labels: r.Labels, Leaving: r.Leaving})
@@ -87,7 +87,7 @@
 	return out, nil
 }
 
-// Watch looks at the platform's list again and again.
+// Watcher polls the platform's list periodically and keeps the newest.
 type Watcher struct {
 	lister     Lister
 	clock      tick.Clock
@@ -96,11 +96,11 @@
 	list       atomic.Pointer[[]Listed]
 	contactAt  atomic.Int64
 	rounds     atomic.Int64
-	emptySince atomic.Int64 // since when it has listed nobody
+	emptySince atomic.Int64 // time of the first of the current empty lists; 0 without one
 }
 
-// NewWatch knows nobody; Start begins to ask. Why: others ask a watch how long ago
-// it heard the platform from their own start on.
+// NewWatcher returns a watcher with an empty list; Start begins polling. Creation and start are
+// separate since other parts use SinceContact from their own start on.
 func NewWatcher(lister Lister, clock tick.Clock, log *slog.Logger, t *gossip.Table) *Watcher {
 	w := &Watcher{lister: lister, clock: clock, log: log, gossip: t}
 	w.contactAt.Store(-1 << 62)
@@ -109,40 +109,41 @@
 	return w
 }
 
-// Start asks at once and at each interval while active says so; leaving marks go
-// into the gossip.
+// Start polls at once and at each interval while active returns true. Leaving replicas are marked
+// in the gossip table.
 func (w *Watcher) Start(g *run.Group, interval time.Duration, active func() bool) {
-	look := func(ctx context.Context) {
+	pollIfActive := func(ctx context.Context) {
 		if active() {
 			w.poll(ctx)
 		}
 	}
-	// Why: who has just started knows no replica, and need not wait for that.
-	g.Go(look)
-	g.Every(interval, look)
+	// A process that has just started knows no replicas and should not wait an interval for them.
+	g.Go(pollIfActive)
+	g.Every(interval, pollIfActive)
 }
 
-// Close lets go of idle connections.
+// Close closes the idle connections of the lister.
 func (w *Watcher) Close() { w.lister.Close() }
 
-// List is the newest list.
+// List returns the newest list.
 func (w *Watcher) List() []Listed { return *w.list.Load() }
 
-// HeardFor is how long ago the platform answered.
+// SinceContact returns the time since the start of the poll whose list was last accepted.
 func (w *Watcher) SinceContact() time.Duration {
 	return w.clock.Since() - time.Duration(w.contactAt.Load())
 }
 
-// Rounds counts answers taken.
+// Rounds returns the number of lists accepted.
 func (w *Watcher) Rounds() int64 { return w.rounds.Load() }
 
+// poll queries the platform once and stores the list.
 func (w *Watcher) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	asked := w.clock.Since()
 	out, err := w.lister.List(ctx)
 	if err != nil {
-		w.log.Debug("platform not heard", "error", err)
+		w.log.Debug("platform query failed", "error", err)
 		return
 	}
 	for _, one := range out {
@@ -150,12 +151,12 @@
 			MarkLeaving(w.gossip, one.ID)
 		}
 	}
-	// Why: a platform that has just lost its memory lists nobody; a whole fleet does not leave at once.
+	// A platform that has lost its state lists no replicas; a whole fleet does not leave at once.
 	if now := w.clock.Since(); len(out) > 0 || len(w.List()) == 0 {
 		w.emptySince.Store(0)
 	} else if since := w.emptySince.Load(); since == 0 {
 		w.emptySince.Store(int64(now))
-		w.log.Warn("platform lists nobody; the list before is kept for a minute")
+		w.log.Warn("platform lists no replicas; keeping the previous list for a minute")
 		return
 	} else if now-time.Duration(since) < emptyListGrace {
 		return
@@ -165,11 +166,11 @@
 	w.rounds.Add(1)
 }
 
-// MarkKey is the key of a replica's leaving mark in the gossip.
+// MarkKey returns the gossip key of a replica's leaving mark.
 func MarkKey(id string) string { return "mark/" + id }
 
-// Mark says in the gossip that a replica is leaving. A mark taken back has an
-// even version, one that stands an odd one, so two who learn of it say the same.
+// MarkLeaving marks a replica as leaving in the gossip table. An active mark has an odd version, a
+// removed one an even version, so nodes that set the same mark independently write the same entry.
 func MarkLeaving(t *gossip.Table, id string) {
 	s := t.StampOf(MarkKey(id))
 	if s.Version%2 == 0 {
@@ -177,8 +178,8 @@
 	}
 }
 
-// Unmark takes a mark back; only the replica's controller does so, once the
-// platform has listed the replica as staying for a while.
+// UnmarkLeaving removes a mark. Only the replica's controller does so, once the
+// platform has listed the replica as not leaving for a while.
 func UnmarkLeaving(t *gossip.Table, id string) {
 	s := t.StampOf(MarkKey(id))
 	if s.Version%2 == 1 {
@@ -186,5 +187,5 @@
 	}
 }
 
-// Marked says whether a replica is known to be leaving.
+// MarkedLeaving reports whether a replica is marked as leaving.
 func MarkedLeaving(t *gossip.Table, id string) bool { return t.StampOf(MarkKey(id)).Version%2 == 1 }
