--- a/internal/runbook/dayend.go
+++ b/internal/runbook/dayend.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// DayEnd reads the newest acknowledged configuration back from every core and
-// compares it, byte for byte, with what was sent last.
+// DayEnd returns a procedure that reads the newest acknowledged configuration back from every core
+// and compares it byte for byte with sent, the last one submitted; nil skips that comparison.
 func DayEnd(c Control, sent []byte) Procedure {
 	return Procedure{Name: "end-of-day read-back",
 		Check: func(s Status) (missing []string) {
@@ -23,8 +23,8 @@
 		}}
 }
 
-// readsBackAlike says whether every live core has the same submission, and sent
-// where that is given.
+// sameReadBack reports whether every live core returns the same submission, equal to sent
+// unless that is nil.
 func sameReadBack(ctx context.Context, c Control, s Status, sent []byte) (bool, string) {
 	first := ""
 	for _, m := range s.Members {
--- a/internal/runbook/http.go
+++ b/internal/runbook/http.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// HTTP is Control over the operators' interface of the cores.
+// HTTP implements Control over the operators' API of the cores.
 type HTTP struct {
 	Client *http.Client
 	Cores  []string
@@ -35,7 +35,7 @@
 	return res, b, err
 }
 
-// StatusOf one core.
+// StatusOf returns the status of one core.
 func (h HTTP) StatusOf(ctx context.Context, addr string) (Status, error) {
 	var s Status
 	_, b, err := h.call(ctx, http.MethodGet, addr, "/v1/status", nil)
@@ -45,7 +45,7 @@
 	return s, err
 }
 
-// Status of any core that answers; one that votes is preferred.
+// Status returns the status of any core that answers, preferring voters that see slots held.
 func (h HTTP) Status(ctx context.Context) (Status, error) {
 	var last error = errors.New("no cores given")
 	var some *Status
@@ -77,7 +77,7 @@
 			return nil
 		}
 		last = err
-		// Why: what may have been kept is looked at again, not sent twice.
+		// A change that may have been stored is not sent again; its effect has to be checked first.
 		if res != nil && res.Header.Get("Drumstall-Outcome") != "not-run" || res == nil && !strings.Contains(err.Error(), "refused") {
 			return err
 		}
@@ -85,7 +85,7 @@
 	return last
 }
 
-// ReadBack reads the newest submission.
+// ReadBack returns the newest submission.
 func (h HTTP) ReadBack(ctx context.Context, addr string) (serial, manner string, body []byte, err error) {
 	res, b, err := h.call(ctx, http.MethodGet, addr, "/v1/config", nil)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return strings.Trim(res.Header.Get("ETag"), `"`), res.Header.Get("Drumstall-Manner"), b, nil
 }
 
-// Rescue asks one core to go on alone.
+// Rescue makes one core the only voter.
 func (h HTTP) Rescue(ctx context.Context, addr string, lost []string, serial uint64) error {
 	b, err := json.Marshal(map[string]any{"lost": lost, "serial": serial})
 	if err != nil {
--- a/internal/runbook/replace.go
+++ b/internal/runbook/replace.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ReplaceCore gives the place of a lost core machine to an empty one.
+// ReplaceCore returns a procedure that replaces a lost core machine by an empty one.
 func ReplaceCore(name string) Procedure {
 	return Procedure{Name: "replace core machine " + name,
 		Check: func(s Status) (missing []string) {
--- a/internal/runbook/rescue.go
+++ b/internal/runbook/rescue.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Rescue makes one surviving core the only voter, after the disks of a
-// majority are lost for good. What only they had synced is lost.
+// Rescue returns a procedure that makes one surviving core the only voter after the disks of a
+// majority are lost for good. Records that only those disks had synced are lost.
 func Rescue(c Control, addr string, lost []string) Procedure {
 	return Procedure{Name: "rescue after quorum loss",
 		Check: func(s Status) []string { return rescueBlockers(s, lost) },
@@ -32,7 +32,7 @@
 		}}
 }
 
-// notLost says why the core that made the status should not go on alone.
+// rescueBlockers lists the reasons why the core that returned s must not become the only voter.
 func rescueBlockers(s Status, lost []string) (missing []string) {
 	if len(s.CoreMembers.Cores) == 1 && s.CoreMembers.Cores[0].Name == s.Core {
 		return nil
--- a/internal/runbook/roll.go
+++ b/internal/runbook/roll.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Roll waits while every process comes to run a build, cores first and one at a time.
+// Roll returns a procedure that waits until every process runs a build, cores first and one at a time.
 func Roll(s Status, build string) Procedure {
-	b := Procedure{Name: "roll build " + build, Check: func(s Status) (missing []string) {
+	p := Procedure{Name: "roll build " + build, Check: func(s Status) (missing []string) {
 		if n := len(s.healthyCores()); n < len(s.CoreMembers.Cores) {
 			missing = append(missing, fmt.Sprintf("%d of %d cores are alive and vote; bring all back before one is stopped on purpose", n, len(s.CoreMembers.Cores)))
 		}
@@ -25,7 +25,7 @@
 		}
 	}
 	for _, name := range names {
-		b.Steps = append(b.Steps, Step{Name: name + " runs it", Hint: "stop " + name + " (SIGTERM) and start it with the new build; on an edge the proxy too",
+		p.Steps = append(p.Steps, Step{Name: name + " runs it", Hint: "stop " + name + " (SIGTERM) and start it with the new build; on an edge the proxy too",
 			Done: func(_ context.Context, s Status) (bool, string) {
 				m, found := s.Member(name)
 				switch {
@@ -42,5 +42,5 @@
 				return isSettled(s)
 			}})
 	}
-	return b
+	return p
 }
--- a/internal/runbook/runbook.go
+++ b/internal/runbook/runbook.go
@@ -1,11 +1,11 @@
-// Package runbook holds the operators' runbooks as programs: each checks its
-// precondition before anything changes, shows every step, and finds done what
-// an earlier run has done.
+// Package runbook implements the operators' runbooks as programs: each checks its
+// precondition before it changes anything, prints every step, and skips steps that
+// an earlier run has completed.
 //
-// The operators' client runs them, over HTTP; the simulations run them over the
-// same interface. A runbook knows only what the cores' status says. It never
-// changes anything while its precondition does not hold, never starts or stops a
-// process itself, and keeps nothing between runs.
+// The operators' client runs them over HTTP; the simulations run them over the
+// same interface. A runbook relies only on the status of the cores. It changes
+// nothing unless its precondition holds, never starts or stops a
+// process itself, and keeps no state between runs.
 package runbook
 
 import (
@@ -22,57 +22,57 @@
 	"drumstall.example/internal/kernel/run"
 )
 
-// ErrPrecondition is given when nothing was changed because something is missing.
+// ErrPrecondition is returned when a precondition does not hold and nothing was changed.
 var ErrPrecondition = errors.New("precondition")
 
 // Step is one step of a runbook.
 type Step struct {
 	Name string
-	// Done says whether the step's aim is reached, and what is still missing.
+	// Done reports whether the step is complete, and otherwise what is still missing.
 	Done func(ctx context.Context, s Status) (bool, string)
-	// Do changes something; nil: somebody else does, and the runbook waits.
+	// Do makes the change; if nil, the operator makes it and the runbook waits.
 	Do func(ctx context.Context) error
-	// Hint tells the operator what to do where Do is nil.
+	// Hint is printed to the operator while the step waits; it says what to do where Do is nil.
 	Hint string
 }
 
-// Book is a runbook made out for one case.
+// Procedure is a runbook with the parameters of one case.
 type Procedure struct {
 	Name  string
 	Check func(s Status) []string // what is missing, and what to do about it
 	Steps []Step
 }
 
-// Control is what a runbook works through: the operators' interface of the cores.
-// Errors are those of the way there and refusals by the core, with its words.
+// Control is the operators' interface of the cores, as runbooks use it.
+// Errors are transport errors, or refusals with the text that the core returned.
 type Control interface {
-	// Status of any core that answers.
+	// Status returns the status of any core that answers.
 	Status(ctx context.Context) (Status, error)
-	// StatusOf one core's operator address.
+	// StatusOf returns the status of the core with the operator address addr.
 	StatusOf(ctx context.Context, addr string) (Status, error)
-	// Patch sends a partial configuration.
+	// Patch submits a partial configuration.
 	Patch(ctx context.Context, body []byte) error
-	// ReadBack gives the newest submission as one core has it; serial is its version.
+	// ReadBack returns the newest submission as one core reads it; serial is its version.
 	ReadBack(ctx context.Context, addr string) (serial, manner string, body []byte, err error)
 	// Rescue makes the core at addr the only voter, if its core membership has the version serial.
 	Rescue(ctx context.Context, addr string, lost []string, serial uint64) error
 }
 
-// Run carries a book out and shows each step on out. Each step may take up to
-// limit. ErrPrecondition says that nothing was changed; after any other error it
-// may be run again.
-func Run(ctx context.Context, c Control, b Procedure, limit time.Duration, out io.Writer) error {
+// Run executes a procedure and prints each step to out. Each step may take up to
+// limit. ErrPrecondition means that nothing was changed; after any other error the
+// procedure may be run again.
+func Run(ctx context.Context, c Control, p Procedure, limit time.Duration, out io.Writer) error {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return errors.Wrapf(ErrPrecondition, "no core answers: %v; give --cores the operator address of a running core", err)
 	}
-	fmt.Fprintf(out, "runbook %s\n", b.Name)
-	if missing := unmetPreconditions(ctx, c, b, s); len(missing) > 0 {
+	fmt.Fprintf(out, "runbook %s\n", p.Name)
+	if missing := unmetPreconditions(ctx, c, p, s); len(missing) > 0 {
 		return errors.Wrap(ErrPrecondition, "nothing was changed\n  "+strings.Join(missing, "\n  "))
 	}
 	fmt.Fprintln(out, "  precondition holds")
-	for i, st := range b.Steps {
-		fmt.Fprintf(out, "  %d/%d %s\n", i+1, len(b.Steps), st.Name)
+	for i, st := range p.Steps {
+		fmt.Fprintf(out, "  %d/%d %s\n", i+1, len(p.Steps), st.Name)
 		if err := runStep(ctx, c, st, limit, out); err != nil {
 			return errors.Wrapf(err, "step %d (%s); run it again to go on from here", i+1, st.Name)
 		}
@@ -82,27 +82,27 @@
 }
 
 const (
-	// checkFor is how long a precondition may be missed before a runbook refuses: a slot that goes from one core to
-	// another is held by nobody for a moment.
+	// preconditionTimeout is how long a precondition may fail before a runbook refuses: during a handover
+	// between cores a slot briefly has no holder.
 	preconditionTimeout = 3 * time.Second
-	// lookEvery is the time between two looks at the status.
+	// pollInterval is the time between two queries of the status.
 	pollInterval = 500 * time.Millisecond
 )
 
-// stillMissing is what a book's precondition lacks, by a status and by those of the next few seconds.
-func unmetPreconditions(ctx context.Context, c Control, b Procedure, s Status) []string {
+// unmetPreconditions returns what the precondition lacks after waiting up to preconditionTimeout for it to hold.
+func unmetPreconditions(ctx context.Context, c Control, p Procedure, s Status) []string {
 	ctx, cancel := context.WithTimeout(ctx, preconditionTimeout)
 	defer cancel()
-	missing := b.Check(s)
+	missing := p.Check(s)
 	for len(missing) > 0 && run.Wait(ctx, pollInterval) {
 		if now, err := c.Status(ctx); err == nil {
-			missing = b.Check(now)
+			missing = p.Check(now)
 		}
 	}
 	return missing
 }
 
-// step does one step and waits until its aim is reached.
+// runStep executes one step and waits until it is complete.
 func runStep(ctx context.Context, c Control, st Step, limit time.Duration, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -121,7 +121,7 @@
 		} else {
 			what = "no core answers"
 		}
-		// Why: a look that the limit cut short says nothing of what was waited for.
+		// A status query that the limit cut short does not describe the condition waited for, so the last one is reported.
 		if ctx.Err() != nil && said != "" {
 			return errors.Errorf("gave up: %s", said)
 		}
@@ -146,10 +146,10 @@
 	}
 }
 
-// slots is how many there are in the control state.
+// slotCount is the number of slots in the control state.
 const slotCount = 16
 
-// quiet says whether every slot is held and every edge up to date, and what is missing.
+// isSettled reports whether every slot is held and every edge up to date, and otherwise what is missing.
 func isSettled(s Status) (bool, string) {
 	switch {
 	case s.held() < slotCount:
@@ -160,12 +160,12 @@
 	return true, ""
 }
 
-// settled is the step that waits until the system is quiet.
+// settledStep returns a step that waits until isSettled holds.
 func settledStep() Step {
 	return Step{Name: "every slot is held and every edge up to date", Done: func(_ context.Context, s Status) (bool, string) { return isSettled(s) }}
 }
 
-// claimsMet says whether all claims are met, and names the first that is not.
+// claimsMet reports whether all claims are met, and otherwise names the first that is not.
 func claimsMet(s Status) (bool, string) {
 	for _, k := range slices.Sorted(maps.Keys(s.ClaimsUnmet)) {
 		return false, k + ": " + s.ClaimsUnmet[k]
@@ -173,7 +173,7 @@
 	return true, ""
 }
 
-// slotsMissing is the precondition that every slot is held.
+// requireAllSlots is the precondition that every slot is held.
 func requireAllSlots(s Status) []string {
 	if s.held() < slotCount {
 		return []string{"not every slot is held; wait until dsctl status shows all"}
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// moving is a control whose status shows every slot held from an instant on.
+// delayedControl is a Control whose status shows every slot held from heldFrom on, and one slot less before.
 type delayedControl struct {
 	Control
 	heldFrom time.Time
@@ -35,7 +35,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			err := Run(t.Context(), delayedControl{heldFrom: time.Now().Add(c.heldAfter)}, Procedure{Name: "test", Check: requireAllSlots}, time.Minute, io.Discard)
 			if errors.Is(err, ErrPrecondition) != c.refused {
-				t.Errorf("every slot is held after %v: %v", c.heldAfter, err)
+				t.Errorf("every slot is held after %v: unexpected result: %v", c.heldAfter, err)
 			}
 		})
 	}
--- a/internal/runbook/status.go
+++ b/internal/runbook/status.go
@@ -37,14 +37,14 @@
 	Name, Role, Zone, Addr, State, Phase, Operator, Build string
 }
 
-// there says whether a node is alive; a core must have answered while the
-// status was made. Why: one that just died is thought to be alive for some seconds more.
+// isAlive reports whether a node is alive. A core must also have answered while the status
+// was collected, since one that just crashed is considered alive for some seconds more.
 func (s Status) isAlive(m Member) bool {
 	_, answered := s.Slots[m.Name]
 	return m.State == "alive" && (m.Role != "core" || answered)
 }
 
-// Member finds a node by name.
+// Member returns the node with the given name.
 func (s Status) Member(name string) (Member, bool) {
 	for _, m := range s.Members {
 		if m.Name == name {
@@ -54,7 +54,7 @@
 	return Member{}, false
 }
 
-// inSet says whether a core of this name is a voter.
+// isVoter reports whether the core set has a core of this name.
 func (s Status) isVoter(name string) bool {
 	for _, c := range s.CoreMembers.Cores {
 		if c.Name == name {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// held counts the slots that somebody holds.
+// held returns the number of slots that have a holder.
 func (s Status) held() int {
 	n := 0
 	for _, h := range s.Slots {
@@ -73,10 +73,10 @@
 	return n
 }
 
-// quorum is how many voters make a majority.
+// quorum returns the number of voters in a majority.
 func (s Status) quorum() int { return len(s.CoreMembers.Cores)/2 + 1 }
 
-// healthyCores lists the live voters.
+// healthyCores returns the names of the live voters.
 func (s Status) healthyCores() []string {
 	var out []string
 	for _, m := range s.Members {
--- a/internal/runbook/takeover.go
+++ b/internal/runbook/takeover.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// TakeOver follows replicas that have been labelled until all count of them are in use.
+// TakeOver returns a procedure that waits until count replicas with matching labels are in use.
 func TakeOver(matches func(labels map[string]string) bool, selector string, count int) Procedure {
 	return Procedure{Name: fmt.Sprintf("take over %d replicas with %s", count, selector),
 		Check: func(s Status) (missing []string) {
--- a/internal/runbook/zone.go
+++ b/internal/runbook/zone.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// DrainZone takes a zone's replicas out of use, so that its machines may be stopped.
+// DrainZone returns a procedure that takes a zone's replicas out of use, so that its machines may be stopped.
 func DrainZone(c Control, zone string) Procedure {
 	inZone := func(s Status) (ids []string) {
 		for _, r := range s.Replicas {
@@ -40,7 +40,7 @@
 		}}
 }
 
-// neededIn says why a zone cannot be done without just now.
+// drainBlockers lists the reasons why a zone cannot be drained now.
 func drainBlockers(s Status, zone string) (missing []string) {
 	rest, cores := 0, 0
 	for _, r := range s.Replicas {
@@ -62,7 +62,7 @@
 	return missing
 }
 
-// UndrainZone brings a zone back into use.
+// UndrainZone returns a procedure that brings a zone back into use.
 func UndrainZone(c Control, zone string) Procedure {
 	return Procedure{Name: "bring back zone " + zone,
 		Check: requireAllSlots,
