--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -56,7 +56,7 @@
 	group        *run.Group
 	base         *run.Group
 	gossip       *gossip.Table
-	spread       *gossip.Spreader
+	spread       *gossip.Disseminator
 	members      *member.Table
 	watch        *inventory.Watcher
 	caller       *wire.Caller
@@ -66,7 +66,7 @@
 	servers      []*wire.Server
 	confirmed    atomic.Bool
 	confirmation confirmation
-	touch        *touch.Keeper
+	touch        *touch.Tracker
 	latest       atomic.Pointer[receivedReport]
 	feedReport   atomic.Pointer[report.Report] // the last report received in an exchange
 	reports      coreReports
@@ -109,11 +109,11 @@
 		_, _ = ln.Close(), pc.Close()
 		return nil, errors.Wrap(err, "agent: feed address")
 	}
-	a.gossip.OnNew(a.onGossip)
+	a.gossip.OnUpdate(a.onGossip)
 	a.post = wire.NewPost(pc)
 	self := member.Node{Name: s.Name, Role: member.RoleAgent, Zone: s.Zone, Addr: s.Addr, Boot: a.boot, Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), Build: env.BuildName()}
 	a.members = member.New(a.group, env.Clock, a.log, a.post, a.caller, a.mux, self, s.Seeds, a.touch)
-	a.spread = gossip.NewSpreader(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
+	a.spread = gossip.NewDisseminator(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
 	a.watch.Start(a.group, s.Cadence.List, a.pollsPlatform)
 	wire.Handle(a.feedMux, feed.Path, a.exchange)
 	wire.Handle(a.feedMux, feed.UrgentPath, a.handleUrgent)
@@ -131,7 +131,7 @@
 
 // pollsPlatform reports whether this agent queries the platform's list itself.
 func (a *Agent) pollsPlatform() bool {
-	return a.s.Cadence.ListSpare == 0 || a.touch.For() > a.s.Cadence.ListSpare
+	return a.s.Cadence.ListSpare == 0 || a.touch.SinceContact() > a.s.Cadence.ListSpare
 }
 
 // gossipTree returns the tree along which this agent gossips in a large fleet.
@@ -140,7 +140,7 @@
 }
 
 // Reseed replaces the seed addresses.
-func (a *Agent) Reseed(seeds []string) { a.members.Reseed(seeds) }
+func (a *Agent) Reseed(seeds []string) { a.members.SetSeeds(seeds) }
 
 // Stop shuts down cleanly: it waits until the proxy is quiet, leaves the cluster and drains the servers.
 func (a *Agent) Stop(ctx context.Context) error {
@@ -187,10 +187,10 @@
 }
 
 // handleUrgent stores a report and sends it to the cores at once.
-func (a *Agent) handleUrgent(_ context.Context, r report.Report) (feed.Taken, error) {
+func (a *Agent) handleUrgent(_ context.Context, r report.Report) (feed.UrgentReply, error) {
 	a.storeReport(r)
 	a.urgentNudge.Now()
-	return feed.Taken{}, nil
+	return feed.UrgentReply{}, nil
 }
 
 // storeReport records r as the proxy's newest report.
@@ -200,13 +200,13 @@
 }
 
 // exchange handles one exchange with the proxy.
-func (a *Agent) exchange(ctx context.Context, up feed.Up) (feed.Down, error) {
+func (a *Agent) exchange(ctx context.Context, up feed.Request) (feed.Reply, error) {
 	a.lastExchange.Store(int64(a.env.Clock.Since()))
 	for _, e := range up.Entries {
 		a.gossip.Put(e)
 	}
 	if len(up.Peers) > 0 {
-		a.members.Meet(up.Peers[:min(len(up.Peers), maxPeers)])
+		a.members.SetPreviousPeers(up.Peers[:min(len(up.Peers), maxPeers)])
 	}
 	// A proxy that kept running has applied the newest configuration of this machine, so with that one here nothing is rolled back.
 	if up.Confirmed && !up.Conf.Newer(a.gossip.StampOf(conf.Key)) {
@@ -218,18 +218,18 @@
 	if up.AgentBoot == a.boot {
 		a.awaitGossip(ctx, up)
 	}
-	d := feed.Down{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), HeardMs: min(a.touch.For().Milliseconds()+1, 1<<40),
+	d := feed.Reply{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), SinceContactMs: min(a.touch.SinceContact().Milliseconds()+1, 1<<40),
 		Edges: len(a.members.Live(member.RoleAgent)), Agent: a.s.Name, Zone: a.s.Zone}
 	if fed := a.feedReport.Load(); fed != nil && fed.Boot == up.Boot {
-		d.Holds = fed.Version
+		d.ReportVersion = fed.Version
 	}
 	peers := a.members.Peers()
 	d.Peers = peers[:min(len(peers), maxPeers)]
 	cursor := up.Cursor
 	if up.AgentBoot != a.boot {
-		cursor, d.WantAll = 0, true
+		cursor, d.SendAll = 0, true
 	}
-	d.Entries, d.Cursor, _ = a.gossip.After(cursor)
+	d.Entries, d.Cursor, _ = a.gossip.Since(cursor)
 	return d, nil
 }
 
@@ -242,7 +242,7 @@
 	if fed := a.feedReport.Load(); fed != nil {
 		base = *fed
 	}
-	whole, ok := r.On(base)
+	whole, ok := r.ApplyTo(base)
 	if !ok {
 		a.feedReport.Store(nil)
 		return
@@ -252,12 +252,12 @@
 }
 
 // awaitGossip delays an answer until there are new gossip entries, the requested hold time has passed or ctx ends.
-func (a *Agent) awaitGossip(ctx context.Context, up feed.Up) {
-	hold := min(time.Duration(up.HoldMs)*time.Millisecond, maxHold)
+func (a *Agent) awaitGossip(ctx context.Context, up feed.Request) {
+	hold := min(time.Duration(up.MaxWaitMs)*time.Millisecond, maxHold)
 	if hold <= 0 {
 		return
 	}
-	fresh, _, changed := a.gossip.After(up.Cursor)
+	fresh, _, changed := a.gossip.Since(up.Cursor)
 	if len(fresh) == 0 {
 		run.WaitOn(ctx, changed, hold)
 	}
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -80,7 +80,7 @@
 	}
 	c.known, c.newest, c.core = true, got.Entry.Stamp, asked
 	// A core of an earlier version answers with the document.
-	if got.Found && !got.Entry.Head {
+	if got.Found && !got.Entry.ValueOmitted {
 		a.gossip.Put(got.Entry)
 	}
 }
@@ -93,7 +93,7 @@
 
 // nearestFirst rotates cores so that this agent's core in the gossip tree comes first.
 func nearestFirst(self member.Node, cores []member.Node) []member.Node {
-	first := fanout.CoreOf(self, cores)
+	first := fanout.AssignedCore(self, cores)
 	at := max(0, slices.IndexFunc(cores, func(n member.Node) bool { return n.Name == first }))
 	return slices.Concat(cores[at:], cores[:at])
 }
--- a/internal/agent/feed_report_test.go
+++ b/internal/agent/feed_report_test.go
@@ -26,7 +26,7 @@
 			now.Demand["m"+strconv.Itoa(rnd.IntN(5))]++
 			sent := now
 			if base.Version != 0 {
-				sent = now.Since(base)
+				sent = now.DeltaFrom(base)
 			}
 			switch rnd.IntN(10) {
 			case 0: // the agent restarted
@@ -56,7 +56,7 @@
 	first := report.Report{Boot: "b", Version: 1, Demand: map[string]uint64{"m": 7}}
 	a.mergeFeedReport(first)
 	other := report.Report{Boot: "c", Version: 2}
-	a.mergeFeedReport(other.Since(report.Report{Boot: "c", Version: 1}))
+	a.mergeFeedReport(other.DeltaFrom(report.Report{Boot: "c", Version: 1}))
 	if a.feedReport.Load() != nil || a.latest.Load().r.Version != 1 {
 		t.Errorf("a difference from an unknown base was applied: %+v", a.latest.Load().r)
 	}
--- a/internal/agent/relays.go
+++ b/internal/agent/relays.go
@@ -46,7 +46,7 @@
 	}
 	core := ""
 	if isLarge(nodes) {
-		core = fanout.CoreOf(self, r.eligible(nodes))
+		core = fanout.AssignedCore(self, r.eligible(nodes))
 	}
 	if core != r.core {
 		r.core, r.covered, r.since = core, nil, now
@@ -58,11 +58,11 @@
 func isLarge(nodes []member.Node) bool {
 	live := 0
 	for _, n := range nodes {
-		if n.Thought() {
+		if n.PresumedAlive() {
 			live++
 		}
 	}
-	return live > gossip.AllTold
+	return live > gossip.MaxDirectPeers
 }
 
 // eligible returns the cores that may be used as relay.
@@ -114,7 +114,7 @@
 	}
 	var out []member.Node
 	for _, c := range cores {
-		if !slices.Contains(r.covered, relay.Key(c.Name)) {
+		if !slices.Contains(r.covered, relay.CoreKey(c.Name)) {
 			out = append(out, c)
 		}
 	}
--- a/internal/agent/relays_test.go
+++ b/internal/agent/relays_test.go
@@ -37,10 +37,10 @@
 // core while that one is not alive or has not answered.
 func TestRelayCoreSelection(t *testing.T) {
 	var r relayState
-	if got := r.choose(self, fleet(gossip.AllTold), 0); got != "" {
+	if got := r.choose(self, fleet(gossip.MaxDirectPeers), 0); got != "" {
 		t.Errorf("relay %q in a small fleet, want none", got)
 	}
-	large := fleet(gossip.AllTold + 1)
+	large := fleet(gossip.MaxDirectPeers + 1)
 	if got := r.choose(self, large, 0); got != "core-1" {
 		t.Errorf("relay %q, want the core of the own zone", got)
 	}
@@ -66,7 +66,7 @@
 
 // Every core that the current relay does not cover gets direct reports.
 func TestUncoveredCoresGetDirectReports(t *testing.T) {
-	large := fleet(gossip.AllTold + 1)
+	large := fleet(gossip.MaxDirectPeers + 1)
 	cores := large[:3]
 	var r relayState
 	check := func(when, got, want string) {
@@ -84,7 +84,7 @@
 	check("before the relay can cover others", names(r.uncovered(others, now+relayGrace-1)), "")
 	now += relayGrace
 	check("when none is covered", names(r.uncovered(others, now)), "23")
-	r.covered = []uint32{relay.Key("core-2"), relay.Key("core-3")}
+	r.covered = []uint32{relay.CoreKey("core-2"), relay.CoreKey("core-3")}
 	check("when all are", names(r.uncovered(others, now+directInterval)), "")
 	r.covered = r.covered[:1]
 	check("when core-3 is not, a moment later", names(r.uncovered(others, now+directInterval-1)), "")
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -64,7 +64,7 @@
 		return report.Report{}, false
 	}
 	r := l.r
-	r.AgentBoot, r.Order = a.boot, l.order
+	r.AgentBoot, r.Sequence = a.boot, l.order
 	return r, true
 }
 
@@ -145,14 +145,14 @@
 	if b.whole {
 		whole = len(b.packed)
 	}
-	if err == nil && got.Whole {
-		r.Relay = b.relay
+	if err == nil && got.NeedsFullReport {
+		r.RelayRequested = b.relay
 		packed := wire.Pack(r)
 		whole = len(packed)
 		got, err = a.callReport(ctx, core.Addr, packed, within)
 	}
-	return delivery{reached: err == nil, acked: err == nil && !got.Whole && got.Differences, whole: whole, inflight: got.InflightDifferences,
-		relayed: got.Relayed, busy: got.Busy}
+	return delivery{reached: err == nil, acked: err == nil && !got.NeedsFullReport && got.SupportsDeltas, whole: whole, inflight: got.SupportsInflightDeltas,
+		relayed: got.RelayedTo, busy: got.Busy}
 }
 
 // prune drops the state of cores that are no longer live.
@@ -208,14 +208,14 @@
 }
 
 // callReport sends an encoded report to one core.
-func (a *Agent) callReport(ctx context.Context, addr string, packed cbor.RawMessage, within time.Duration) (report.Taken, error) {
+func (a *Agent) callReport(ctx context.Context, addr string, packed cbor.RawMessage, within time.Duration) (report.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	asked := a.env.Clock.Since()
-	got, err := wire.Call[cbor.RawMessage, report.Taken](ctx, a.caller, addr, reportPath, packed)
+	got, err := wire.Call[cbor.RawMessage, report.Response](ctx, a.caller, addr, reportPath, packed)
 	if err == nil {
-		a.touch.Told(asked, got.Touch)
-		a.spread.Fetch(addr, conf.Key, got.Conf)
+		a.touch.Observe(asked, got.ContactAge)
+		a.spread.Fetch(addr, conf.Key, got.ConfigStamp)
 	}
 	return got, err
 }
@@ -251,7 +251,7 @@
 		}
 		form := reportForm{version: base.report.Version, inflight: base.inflight, relay: c.Name == relay}
 		if _, done := packed[form]; !done {
-			latest.Relay = form.relay
+			latest.RelayRequested = form.relay
 			packed[form] = encode(latest, base)
 		}
 		out[i] = payload{packed: packed[form], whole: form.version == 0, relay: form.relay}
@@ -265,7 +265,7 @@
 	case base.report.Version == 0:
 		return wire.Pack(latest)
 	case base.inflight:
-		return wire.Pack(latest.SinceInflight(base.report))
+		return wire.Pack(latest.DeltaWithInflight(base.report))
 	}
-	return wire.Pack(latest.Since(base.report))
+	return wire.Pack(latest.DeltaFrom(base.report))
 }
--- a/internal/agent/report_test.go
+++ b/internal/agent/report_test.go
@@ -65,8 +65,8 @@
 		entries int
 	}{{true, 1}, {false, 10}, {false, 10}} {
 		d := decode(t, got[i])
-		if d.InflightSince != want.since || len(d.Inflight) != want.entries {
-			t.Errorf("%s: in-flight difference %t with %d entries; want %+v", cores[i].Addr, d.InflightSince, len(d.Inflight), want)
+		if d.InflightIsDelta != want.since || len(d.Inflight) != want.entries {
+			t.Errorf("%s: in-flight difference %t with %d entries; want %+v", cores[i].Addr, d.InflightIsDelta, len(d.Inflight), want)
 		}
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -66,11 +66,11 @@
 func (c *Core) submit(ctx context.Context, s operator.Submission) (operator.Submitted, error) {
 	var out operator.Submitted
 	errStop := errors.New("refused")
-	change := conf.Change{Manner: s.Manner, ContentType: s.ContentType, Body: s.Body, IfMatch: s.IfMatch}
+	change := conf.Change{Mode: s.Manner, ContentType: s.ContentType, Body: s.Body, IfMatch: s.IfMatch}
 	began := time.Now()
 	var effective *conf.Effective
 	rec, err := c.owner.Update(ctx, conf.Key, func(old state.Record, found bool) ([]byte, error) {
-		var was conf.Kept
+		var was conf.Stored
 		if found {
 			var err error
 			if was, err = conf.Unpack(old.Value); err != nil {
@@ -78,7 +78,7 @@
 			}
 		}
 		got, err := was.Apply(change)
-		var faults conf.Faults
+		var faults conf.ValidationErrors
 		switch {
 		case errors.As(err, &faults):
 			out = operator.Submitted{Faults: faults}
@@ -88,12 +88,12 @@
 		case got.Stale:
 			out = operator.Submitted{Stale: true, Serial: was.Serial}
 			return nil, errStop
-		case got.Again:
-			out = operator.Submitted{Serial: was.Serial, Sum: change.Sum()}
+		case got.Duplicate:
+			out = operator.Submitted{Serial: was.Serial, Sum: change.BodyDigest()}
 			return nil, errStop
 		}
-		out, effective = operator.Submitted{Serial: got.Kept.Serial, Sum: change.Sum()}, got.Effective
-		return got.Kept.Pack(), nil
+		out, effective = operator.Submitted{Serial: got.Stored.Serial, Sum: change.BodyDigest()}, got.Effective
+		return got.Stored.Pack(), nil
 	})
 	if errors.Is(err, errStop) {
 		return out, nil
@@ -117,7 +117,7 @@
 	}
 	entry := gossip.Entry{Key: rec.Key, Stamp: rec.Stamp, Value: rec.Value}
 	if q.StampOnly {
-		entry.Value, entry.Head = nil, true
+		entry.Value, entry.ValueOmitted = nil, true
 	}
 	return Newest{Found: true, Entry: entry}, nil
 }
@@ -151,15 +151,15 @@
 }
 
 // Newest reads the newest acknowledged configuration.
-func (c *Core) Newest(ctx context.Context) (conf.Kept, bool, error) {
+func (c *Core) Newest(ctx context.Context) (conf.Stored, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	n, err := c.newestStamp.Ask(ctx)
-	if err == nil && n.Found && n.Entry.Head {
+	if err == nil && n.Found && n.Entry.ValueOmitted {
 		n, err = c.document(ctx, n)
 	}
 	if err != nil || !n.Found {
-		return conf.Kept{}, false, err
+		return conf.Stored{}, false, err
 	}
 	k, err := conf.Unpack(n.Entry.Value)
 	return k, err == nil, err
--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -24,7 +24,7 @@
 
 // grant requests permission for a load from the rate limiter of the weight store.
 func (c *Core) grant(ctx context.Context, l order.GrantRequest) (time.Duration, bool) {
-	g, err := callOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.Who, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
+	g, err := callOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.LoadID, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
 	return time.Duration(g.WaitMs) * time.Millisecond, err == nil && g.Granted
 }
 
@@ -88,7 +88,7 @@
 		g := c.group.Child()
 		c.controllers[id] = &controlled{group: g, controller: order.NewController(g, order.Deps{Clock: c.env.Clock, Log: c.log, Self: c.s.Name, Boot: c.boot,
 			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.owner, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, PredictedRequests: c.planner.PredictedRequests,
-			Others: c.views.Statuses, LiveAgents: c.liveAgents, PlatformAge: c.watch.SinceContact, Grant: c.grant, Afloat: c.reportOutstanding}, l)}
+			Statuses: c.views.Statuses, LiveAgents: c.liveAgents, PlatformAge: c.watch.SinceContact, Grant: c.grant, ReportOutstanding: c.reportOutstanding}, l)}
 	}
 	snap := map[string]*order.Controller{}
 	for id, one := range c.controllers {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -94,9 +94,9 @@
 	owner               *owner.Owner
 	coreSet             *coremembers.Manager
 	members             *member.Table
-	touch               *touch.Keeper
+	touch               *touch.Tracker
 	gossip              *gossip.Table
-	spread              *gossip.Spreader
+	spread              *gossip.Disseminator
 	planner             *plan.Planner
 	reports             *report.Table
 	relay               *relay.Relay
@@ -188,27 +188,27 @@
 	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acceptor.DiskID(),
 		Phase: string(c.acceptor.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
-	c.readBackoff = conf.ReadingRest()
+	c.readBackoff = conf.ReadBackoff()
 	c.confNudge = run.NewNudge(run.NewActor(c.group, 4, confReadInterval, c.applyConf), c.applyConf)
-	c.gossip.OnNew(c.onGossip)
+	c.gossip.OnUpdate(c.onGossip)
 	c.views = plan.NewStatusCache(c.gossip)
-	c.spread = gossip.NewSpreader(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
+	c.spread = gossip.NewDisseminator(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
 	c.acceptor.Serve(c.mux)
 	ownQuarantine := s.Bounds.Lease
-	if c.replicas.Traits().KnowsByName {
+	if c.replicas.Traits().IdentifiesControllerByName {
 		ownQuarantine = 0
 	}
 	c.owner = owner.New(owner.Deps{Self: c.self, Group: c.group, Clock: env.Clock, Log: c.log, Caller: c.caller, Acceptor: c.acceptor,
-		Addr: c.addrOf, Rank: c.voters, Behind: func(v state.Core) { c.coreSet.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, OwnQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnTake: c.onSlotAcquired})
+		Addr: c.addrOf, Rank: c.voters, OnVoterBehind: func(v state.Core) { c.coreSet.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, RestartQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnAcquire: c.onSlotAcquired})
 	c.lag = load.NewLag(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.owner, Gossip: c.gossip,
-		Reports: c.reports, Conf: c.effective, Views: c.views.Statuses, Ask: c.consider, AskAll: c.considerAll, Tell: c.sharePredictions, Busy: c.lag.Busy})
-	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
-		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Taken, error) {
-			return wire.CallLarge[relay.Taken](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
+		Reports: c.reports, Conf: c.effective, Statuses: c.views.Statuses, Consider: c.consider, ConsiderAll: c.considerAll, SharePredictions: c.sharePredictions, Busy: c.lag.Busy})
+	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, LatestReport: c.reports.Get,
+		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Response, error) {
+			return wire.CallLarge[relay.Response](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
 		}, Busy: c.lag.Busy})
-	c.coreSet = coremembers.New(coremembers.Deps{Self: c.self, Want: s.Cores, InitialAddrs: s.InitialAddrs, MayBootstrap: s.MayBootstrap, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
-		Acceptor: c.acceptor, Owner: c.owner, Live: c.liveCores, Addr: c.addrOf, Gone: c.absence, SinceContact: c.sinceContact}, c.mux)
+	c.coreSet = coremembers.New(coremembers.Deps{Self: c.self, FormationSize: s.Cores, InitialAddrs: s.InitialAddrs, MayBootstrap: s.MayBootstrap, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
+		Acceptor: c.acceptor, Owner: c.owner, Live: c.liveCores, Addr: c.addrOf, Absence: c.absence, SinceContact: c.sinceContact}, c.mux)
 	c.watch.Start(c.group, s.Cadence.List, func() bool { return true })
 	c.newestStamp = flight.New(c.group, func(ctx context.Context) (Newest, error) {
 		ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
@@ -259,7 +259,7 @@
 }
 
 // Reseed replaces the seed addresses.
-func (c *Core) Reseed(seeds []string) { c.members.Reseed(seeds) }
+func (c *Core) Reseed(seeds []string) { c.members.SetSeeds(seeds) }
 
 // Stop shuts down cleanly: it hands over the slots, leaves the cluster, drains the servers and closes everything.
 func (c *Core) Stop(ctx context.Context) error {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -23,7 +23,7 @@
 			if n.Disk != v.DiskID {
 				return "", false
 			}
-			return n.Addr, n.Thought()
+			return n.Addr, n.PresumedAlive()
 		}
 	}
 	return v.Addr, v.Addr != ""
@@ -57,7 +57,7 @@
 		if n.Role != member.RoleCore || n.Name != v.Name || n.Disk != v.DiskID {
 			continue
 		}
-		if n.Thought() {
+		if n.PresumedAlive() {
 			return false, 0
 		}
 		return n.State == member.Left, c.sinceContact(v)
@@ -67,12 +67,12 @@
 
 // sinceContact returns the time since a voter last answered this core.
 func (c *Core) sinceContact(v state.Core) time.Duration {
-	return min(c.members.HeardFor(v.Name), c.owner.SinceLastGrant(v))
+	return min(c.members.SinceLastAck(v.Name), c.owner.SinceLastGrant(v))
 }
 
 // gossipTree returns the tree along which this core gossips in a large fleet.
 func (c *Core) gossipTree() gossip.Tree {
-	return fanout.View{Self: c.members.Self(), Nodes: c.members.Nodes(), HeardFor: c.members.HeardFor}.Tree()
+	return fanout.View{Self: c.members.Self(), Nodes: c.members.Nodes(), SinceLastAck: c.members.SinceLastAck}.Tree()
 }
 
 // otherCores returns the live cores except this one.
@@ -96,10 +96,10 @@
 	var ago []time.Duration
 	for _, v := range st.Set.Cores {
 		if !v.SameVoter(c.self()) {
-			ago = append(ago, min(c.members.HeardFor(v.Name), c.owner.SinceLastGrant(v)))
+			ago = append(ago, min(c.members.SinceLastAck(v.Name), c.owner.SinceLastGrant(v)))
 		}
 	}
-	return touch.Most(st.Set.Quorum(), ago)
+	return touch.QuorumAge(st.Set.Quorum(), ago)
 }
 
 // liveAgents returns the names of the live agents.
--- a/internal/core/serve.go
+++ b/internal/core/serve.go
@@ -49,23 +49,23 @@
 		return empty{}, c.planner.MergePredictions(ctx, s)
 	})
 	wire.Handle(c.mux, "/place/report", c.handleReport)
-	wire.HandleLarge(c.mux, relay.Path, func(ctx context.Context, b relay.Batch) (relay.Taken, error) {
-		return relay.Take(ctx, b, c.planner.ApplyReports)
+	wire.HandleLarge(c.mux, relay.Path, func(ctx context.Context, b relay.Batch) (relay.Response, error) {
+		return relay.Apply(ctx, b, c.planner.ApplyReports)
 	})
 }
 
 // handleReport applies a report that an agent sent directly.
-func (c *Core) handleReport(ctx context.Context, r report.Report) (report.Taken, error) {
+func (c *Core) handleReport(ctx context.Context, r report.Report) (report.Response, error) {
 	// The contact word predates this report; what changes from here on goes into the next answer.
-	taken := report.Taken{Touch: c.touch.Word(), Differences: true, InflightDifferences: true, Conf: c.gossip.StampOf(conf.Key), Busy: c.lag.Busy()}
+	taken := report.Response{ContactAge: c.touch.Age(), SupportsDeltas: true, SupportsInflightDeltas: true, ConfigStamp: c.gossip.StampOf(conf.Key), Busy: c.lag.Busy()}
 	outcome, err := c.planner.ApplyReport(ctx, r)
 	if err != nil {
 		return taken, err
 	}
-	if outcome == report.NoBase {
-		taken.Whole = true
+	if outcome == report.MissingBase {
+		taken.NeedsFullReport = true
 		return taken, nil
 	}
-	taken.Relayed, err = c.relay.Reported(ctx, r)
+	taken.RelayedTo, err = c.relay.OnReport(ctx, r)
 	return taken, err
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -100,7 +100,7 @@
 	tenants := tenantSums{}
 	serial, agents := c.serial.Load(), c.liveAgents()
 	for name, r := range c.reports.All() {
-		e := edge{Conf: r.Conf, Lags: r.Conf < serial, HeardMs: (now - r.At).Milliseconds(), Serving: r.Serving}
+		e := edge{Conf: r.ConfigSerial, Lags: r.ConfigSerial < serial, HeardMs: (now - r.At).Milliseconds(), Serving: r.Serving}
 		if e.Lags && agents[name] {
 			laggards = append(laggards, name)
 		}
--- a/internal/core/tenants.go
+++ b/internal/core/tenants.go
@@ -32,10 +32,10 @@
 			s[name] = sum
 		}
 		sum.Share = t.Share
-		sum.Prefixes += t.Kept
-		sum.Evicted += t.Evicted
-		sum.Tokens += t.Tokens
-		sum.WarmTokens += t.Warm
+		sum.Prefixes += t.CachedPrefixes
+		sum.Evicted += t.EvictedPrefixes
+		sum.Tokens += t.PromptTokens
+		sum.WarmTokens += t.WarmTokens
 		if t.Bulk {
 			sum.BulkAtEdges++
 		}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -183,7 +183,7 @@
 func UnmarkLeaving(t *gossip.Table, id string) {
 	s := t.StampOf(MarkKey(id))
 	if s.Version%2 == 1 {
-		t.Put(gossip.Entry{Key: MarkKey(id), Stamp: state.Stamp{Version: s.Version + 1}, Gone: true})
+		t.Put(gossip.Entry{Key: MarkKey(id), Stamp: state.Stamp{Version: s.Version + 1}, Deleted: true})
 	}
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -44,7 +44,7 @@
 // Control implements the operations behind the API.
 type Control interface {
 	Submit(ctx context.Context, s Submission) (Submitted, error)
-	Newest(ctx context.Context) (conf.Kept, bool, error)
+	Newest(ctx context.Context) (conf.Stored, bool, error)
 	Status(ctx context.Context) any
 	Explain(ctx context.Context, model string) any
 	Rescue(ctx context.Context, lost []string, serial uint64) (any, error)
@@ -124,7 +124,7 @@
 	if !found {
 		return nil, nil, refusal("missing", "no configuration was ever kept", "ran", "", nil)
 	}
-	res := &gen.GetResult{Serial: formatSerial(k.Serial), ContentType: "application/json", Manner: k.Manner}
+	res := &gen.GetResult{Serial: formatSerial(k.Serial), ContentType: "application/json", Manner: k.Mode}
 	var b []byte
 	switch p.What {
 	case "submission":
@@ -133,9 +133,9 @@
 			res.ContentType = k.ContentType
 		}
 	case "effective":
-		b = conf.Rendered(k)
+		b = conf.RenderJSON(k)
 	default:
-		if b, found = k.Sent[p.What]; found {
+		if b, found = k.Originals[p.What]; found {
 			break
 		}
 		if b, found = k.Objects[p.What]; !found {
--- a/internal/place/order/poll.go
+++ b/internal/place/order/poll.go
@@ -24,10 +24,10 @@
 			v.CapacityMib = s.CapacityMib
 		}
 		if v.AdapterPlaces == 0 {
-			v.AdapterPlaces = s.AdapterPlaces
+			v.AdapterPlaces = s.MaxAdapters
 		}
 		if v.Slots == 0 {
-			v.Slots = s.Slots
+			v.Slots = s.MaxInFlight
 		}
 	}
 }
@@ -70,7 +70,7 @@
 // outcomeUnknownFor returns how long after its order a load that no report shows counts
 // as carried out.
 func (c *Controller) outcomeUnknownFor(e *entry) time.Duration {
-	if c.traits.TellsBusy && !e.unanswered && !e.inherited {
+	if c.traits.ReportsBusy && !e.unanswered && !e.inherited {
 		return c.traits.ReportLag + outcomeMargin
 	}
 	return outcomeTimeout
--- a/internal/sim/fleet/process.go
+++ b/internal/sim/fleet/process.go
@@ -48,7 +48,7 @@
 
 // StartProxy starts the proxy of an edge.
 func (f *Fleet) StartProxy(n *Node) {
-	p, err := proxy.Start(proxy.Settings{Name: n.Name, Zone: n.Zone, Callers: n.IP + ":8080", Agent: n.IP + ":7002", Platform: platformAddr, Cadence: f.D.Cadence}, f.env(n, 2))
+	p, err := proxy.Start(proxy.Settings{Name: n.Name, Zone: n.Zone, CallerAddr: n.IP + ":8080", Agent: n.IP + ":7002", Platform: platformAddr, Cadence: f.D.Cadence}, f.env(n, 2))
 	if err != nil {
 		f.T.Fatalf("%s: %v", n.Name, err)
 	}
