--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent puts a dsagent together: the link to the control plane beside
-// each proxy.
+// Package agent assembles the dsagent process, which keeps the control link of the
+// proxy on the same machine.
 package agent
 
 import (
@@ -26,15 +26,15 @@
 )
 
 const (
-	limit    = time.Second
-	maxPeers = 16
-	// maxHold bounds how long a proxy may have its answer held back.
+	callTimeout = time.Second
+	maxPeers    = 16
+	// maxHold bounds how long an exchange may wait for changes before it is answered.
 	maxHold = 500 * time.Millisecond
-	// lingerGap is how long a stopping agent must not have been asked by its proxy before it goes.
-	lingerGap = time.Second
+	// proxyIdleTime is the time without an exchange after which a stopping agent exits.
+	proxyIdleTime = time.Second
 )
 
-// Settings of an agent.
+// Settings configures an agent.
 type Settings struct {
 	Name     string
 	Zone     string
@@ -44,48 +44,48 @@
 	Platform string
 	Bounds   bounds.Bounds
 	Cadence  bounds.Cadence
-	Lister   inventory.Lister // nil asks Platform over the design's own API
+	Lister   inventory.Lister // nil queries Platform over the native API
 }
 
 // Agent is a running dsagent.
 type Agent struct {
-	s         Settings
-	env       core.Env
-	log       *slog.Logger
-	boot      string
-	group     *run.Group
-	base      *run.Group
-	gossip    *gossip.Table
-	spread    *gossip.Disseminator
-	members   *member.Table
-	watch     *inventory.Watch
-	caller    *wire.Caller
-	mux       *wire.Mux
-	feedMux   *wire.Mux
-	post      *wire.Post
-	servers   []*wire.Server
-	confirmed atomic.Bool
-	confirms  confirmation
-	touch     *touch.Tracker
-	latest    atomic.Pointer[dated]
-	fed       atomic.Pointer[report.Report] // the last report that came with an exchange
-	reports   reports
-	reporting *run.Actor    // of the reports
-	order     atomic.Uint64 // of reports
-	asked     atomic.Int64  // when the proxy asked last, on our clock
-	urgent    *run.Nudge
+	s            Settings
+	env          core.Env
+	log          *slog.Logger
+	boot         string
+	group        *run.Group
+	base         *run.Group
+	gossip       *gossip.Table
+	spread       *gossip.Disseminator
+	members      *member.Table
+	watch        *inventory.Watcher
+	caller       *wire.Caller
+	mux          *wire.Mux
+	feedMux      *wire.Mux
+	post         *wire.Post
+	servers      []*wire.Server
+	confirmed    atomic.Bool
+	confirmation confirmation
+	touch        *touch.Tracker
+	latest       atomic.Pointer[receivedReport]
+	feedReport   atomic.Pointer[report.Report] // the last report received in an exchange
+	reports      coreReports
+	reportActor  *run.Actor    // runs report and owns reports
+	reportSeq    atomic.Uint64 // sequence number of the newest report
+	lastExchange atomic.Int64  // time of the last exchange, by the local clock
+	urgentNudge  *run.Nudge
 }
 
-// dated is a report of the proxy, when it came, and which it was of all that did.
-type dated struct {
+// receivedReport is a report of the proxy with its time of arrival and sequence number.
+type receivedReport struct {
 	r     report.Report
 	at    time.Duration
 	order uint64
 }
 
-// Start begins to take part.
+// Start opens the listeners and joins the cluster.
 func Start(s Settings, env core.Env) (*Agent, error) {
-	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), base: run.NewGroup(context.Background()),
+	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBootID(), base: run.NewGroup(context.Background()),
 		gossip: gossip.NewTable(), caller: wire.NewCaller(env.Net), mux: wire.NewMux(), feedMux: wire.NewMux()}
 	a.group = a.base.Child()
 	a.s.Bounds, a.s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
@@ -93,8 +93,8 @@
 	if s.Lister == nil {
 		s.Lister = inventory.NewLister(env.Net, s.Platform, a.log)
 	}
-	a.watch = inventory.NewWatch(s.Lister, env.Clock, a.log, a.gossip)
-	a.touch = touch.New(env.Clock, func() time.Duration { return a.watch.HeardFor() })
+	a.watch = inventory.NewWatcher(s.Lister, env.Clock, a.log, a.gossip)
+	a.touch = touch.New(env.Clock, func() time.Duration { return a.watch.SinceContact() })
 	ln, err := env.Net.Listen(s.Addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "agent: peers' address")
@@ -114,11 +114,11 @@
 	self := member.Node{Name: s.Name, Role: member.RoleAgent, Zone: s.Zone, Addr: s.Addr, Boot: a.boot, Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), Build: env.BuildName()}
 	a.members = member.New(a.group, env.Clock, a.log, a.post, a.caller, a.mux, self, s.Seeds, a.touch)
 	a.spread = gossip.NewDisseminator(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
-	a.watch.Start(a.group, s.Cadence.List, a.asksPlatform)
+	a.watch.Start(a.group, s.Cadence.List, a.pollsPlatform)
 	wire.Handle(a.feedMux, feed.Path, a.exchange)
-	wire.Handle(a.feedMux, feed.UrgentPath, a.takeUrgent)
-	a.reporting = run.NewActor(a.group, 32, s.Cadence.Report, a.report)
-	a.urgent = run.NewNudge(a.reporting, a.report)
+	wire.Handle(a.feedMux, feed.UrgentPath, a.handleUrgent)
+	a.reportActor = run.NewActor(a.group, 32, s.Cadence.Report, a.report)
+	a.urgentNudge = run.NewNudge(a.reportActor, a.report)
 	a.group.Every(confirmInterval, a.confirm)
 	load.Watch(a.group, a.log, a.mux.Served, a.feedMux.Served, a.post.Served)
 	a.base.Go(a.post.Run)
@@ -129,23 +129,23 @@
 	return a, nil
 }
 
-// asksPlatform says whether this agent asks for the list itself.
-func (a *Agent) asksPlatform() bool {
+// pollsPlatform reports whether this agent queries the platform's list itself.
+func (a *Agent) pollsPlatform() bool {
 	return a.s.Cadence.ListSpare == 0 || a.touch.SinceContact() > a.s.Cadence.ListSpare
 }
 
-// gossipTree is whom this agent tells its news in a large fleet.
+// gossipTree returns the tree along which this agent gossips in a large fleet.
 func (a *Agent) gossipTree() gossip.Tree {
 	return fanout.View{Self: a.members.Self(), Nodes: a.members.Nodes()}.Tree()
 }
 
-// Reseed names other seeds.
+// Reseed replaces the seed addresses.
 func (a *Agent) Reseed(seeds []string) { a.members.SetSeeds(seeds) }
 
-// Stop leaves on purpose.
+// Stop shuts down cleanly: it waits until the proxy is quiet, leaves the cluster and drains the servers.
 func (a *Agent) Stop(ctx context.Context) error {
-	// Why: a proxy that is stopped with us still needs to hear what is in force while it finishes.
-	for a.env.Clock.Since()-time.Duration(a.asked.Load()) < lingerGap && run.Wait(ctx, lingerGap/10) {
+	// A proxy that is stopped together with this agent still needs current state while it drains.
+	for a.env.Clock.Since()-time.Duration(a.lastExchange.Load()) < proxyIdleTime && run.Wait(ctx, proxyIdleTime/10) {
 	}
 	a.members.Leave(ctx)
 	for _, s := range a.servers {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// Kill ends at once.
+// Kill stops at once, without leaving the cluster.
 func (a *Agent) Kill() {
 	a.post.Close()
 	for _, s := range a.servers {
@@ -167,59 +167,60 @@
 	a.watch.Close()
 }
 
-// Sent counts what this agent has sent: calls, bytes in them, datagrams.
+// Sent returns the calls, bytes in calls and datagrams that this agent has sent.
 func (a *Agent) Sent() (calls, bytes, grams int64) {
 	calls, bytes = a.caller.Sent()
 	return calls, bytes, a.post.Sent()
 }
 
-// Freeze and Thaw are for simulations.
+// Freeze pauses the agent until Thaw; simulations use it.
 func (a *Agent) Freeze() { a.base.Freeze() }
 
-// Thaw ends a freeze.
+// Thaw resumes a frozen agent.
 func (a *Agent) Thaw() { a.base.Thaw() }
 
-// onGossip logs when a configuration has come.
+// onGossip logs the arrival of a configuration.
 func (a *Agent) onGossip(e gossip.Entry) {
 	if e.Key == conf.Key {
 		a.log.Info("configuration learned", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "bytes", len(e.Value))
 	}
 }
 
-// takeUrgent passes a report on at once.
-func (a *Agent) takeUrgent(_ context.Context, r report.Report) (feed.UrgentReply, error) {
-	a.keepReport(r)
-	a.urgent.Now()
+// handleUrgent stores a report and sends it to the cores at once.
+func (a *Agent) handleUrgent(_ context.Context, r report.Report) (feed.UrgentReply, error) {
+	a.storeReport(r)
+	a.urgentNudge.Now()
 	return feed.UrgentReply{}, nil
 }
 
-func (a *Agent) keepReport(r report.Report) {
+// storeReport records r as the proxy's newest report.
+func (a *Agent) storeReport(r report.Report) {
 	r.Agent, r.Zone = a.s.Name, a.s.Zone
-	a.latest.Store(&dated{r, a.env.Clock.Since(), a.order.Add(1)})
+	a.latest.Store(&receivedReport{r, a.env.Clock.Since(), a.reportSeq.Add(1)})
 }
 
-// exchange answers the proxy.
+// exchange handles one exchange with the proxy.
 func (a *Agent) exchange(ctx context.Context, up feed.Request) (feed.Reply, error) {
-	a.asked.Store(int64(a.env.Clock.Since()))
+	a.lastExchange.Store(int64(a.env.Clock.Since()))
 	for _, e := range up.Entries {
 		a.gossip.Put(e)
 	}
 	if len(up.Peers) > 0 {
 		a.members.SetPreviousPeers(up.Peers[:min(len(up.Peers), maxPeers)])
 	}
-	// Why: a surviving proxy has in force what this machine had; with that here, nothing goes back.
+	// A proxy that kept running has applied the newest configuration of this machine, so with that one here nothing is rolled back.
 	if up.Confirmed && !up.Conf.Newer(a.gossip.StampOf(conf.Key)) {
 		a.confirmed.Store(true)
 	}
 	if !up.NoReport {
-		a.takeFed(up.Report)
+		a.mergeFeedReport(up.Report)
 	}
 	if up.AgentBoot == a.boot {
 		a.awaitGossip(ctx, up)
 	}
 	d := feed.Reply{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), SinceContactMs: min(a.touch.SinceContact().Milliseconds()+1, 1<<40),
 		Edges: len(a.members.Live(member.RoleAgent)), Agent: a.s.Name, Zone: a.s.Zone}
-	if fed := a.fed.Load(); fed != nil && fed.Boot == up.Boot {
+	if fed := a.feedReport.Load(); fed != nil && fed.Boot == up.Boot {
 		d.ReportVersion = fed.Version
 	}
 	peers := a.members.Peers()
@@ -232,25 +233,25 @@
 	return d, nil
 }
 
-// takeFed takes a report that came with an exchange, whole or as the difference
-// from the one before. What it cannot be laid on is asked for again by what the answer
-// says is held.
-func (a *Agent) takeFed(r report.Report) {
+// mergeFeedReport stores a report received in an exchange, full or as a difference from the
+// previous one. If the base is missing, the stored report is dropped; the answer then names no
+// held version, which makes the proxy send a full report.
+func (a *Agent) mergeFeedReport(r report.Report) {
 	r.Agent = a.s.Name
 	var base report.Report
-	if fed := a.fed.Load(); fed != nil {
+	if fed := a.feedReport.Load(); fed != nil {
 		base = *fed
 	}
 	whole, ok := r.ApplyTo(base)
 	if !ok {
-		a.fed.Store(nil)
+		a.feedReport.Store(nil)
 		return
 	}
-	a.fed.Store(&whole)
-	a.keepReport(whole)
+	a.feedReport.Store(&whole)
+	a.storeReport(whole)
 }
 
-// awaitGossip holds an answer back until there is something to tell.
+// awaitGossip delays an answer until there are new gossip entries, the requested hold time has passed or ctx ends.
 func (a *Agent) awaitGossip(ctx context.Context, up feed.Request) {
 	hold := min(time.Duration(up.MaxWaitMs)*time.Millisecond, maxHold)
 	if hold <= 0 {
--- a/internal/agent/fed_test.go
+++ b/internal/agent/feed_report_test.go
@@ -12,9 +12,9 @@
 	"drumstall.example/internal/place/report"
 )
 
-// Whatever a proxy sends, whole reports or differences from what it was told that the
-// agent holds, the agent has the newest whole report, or says that it holds none.
-func TestDifferencesFromTheProxyMakeTheWholeReport(t *testing.T) {
+// Guards against a wrong report after any sequence of full reports and differences, with lost
+// messages and agent restarts: the agent holds the newest full report, or none.
+func TestFeedReportDiffsRebuildFullReport(t *testing.T) {
 	for seed := range uint64(100) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		a := &Agent{s: Settings{Name: "e", Zone: "z"}, env: core.Env{Clock: tick.Machine()}}
@@ -29,14 +29,14 @@
 				sent = now.DeltaFrom(base)
 			}
 			switch rnd.IntN(10) {
-			case 0: // another agent in its place
-				a.fed.Store(nil)
-			case 1: // lost on the way
+			case 0: // the agent restarted
+				a.feedReport.Store(nil)
+			case 1: // the report is lost
 				base = report.Report{}
 				continue
 			}
-			a.takeFed(sent)
-			held := a.fed.Load()
+			a.mergeFeedReport(sent)
+			held := a.feedReport.Load()
 			if sent.Base != 0 && held == nil {
 				base = report.Report{}
 				continue
@@ -44,20 +44,20 @@
 			if !reflect.DeepEqual(*held, now) || !reflect.DeepEqual(a.latest.Load().r, now) {
 				t.Fatalf("seed %d: held %+v, want %+v", seed, *held, now)
 			}
-			if base = now; rnd.IntN(10) == 0 { // its answer was lost
+			if base = now; rnd.IntN(10) == 0 { // the answer is lost
 				base = report.Report{}
 			}
 		}
 	}
 }
 
-func TestADifferenceFromAnotherLifeOfTheProxyIsNotTaken(t *testing.T) {
+func TestDiffFromAnotherProxyBootIsRejected(t *testing.T) {
 	a := &Agent{s: Settings{Name: "e"}, env: core.Env{Clock: tick.Machine()}}
 	first := report.Report{Boot: "b", Version: 1, Demand: map[string]uint64{"m": 7}}
-	a.takeFed(first)
+	a.mergeFeedReport(first)
 	other := report.Report{Boot: "c", Version: 2}
-	a.takeFed(other.DeltaFrom(report.Report{Boot: "c", Version: 1}))
-	if a.fed.Load() != nil || a.latest.Load().r.Version != 1 {
-		t.Errorf("held %+v", a.latest.Load().r)
+	a.mergeFeedReport(other.DeltaFrom(report.Report{Boot: "c", Version: 1}))
+	if a.feedReport.Load() != nil || a.latest.Load().r.Version != 1 {
+		t.Errorf("a difference from an unknown base was applied: %+v", a.latest.Load().r)
 	}
 }
--- a/internal/core/tenants_test.go
+++ b/internal/core/tenants_test.go
@@ -6,7 +6,7 @@
 	"drumstall.example/internal/place/report"
 )
 
-func TestFiguresOfTenantsAreSummedOverEdges(t *testing.T) {
+func TestTenantFiguresAreSummedOverEdges(t *testing.T) {
 	s := tenantSums{}
 	s.add(map[string]report.Tenant{"a": {Share: 3, CachedPrefixes: 10, EvictedPrefixes: 1, PromptTokens: 100, WarmTokens: 50, Bulk: true}, "b": {Share: 1}})
 	s.add(map[string]report.Tenant{"a": {Share: 3, CachedPrefixes: 5, EvictedPrefixes: 2, PromptTokens: 300, WarmTokens: 250}})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -101,7 +101,7 @@
 	budget           *attempt.Budget
 	replicas         backend.Client
 	caller           *wire.Caller
-	watch            *inventory.Watch
+	watch            *inventory.Watcher
 	servers          []*wire.Server
 	reports          atomic.Uint64 // version of the last report
 	urgentReport     *run.Nudge
@@ -127,7 +127,7 @@
 // Start starts a proxy. It opens all its addresses or returns an error.
 func Start(s Settings, env core.Env) (*Proxy, error) {
 	s.Bounds, s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
-	p := &Proxy{settings: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), rootGroup: run.NewGroup(context.Background()),
+	p := &Proxy{settings: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBootID(), rootGroup: run.NewGroup(context.Background()),
 		gossip: gossip.NewTable(), budget: attempt.NewBudget(s.Bounds.Retry.Ratio), replicas: s.Replicas,
 		caller: wire.NewCaller(env.Net), demand: map[string]uint64{}}
 	p.group = p.rootGroup.Child()
@@ -143,8 +143,8 @@
 		s.Lister = inventory.NewLister(env.Net, s.Platform, p.log)
 	}
 	p.edgeCount.Store(initialEdgeCount)
-	p.watch = inventory.NewWatch(s.Lister, env.Clock, p.log, p.gossip)
-	p.contact = touch.New(env.Clock, func() time.Duration { return p.watch.HeardFor() })
+	p.watch = inventory.NewWatcher(s.Lister, env.Clock, p.log, p.gossip)
+	p.contact = touch.New(env.Clock, func() time.Duration { return p.watch.SinceContact() })
 	p.agentSeenAt.Store(-1 << 62)
 	p.agentFirstSeenAt.Store(-1 << 62)
 	p.peers.Store(&[]string{})
--- a/internal/runbook/roll.go
+++ b/internal/runbook/roll.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// Roll waits while every process comes to run a build, cores first and one at a time.
-func Roll(s Status, build string) Book {
-	b := Book{Name: "roll build " + build, Check: func(s Status) (missing []string) {
+// Roll returns a procedure that waits until every process runs a build, cores first and one at a time.
+func Roll(s Status, build string) Procedure {
+	p := Procedure{Name: "roll build " + build, Check: func(s Status) (missing []string) {
 		if n := len(s.healthyCores()); n < len(s.CoreMembers.Cores) {
 			missing = append(missing, fmt.Sprintf("%d of %d cores are alive and vote; bring all back before one is stopped on purpose", n, len(s.CoreMembers.Cores)))
 		}
-		if ok, why := quiet(s); !ok {
+		if ok, why := isSettled(s); !ok {
 			missing = append(missing, why+"; wait until it is so")
 		}
 		return missing
@@ -25,11 +25,11 @@
 		}
 	}
 	for _, name := range names {
-		b.Steps = append(b.Steps, Step{Name: name + " runs it", Hint: "stop " + name + " (SIGTERM) and start it with the new build; on an edge the proxy too",
+		p.Steps = append(p.Steps, Step{Name: name + " runs it", Hint: "stop " + name + " (SIGTERM) and start it with the new build; on an edge the proxy too",
 			Done: func(_ context.Context, s Status) (bool, string) {
 				m, found := s.Member(name)
 				switch {
-				case !found || !s.there(m):
+				case !found || !s.isAlive(m):
 					return false, name + " is not there"
 				case m.Build != build:
 					return false, name + " runs build " + m.Build
@@ -39,8 +39,8 @@
 				if e, edge := s.Edges[name]; edge && !e.Serving {
 					return false, name + " does not serve yet"
 				}
-				return quiet(s)
+				return isSettled(s)
 			}})
 	}
-	return b
+	return p
 }
