--- a/cmd/dsfleet/play.go
+++ b/cmd/dsfleet/play.go
@@ -43,7 +43,7 @@
 	v.Run(f.group, traffic, uint64(s.Int("seed")), func() []stand.Edge { return f.edges }, flows)
 	began := time.Now()
 	for _, st := range steps {
-		if !run.Wait(traffic, time.Until(began.Add(st.At))) {
+		if !run.Sleep(traffic, time.Until(began.Add(st.At))) {
 			fmt.Fprintf(os.Stderr, "dsfleet: schedule line %d was not reached\n", st.Line)
 			wrong++
 			break
@@ -56,7 +56,7 @@
 	}
 	<-traffic.Done()
 	// What is under way may take its whole deadline.
-	run.Wait(ctx, 20*time.Second)
+	run.Sleep(ctx, 20*time.Second)
 	if err := f.readBack(); err != nil {
 		fmt.Fprintln(os.Stderr, "dsfleet: read-back:", err)
 		wrong++
--- a/cmd/dsscale/failures.go
+++ b/cmd/dsscale/failures.go
@@ -80,7 +80,7 @@
 				acknowledged = time.Since(began)
 			}
 		}
-		if !run.Wait(ctx, pollEvery) {
+		if !run.Sleep(ctx, pollEvery) {
 			fmt.Fprintf(f.out, "%sNOT whole within %v: %d of %d slots held, a change acknowledged after %s, %d of %d nodes know that %d are alive\n",
 				whose, failLimit, held, state.SlotCount, orNever(acknowledged), right, len(nodes), alive)
 			return nil
@@ -146,7 +146,7 @@
 	if err := f.follow(ctx, began, "the others: ", everybody-there, others, others); err != nil {
 		return err
 	}
-	if !run.Wait(ctx, f.plan.apart-time.Since(began)) && ctx.Err() != nil {
+	if !run.Sleep(ctx, f.plan.apart-time.Since(began)) && ctx.Err() != nil {
 		return ctx.Err()
 	}
 	if err := f.tellOfRegion(within, there); err != nil {
--- a/cmd/dsscale/fleet.go
+++ b/cmd/dsscale/fleet.go
@@ -158,7 +158,7 @@
 			return errors.Wrap(err, one.spec.Name)
 		}
 		// Why: the cores hand each new node what they know, and a whole fleet does not start at once.
-		if one.role == roleNodes && !run.Wait(ctx, time.Duration(one.units())*startEach) || ctx.Err() != nil {
+		if one.role == roleNodes && !run.Sleep(ctx, time.Duration(one.units())*startEach) || ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
@@ -176,7 +176,7 @@
 	for {
 		if err := f.submit(http.MethodPut, doc, f.cores(nil)); err == nil {
 			return nil
-		} else if !run.Wait(ctx, pollEvery) {
+		} else if !run.Sleep(ctx, pollEvery) {
 			return errors.Wrap(err, "first configuration")
 		}
 	}
@@ -253,7 +253,7 @@
 		sample hollow.Sample
 		err    error
 	}
-	answers := run.Fan(f.group, len(asked), func(_ context.Context, i int) answer {
+	answers := run.FanOut(f.group, len(asked), func(_ context.Context, i int) answer {
 		a := answer{i: i}
 		a.err = asked[i].Ask([]byte(command), askLimit, &a.sample)
 		return a
--- a/cmd/dsscale/main.go
+++ b/cmd/dsscale/main.go
@@ -102,7 +102,7 @@
 		}
 		all = append(all, got)
 		// Why: the system lets go of the last size's connections.
-		if i < len(p.sizes)-1 && !run.Wait(ctx, time.Second) {
+		if i < len(p.sizes)-1 && !run.Sleep(ctx, time.Second) {
 			return ctx.Err()
 		}
 	}
--- a/cmd/dsscale/measure.go
+++ b/cmd/dsscale/measure.go
@@ -32,14 +32,14 @@
 		return figures{}, err
 	}
 	fmt.Fprintf(f.out, "all nodes know all nodes, all replicas and the configuration after %s\n", seconds(time.Since(began)))
-	if !run.Wait(ctx, f.plan.warm) {
+	if !run.Sleep(ctx, f.plan.warm) {
 		return figures{}, ctx.Err()
 	}
 	before, err := f.samples(hollow.CommandSample)
 	if err != nil {
 		return figures{}, err
 	}
-	if !run.Wait(ctx, f.plan.window) {
+	if !run.Sleep(ctx, f.plan.window) {
 		return figures{}, ctx.Err()
 	}
 	after, err := f.samples(hollow.CommandWhole)
@@ -72,7 +72,7 @@
 		if ready == len(nodes) {
 			return nil
 		}
-		if !run.Wait(ctx, pollEvery) {
+		if !run.Sleep(ctx, pollEvery) {
 			return errors.Errorf("only %d of %d nodes know all others, all replicas and the configuration after %s", ready, len(nodes), seconds(time.Since(began)))
 		}
 	}
@@ -126,7 +126,7 @@
 		if oldest := nodes[0].ConfAt; oldest.After(sent) {
 			return nodes[len(nodes)/2].ConfAt.Sub(sent), nodes[len(nodes)-1].ConfAt.Sub(sent), nil
 		}
-		if !run.Wait(ctx, pollEvery) {
+		if !run.Sleep(ctx, pollEvery) {
 			late := count(nodes, func(n hollow.NodeState) bool { return !n.ConfAt.After(sent) })
 			return 0, 0, errors.Errorf("%d of %d nodes do not have the change after %v", late, len(nodes), forceLimit)
 		}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -29,9 +29,9 @@
 	attempts        atomic.Int64
 	urgentAttempts  atomic.Int64
 	waiting         atomic.Pointer[map[string]int]
-	dispatchSoon    *run.Nudge // triggers dispatch
-	recheck         *run.Alarm // triggers the next check of the waiters
-	sweepAlarm      *run.Alarm
+	dispatchSoon    *run.Trigger // triggers dispatch
+	recheck         *run.Timer   // triggers the next check of the waiters
+	sweepAlarm      *run.Timer
 	noHolderTimeout time.Duration
 	closed          atomic.Bool
 	onMiss          func() // called when a request waits for an item that no replica holds
@@ -43,9 +43,9 @@
 	ac := &Controller{routes: routes, queue: queue.New(), now: time.Now, noHolderTimeout: noHolderTimeout, onMiss: onMiss}
 	ac.waiting.Store(&map[string]int{})
 	ac.actor = run.NewActor(g, mailboxDepth, 0, nil)
-	ac.recheck, ac.sweepAlarm = run.NewAlarm(ac.actor, ac.onRecheck), run.NewAlarm(ac.actor, ac.onSweep)
-	ac.dispatchSoon = run.NewNudge(ac.actor, ac.dispatch)
-	routes.OnTable(ac.dispatchSoon.Now)
+	ac.recheck, ac.sweepAlarm = run.NewTimer(ac.actor, ac.onRecheck), run.NewTimer(ac.actor, ac.onSweep)
+	ac.dispatchSoon = run.NewTrigger(ac.actor, ac.dispatch)
+	routes.OnTable(ac.dispatchSoon.Fire)
 	return ac
 }
 
@@ -58,7 +58,7 @@
 // Acquire waits until a replica can take the request and returns it, or an explanation why there is none.
 func (ac *Controller) Acquire(ctx context.Context, target route.Target, class string, deadline time.Time) queue.Answer {
 	w := queue.NewWaiter(target, class, ac.now(), deadline)
-	if ac.actor.Tell(func() { ac.enqueue(w) }) != nil {
+	if ac.actor.TryEnqueue(func() { ac.enqueue(w) }) != nil {
 		return queue.Answer{Explanation: "the holding is full", RetryS: 1}
 	}
 	wait := time.NewTimer(time.Until(deadline))
@@ -81,7 +81,7 @@
 // Close rejects all waiters and all later requests.
 func (ac *Controller) Close() {
 	ac.closed.Store(true)
-	_ = ac.actor.Tell(func() {
+	_ = ac.actor.TryEnqueue(func() {
 		for _, c := range ac.queue.Order() {
 			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				for i := range l.Waiters.Len() {
@@ -114,7 +114,7 @@
 	}
 	ac.queue.SetShares(ac.routes.Current().Conf.Shares())
 	c := ac.queue.Class(w.Class, classConf)
-	ac.sweepAlarm.In(sweepInterval)
+	ac.sweepAlarm.Start(sweepInterval)
 	if !ac.queue.Push(c, w) {
 		refuse(w, queue.Answer{Explanation: "the holding of class " + w.Class + " is full", RetryS: 1})
 		return
@@ -123,7 +123,7 @@
 	if !w.IsWaiting() {
 		return
 	}
-	ac.recheck.In(recheckInterval)
+	ac.recheck.Start(recheckInterval)
 	// If the waiters ahead already take longer than the deadline allows, waiting would only delay the rejection.
 	_, held, serve := ac.routes.Choose(w.Target)
 	if held == 0 {
@@ -197,7 +197,7 @@
 	}
 	attempt := ac.routes.StartAttempt(w.Target, r)
 	var once atomic.Bool
-	w.Answer <- queue.Answer{Replica: r, Begun: func() { attempt.FirstChunk(); ac.dispatchSoon.Now() }, Done: func() {
+	w.Answer <- queue.Answer{Replica: r, Begun: func() { attempt.FirstChunk(); ac.dispatchSoon.Fire() }, Done: func() {
 		if once.Swap(true) {
 			return
 		}
@@ -207,7 +207,7 @@
 		if urgent {
 			ac.urgentAttempts.Add(-1)
 		}
-		ac.dispatchSoon.Now()
+		ac.dispatchSoon.Fire()
 	}}
 }
 
@@ -217,7 +217,7 @@
 	ac.dispatch()
 	ac.rejectHopeless()
 	if ac.queue.HasWaiters() {
-		ac.recheck.In(recheckInterval)
+		ac.recheck.Start(recheckInterval)
 	}
 }
 
@@ -226,7 +226,7 @@
 	ac.queue.Sweep()
 	ac.publishWaiting()
 	if ac.queue.HasClasses() {
-		ac.sweepAlarm.In(sweepInterval)
+		ac.sweepAlarm.Start(sweepInterval)
 	}
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -73,7 +73,7 @@
 	reporting *run.Actor    // of the reports
 	order     atomic.Uint64 // of reports
 	asked     atomic.Int64  // when the proxy asked last, on our clock
-	urgent    *run.Nudge
+	urgent    *run.Trigger
 }
 
 // dated is a report of the proxy, when it came, and which it was of all that did.
@@ -118,7 +118,7 @@
 	wire.Handle(a.feedMux, feed.Path, a.exchange)
 	wire.Handle(a.feedMux, feed.UrgentPath, a.takeUrgent)
 	a.reporting = run.NewActor(a.group, 32, s.Cadence.Report, a.report)
-	a.urgent = run.NewNudge(a.reporting, a.report)
+	a.urgent = run.NewTrigger(a.reporting, a.report)
 	a.group.Every(confirmInterval, a.confirm)
 	load.Watch(a.group, a.log, a.mux.Served, a.feedMux.Served, a.post.Served)
 	a.base.Go(a.post.Run)
@@ -145,7 +145,7 @@
 // Stop leaves on purpose.
 func (a *Agent) Stop(ctx context.Context) error {
 	// Why: a proxy that is stopped with us still needs to hear what is in force while it finishes.
-	for a.env.Clock.Since()-time.Duration(a.asked.Load()) < lingerGap && run.Wait(ctx, lingerGap/10) {
+	for a.env.Clock.Since()-time.Duration(a.asked.Load()) < lingerGap && run.Sleep(ctx, lingerGap/10) {
 	}
 	a.members.Leave(ctx)
 	for _, s := range a.servers {
@@ -189,7 +189,7 @@
 // takeUrgent passes a report on at once.
 func (a *Agent) takeUrgent(_ context.Context, r report.Report) (feed.Taken, error) {
 	a.keepReport(r)
-	a.urgent.Now()
+	a.urgent.Fire()
 	return feed.Taken{}, nil
 }
 
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -101,7 +101,7 @@
 			began := a.env.Clock.Since()
 			got := a.tellCore(ctx, r, core, bodies[i], within)
 			got.took = a.env.Clock.Since() - began
-			_ = a.reporting.Ask(ctx, func() { a.answered(r, core, got, others, now) })
+			_ = a.reporting.Do(ctx, func() { a.answered(r, core, got, others, now) })
 		})
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -25,7 +25,7 @@
 func (c *Core) onGossip(e gossip.Entry) {
 	if e.Key == conf.Key {
 		c.confNews.Store(true)
-		c.confSoon.Now()
+		c.confSoon.Fire()
 	}
 }
 
--- a/internal/core/consider.go
+++ b/internal/core/consider.go
@@ -40,7 +40,7 @@
 		a order.ConsiderResponse
 	}
 	answers := make([]order.ConsiderResponse, len(q.Replicas))
-	ch := run.Fan(c.group, len(q.Replicas), func(_ context.Context, i int) answered {
+	ch := run.FanOut(c.group, len(q.Replicas), func(_ context.Context, i int) answered {
 		one := q.Request
 		one.Replica, one.DryRun = q.Replicas[i], true
 		a, err := ask(one)
--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -28,7 +28,7 @@
 
 func (c *Core) tellShared(ctx context.Context, s plan.SharedPredictions) {
 	to := c.others()
-	ch := run.Fan(c.group, len(to), func(ctx context.Context, i int) bool {
+	ch := run.FanOut(c.group, len(to), func(ctx context.Context, i int) bool {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		_, err := wire.Call[plan.SharedPredictions, none](ctx, c.caller, to[i].Addr, "/place/share", s)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -112,7 +112,7 @@
 	serial         atomic.Uint64
 	checked        atomic.Pointer[checkedConf]
 	confNews       atomic.Bool // a configuration has come that was not read yet
-	confSoon       *run.Nudge
+	confSoon       *run.Trigger
 	newestStamp    *flight.Shared[Newest] // the owner's word on the newest configuration
 	reading        rest.Rest              // of configurations; owned by the actor of confSoon
 	controllers    map[string]*controlled // owned by the actor of tend
@@ -120,7 +120,7 @@
 	absent         map[string]time.Duration
 	preferred      preference
 	// tendSoon looks at once at which replicas are to be controlled here.
-	tendSoon *run.Nudge
+	tendSoon *run.Trigger
 	holders  [state.SlotCount]atomic.Pointer[string] // who held each slot when last asked
 }
 
@@ -189,7 +189,7 @@
 		Phase: string(c.acc.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
 	c.reading = conf.ReadingRest()
-	c.confSoon = run.NewNudge(run.NewActor(c.group, 4, readEvery, c.takeConf), c.takeConf)
+	c.confSoon = run.NewTrigger(run.NewActor(c.group, 4, readEvery, c.takeConf), c.takeConf)
 	c.gossip.OnNew(c.onGossip)
 	c.views = plan.NewStatusCache(c.gossip)
 	c.spread = gossip.NewSpreader(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
@@ -217,7 +217,7 @@
 	})
 	c.serve()
 	tending := run.NewActor(c.group, 4, tendEvery, func() { c.tend(c.group.Context()) })
-	c.tendSoon = run.NewNudge(tending, func() { c.tend(c.group.Context()) })
+	c.tendSoon = run.NewTrigger(tending, func() { c.tend(c.group.Context()) })
 	c.group.Every(200*time.Millisecond, func(context.Context) {
 		phase := string(c.acc.Membership().Phase)
 		if c.acc.DiskFailed() {
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -14,7 +14,7 @@
 
 func (c *Core) onTake(slot int, recs []state.Record) {
 	if c.tendSoon != nil {
-		c.tendSoon.Now()
+		c.tendSoon.Fire()
 	}
 	epoch := c.own.Held()[slot]
 	c.planner.OnSlotAcquired(slot, epoch, recs)
@@ -63,7 +63,7 @@
 		epoch uint64
 	}
 	// Why: a preferred core may be alive for the edges and cut off from us; asking all at once does not wait for it.
-	ch := run.Fan(c.group, len(voters), func(_ context.Context, i int) claim {
+	ch := run.FanOut(c.group, len(voters), func(_ context.Context, i int) claim {
 		one, cancel := context.WithTimeout(ctx, probeFor)
 		defer cancel()
 		if voters[i].Name == c.s.Name {
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -40,7 +40,7 @@
 // gives how many have answered.
 func (s *Spreader) Push(ctx context.Context, to []string, entries ...Entry) int {
 	message := wire.Prepare(bundle{From: s.self(), Entries: entries})
-	ch := run.Fan(s.g, len(to), func(_ context.Context, i int) bool {
+	ch := run.FanOut(s.g, len(to), func(_ context.Context, i int) bool {
 		one, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		_, err := wire.CallLarge[Pushed](one, s.caller, to[i], "/news/push", message)
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -111,7 +111,7 @@
 	if !s.g.Go(func(ctx context.Context) {
 		defer s.pulls.end(from, told)
 		// Why: what rests takes nobody's turn.
-		run.Wait(ctx, s.pulls.rest(keysOf(told)))
+		run.Sleep(ctx, s.pulls.rest(keysOf(told)))
 		if !run.WaitOn(ctx, s.turns, pullLimit) {
 			return
 		}
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -57,8 +57,8 @@
 	})
 	s.answer(mux, in)
 	actor := run.NewActor(g, 16, interval, func() { s.passOn(false) })
-	now := run.NewNudge(actor, func() { s.passOn(true) })
-	own := now.Now
+	now := run.NewTrigger(actor, func() { s.passOn(true) })
+	own := now.Fire
 	t.onOwn.Store(&own)
 	g.Every(digestInterval, s.compare)
 	g.Every(time.Minute, func(context.Context) { t.Purge(purgeAfter) })
--- a/internal/kernel/flight/flight_test.go
+++ b/internal/kernel/flight/flight_test.go
@@ -17,7 +17,7 @@
 func (n *newest) ask(ctx context.Context) (int64, error) {
 	n.asked.Add(1)
 	value := n.value.Load()
-	run.Wait(ctx, 100*time.Millisecond)
+	run.Sleep(ctx, 100*time.Millisecond)
 	return value, nil
 }
 
--- a/internal/kernel/run/run.go
+++ b/internal/kernel/run/run.go
@@ -92,9 +92,9 @@
 }
 
 // Pass blocks while the group is frozen.
-func (g *Group) Pass() {
+func (g *Group) WaitWhileFrozen() {
 	if g.parent != nil {
-		g.parent.Pass()
+		g.parent.WaitWhileFrozen()
 	}
 	if gate := g.frozen.Load(); gate != nil {
 		<-*gate
@@ -114,10 +114,10 @@
 		case <-ctx.Done():
 			return
 		case f := <-inbox:
-			g.Pass()
+			g.WaitWhileFrozen()
 			f()
 		case <-ticks:
-			g.Pass()
+			g.WaitWhileFrozen()
 			onTick()
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // Tell hands over a command without waiting; it is dropped when the queue is full.
-func (a *Actor) Tell(f func()) error {
+func (a *Actor) TryEnqueue(f func()) error {
 	select {
 	case a.inbox <- f:
 		return nil
@@ -155,29 +155,29 @@
 
 // Nudge hands an actor the same command again and again; many before it begins
 // make one run of it.
-type Nudge struct {
-	actor *Actor
-	f     func()
-	asked atomic.Bool
+type Trigger struct {
+	actor   *Actor
+	f       func()
+	pending atomic.Bool
 }
 
 // NewNudge is for one command of an actor.
-func NewNudge(d *Actor, f func()) *Nudge { return &Nudge{actor: d, f: f} }
+func NewTrigger(d *Actor, f func()) *Trigger { return &Trigger{actor: d, f: f} }
 
 // Now sees to it that the command begins after this call.
-func (n *Nudge) Now() {
-	if n.asked.Swap(true) {
+func (n *Trigger) Fire() {
+	if n.pending.Swap(true) {
 		return
 	}
-	if n.actor.Tell(func() { n.asked.Store(false); n.f() }) != nil {
-		n.asked.Store(false)
+	if n.actor.TryEnqueue(func() { n.pending.Store(false); n.f() }) != nil {
+		n.pending.Store(false)
 	}
 }
 
 // Ask hands over a command and waits until it has been worked off. With an
 // error it has not run and never will: one that had begun is waited for, so
 // what it wrote may be read.
-func (a *Actor) Ask(ctx context.Context, f func()) error {
+func (a *Actor) Do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	var begun atomic.Bool
 	select {
@@ -209,7 +209,7 @@
 
 // AskFor is Ask for commands that may take longer than anyone wants to wait:
 // it goes without the answer when ctx ends, and the command may still run.
-func AskFor[T any](ctx context.Context, d *Actor, f func() T) (T, error) {
+func Call[T any](ctx context.Context, d *Actor, f func() T) (T, error) {
 	answer := make(chan T, 1)
 	var zero T
 	select {
@@ -230,7 +230,7 @@
 }
 
 // Wait lets d pass; false when ctx ends first.
-func Wait(ctx context.Context, d time.Duration) bool {
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -259,15 +259,15 @@
 func (g *Group) Repeat(gap time.Duration, f func(ctx context.Context)) {
 	g.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
-			g.Pass()
+			g.WaitWhileFrozen()
 			f(ctx)
-			Wait(ctx, gap)
+			Sleep(ctx, gap)
 		}
 	})
 }
 
 // Fan calls f for 0..n-1 side by side and gives the answers as they come.
-func Fan[T any](g *Group, n int, f func(ctx context.Context, i int) T) <-chan T {
+func FanOut[T any](g *Group, n int, f func(ctx context.Context, i int) T) <-chan T {
 	out := make(chan T, n)
 	for i := range n {
 		if !g.Go(func(ctx context.Context) { out <- f(ctx, i) }) {
--- a/internal/kernel/run/alarm_test.go
+++ b/internal/kernel/run/timer_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-func TestAnAlarmGivesItsCommandOnceEachTimeItIsSet(t *testing.T) {
+func TestTimerRunsCommandOncePerStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(context.Background())
 		defer g.Stop()
 		began, times := time.Now(), []time.Duration{}
-		var a *Alarm
-		a = NewAlarm(NewActor(g, 4, 0, nil), func() {
+		var a *Timer
+		a = NewTimer(NewActor(g, 4, 0, nil), func() {
 			times = append(times, time.Since(began))
 			if len(times) < 3 {
-				a.In(time.Second)
+				a.Start(time.Second)
 			}
 		})
-		a.In(2 * time.Second)
-		a.In(time.Second) // it is set already
+		a.Start(2 * time.Second)
+		a.Start(time.Second) // it is set already
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if len(times) != 3 || times[0] != 2*time.Second || times[1] != 3*time.Second || times[2] != 4*time.Second {
@@ -29,17 +29,17 @@
 	})
 }
 
-func TestAnAlarmWaitsForAnActorThatIsFull(t *testing.T) {
+func TestTimerRetriesWhileActorQueueIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(context.Background())
 		defer g.Stop()
 		d := NewActor(g, 1, 0, nil)
 		g.Freeze()
-		for d.Tell(func() {}) == nil {
+		for d.TryEnqueue(func() {}) == nil {
 			synctest.Wait()
 		}
 		came := false
-		NewAlarm(d, func() { came = true }).In(time.Second)
+		NewTimer(d, func() { came = true }).Start(time.Second)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		if came {
@@ -54,31 +54,31 @@
 	})
 }
 
-func TestAnAlarmOfAStoppedActorEnds(t *testing.T) {
+func TestTimerEndsWhenActorIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(context.Background())
 		d := NewActor(g, 1, 0, nil)
-		NewAlarm(d, func() { t.Error("a stopped actor has worked") }).In(time.Second)
+		NewTimer(d, func() { t.Error("a stopped actor has worked") }).Start(time.Second)
 		g.Stop()
-		_ = d.Tell(func() {})
+		_ = d.TryEnqueue(func() {})
 		time.Sleep(time.Minute)
 	})
 }
 
-func TestAnAlarmThatIsMovedComesAtTheTimeThatWasSetLast(t *testing.T) {
+func TestResetTimerFiresAtLastSetTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(t.Context())
 		defer g.Stop()
 		var came []time.Duration
 		began := time.Now()
-		a := NewAlarm(NewActor(g, 4, 0, nil), func() { came = append(came, time.Since(began)) })
+		a := NewTimer(NewActor(g, 4, 0, nil), func() { came = append(came, time.Since(began)) })
 		time.Sleep(2 * time.Hour) // one that was never set does not come
 		began = time.Now()
-		a.Move(time.Second)
-		a.Move(100 * time.Millisecond)
+		a.Reset(time.Second)
+		a.Reset(100 * time.Millisecond)
 		time.Sleep(5 * time.Second)
-		a.Move(100 * time.Millisecond)
-		a.Move(time.Second)
+		a.Reset(100 * time.Millisecond)
+		a.Reset(time.Second)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		if len(came) != 2 || came[0] != 100*time.Millisecond || came[1] != 6*time.Second {
@@ -87,18 +87,18 @@
 	})
 }
 
-func TestAnAlarmComesOnceForAnActorThatHadNoPlaceLeft(t *testing.T) {
+func TestTimerFiresOnceAfterActorQueueWasFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(t.Context())
 		defer g.Stop()
 		a := NewActor(g, 1, 0, nil)
 		came := 0
-		w := NewAlarm(a, func() { came++ })
+		w := NewTimer(a, func() { came++ })
 		for range 2 { // one is worked on, one waits
-			_ = a.Tell(func() { time.Sleep(time.Second) })
+			_ = a.TryEnqueue(func() { time.Sleep(time.Second) })
 			time.Sleep(time.Millisecond)
 		}
-		w.Move(0)
+		w.Reset(0)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		if came != 1 {
@@ -107,12 +107,12 @@
 	})
 }
 
-func TestAnAlarmThatIsMovedAfterItsActorStoppedDoesNotCome(t *testing.T) {
+func TestResetAfterActorStoppedDoesNotFire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(t.Context())
-		w := NewAlarm(NewActor(g, 4, 0, nil), func() { t.Error("a stopped actor has worked") })
+		w := NewTimer(NewActor(g, 4, 0, nil), func() { t.Error("a stopped actor has worked") })
 		g.Stop()
-		w.Move(0)
+		w.Reset(0)
 		time.Sleep(time.Second)
 	})
 }
--- a/internal/kernel/wire/server.go
+++ b/internal/kernel/wire/server.go
@@ -61,7 +61,7 @@
 // for so long that its caller will not write to it any more.
 func (s *Server) Quiesce(ctx context.Context, idle time.Duration) {
 	_ = s.ln.Close()
-	for s.busy(idle) && run.Wait(ctx, 50*time.Millisecond) {
+	for s.busy(idle) && run.Sleep(ctx, 50*time.Millisecond) {
 	}
 }
 
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -80,7 +80,7 @@
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		w, err := wire.Call[none, Who](ctx, t.caller, n.Addr, "/member/who", none{})
-		_ = t.actor.Tell(func() {
+		_ = t.actor.TryEnqueue(func() {
 			if err == nil && w.Name == t.self.Name && w.Boot != t.self.Boot {
 				if !t.yielded {
 					t.log.Error("another process has taken this node's name", "addr", n.Addr)
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -47,7 +47,7 @@
 		t.syncing[addr] = true
 		t.group.Go(func(ctx context.Context) {
 			t.syncWith(ctx, addr, sum)
-			_ = t.actor.Ask(ctx, func() { delete(t.syncing, addr) })
+			_ = t.actor.Do(ctx, func() { delete(t.syncing, addr) })
 		})
 	}
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	var lacking Roll
-	if t.actor.Ask(ctx, func() {
+	if t.actor.Do(ctx, func() {
 		lacking = Roll{Nodes: t.lackedBy(theirs.Nodes), Sum: sum}
 		t.mergeAll(theirs.Nodes)
 	}) != nil || len(lacking.Nodes) == 0 {
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -62,7 +62,7 @@
 				post.Bad()
 				return
 			}
-			_ = t.actor.Tell(func() {
+			_ = t.actor.TryEnqueue(func() {
 				t.mergeAll(n.Nodes)
 				f(n)
 			})
@@ -70,7 +70,7 @@
 	}
 	wire.HandlePrepared(mux, syncPath, func(ctx context.Context, q Roll) (wire.Large, error) {
 		var answer wire.Large
-		err := t.actor.Ask(ctx, func() { answer = t.answerSync(q) })
+		err := t.actor.Do(ctx, func() { answer = t.answerSync(q) })
 		return answer, err
 	})
 	wire.Handle(mux, "/member/who", func(context.Context, none) (Who, error) {
@@ -78,13 +78,13 @@
 	})
 	t.actor = run.NewActor(g, 1024, interval, t.onTick)
 	// Why: a node that starts knows nobody, and need not wait for that.
-	_ = t.actor.Tell(t.onTick)
+	_ = t.actor.TryEnqueue(t.onTick)
 	return t
 }
 
 // SetSelf changes what this node tells of itself.
 func (t *Table) SetSelf(f func(*Node)) {
-	_ = t.actor.Tell(func() {
+	_ = t.actor.TryEnqueue(func() {
 		before := t.self
 		f(&t.self)
 		if t.self != before {
@@ -95,15 +95,15 @@
 }
 
 // Reseed names other seeds.
-func (t *Table) Reseed(seeds []string) { _ = t.actor.Tell(func() { t.seeds = seeds }) }
+func (t *Table) Reseed(seeds []string) { _ = t.actor.TryEnqueue(func() { t.seeds = seeds }) }
 
 // Meet names those whom an earlier process of this node knew. Why: all seeds
 // may be down just now, and a node that starts then must not stay alone.
-func (t *Table) Meet(addrs []string) { _ = t.actor.Tell(func() { t.met = addrs }) }
+func (t *Table) Meet(addrs []string) { _ = t.actor.TryEnqueue(func() { t.met = addrs }) }
 
 // Leave tells peers that this node goes on purpose.
 func (t *Table) Leave(ctx context.Context) {
-	_ = t.actor.Ask(ctx, func() {
+	_ = t.actor.Do(ctx, func() {
 		t.self.State = Left
 		t.self.Inc++
 		for _, e := range t.nodes {
--- a/internal/place/order/consider.go
+++ b/internal/place/order/consider.go
@@ -14,7 +14,7 @@
 // load if the test passes.
 func (c *Controller) Consider(ctx context.Context, q ConsiderRequest) (ConsiderResponse, error) {
 	var a ConsiderResponse
-	err := c.actor.Ask(ctx, func() {
+	err := c.actor.Do(ctx, func() {
 		// The caller no longer waits for the answer and may have asked another controller.
 		if ctx.Err() != nil {
 			return
@@ -157,7 +157,7 @@
 	}
 	c.tasks.PushBack(t)
 	c.publish()
-	c.wake.Now()
+	c.wake.Fire()
 	out.Accepted, out.ReadyMs = true, c.readyMs(model, item)
 	return out
 }
--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -126,8 +126,8 @@
 	heldBefore     map[string]bool
 	failedReports  int
 	polledAt       time.Duration
-	wake           *run.Nudge
-	nextPoll       *run.Alarm
+	wake           *run.Trigger
+	nextPoll       *run.Timer
 	traits         backend.Traits
 	delay          reportDelay
 }
@@ -137,14 +137,14 @@
 	d.Group = g
 	c := &Controller{d: d, listed: l, entries: map[conf.Item]*entry{}, reportAt: -1 << 62, polledAt: -1 << 62, stayingSince: -1, heldBefore: map[string]bool{}, traits: d.Replicas.Traits()}
 	c.actor = run.NewActor(g, 64, 0, nil)
-	c.wake = run.NewNudge(c.actor, c.reconcile)
-	c.nextPoll = run.NewAlarm(c.actor, c.reconcile)
-	c.nextPoll.Move(d.Cadence.ReplicaBusy)
+	c.wake = run.NewTrigger(c.actor, c.reconcile)
+	c.nextPoll = run.NewTimer(c.actor, c.reconcile)
+	c.nextPoll.Reset(d.Cadence.ReplicaBusy)
 	return c
 }
 
 // SetListed passes the current listing of the replica by the platform to the controller.
-func (c *Controller) SetListed(l inventory.Listed) { _ = c.actor.Tell(func() { c.listed = l }) }
+func (c *Controller) SetListed(l inventory.Listed) { _ = c.actor.TryEnqueue(func() { c.listed = l }) }
 
 // leaving reports whether the replica is leaving, by its listing, its report, a mark in gossip or a configured drain.
 func (c *Controller) leaving() bool {
@@ -157,7 +157,7 @@
 	if c.closed {
 		return
 	}
-	defer func() { c.nextPoll.Move(c.untilNextPoll()) }()
+	defer func() { c.nextPoll.Reset(c.untilNextPoll()) }()
 	if !c.d.Owner.Holds(key) {
 		return
 	}
@@ -196,7 +196,7 @@
 
 // Close stops the controller. gone says that the platform no longer lists the replica; otherwise another core holds its lease.
 func (c *Controller) Close(ctx context.Context, gone bool) {
-	_ = c.actor.Ask(ctx, func() {
+	_ = c.actor.Do(ctx, func() {
 		c.closed = true
 		if gone && c.epoch > 0 {
 			c.version++
--- a/internal/place/plan/ask.go
+++ b/internal/place/plan/ask.go
@@ -59,7 +59,7 @@
 		answers []order.ConsiderResponse
 	}
 	batches := groupByController(names, statusOf)
-	ch := run.Fan(p.d.Group, len(batches), func(_ context.Context, n int) answered {
+	ch := run.FanOut(p.d.Group, len(batches), func(_ context.Context, n int) answered {
 		var replicas []string
 		for _, i := range batches[n].indexes {
 			replicas = append(replicas, names[i])
@@ -87,7 +87,7 @@
 		index  int
 		answer order.ConsiderResponse
 	}
-	ch := run.Fan(p.d.Group, len(replicas), func(_ context.Context, i int) answered {
+	ch := run.FanOut(p.d.Group, len(replicas), func(_ context.Context, i int) answered {
 		a, _ := p.askController(ctx, d, controller, replicas[i], true)
 		return answered{i, a}
 	})
--- a/internal/place/plan/claims.go
+++ b/internal/place/plan/claims.go
@@ -56,7 +56,7 @@
 // UnmetClaims returns the claims whose copies are not all ready, with the number of copies.
 func (p *Planner) UnmetClaims(ctx context.Context) map[string]string {
 	out := map[string]string{}
-	_ = p.actor.Ask(ctx, func() {
+	_ = p.actor.Do(ctx, func() {
 		maps.Copy(out, p.unmetClaims)
 	})
 	return out
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	_ = p.actor.Tell(func() {
+	_ = p.actor.TryEnqueue(func() {
 		now := p.d.Clock.Since()
 		if entry := p.items[conf.ParseItem(d.Item)]; entry != nil && !d.isClaim {
 			if d.BypassTest && d.AcceptedBy != "" {
@@ -156,7 +156,7 @@
 // Explain returns the recorded decisions, newest first, about one item or model, or about all if itemOrModel is empty.
 func (p *Planner) Explain(ctx context.Context, itemOrModel string) []Decision {
 	out := []Decision{}
-	_ = p.actor.Ask(ctx, func() {
+	_ = p.actor.Do(ctx, func() {
 		for i := p.decisionLog.Len() - 1; i >= 0; i-- {
 			d := p.decisionLog.At(i)
 			if itemOrModel == "" || d.Item == itemOrModel || conf.ParseItem(d.Item).Model == itemOrModel {
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -43,10 +43,10 @@
 	if slot == state.SlotOf(PaceKey) {
 		// The wait for grants of the previous lease holder starts now, not at the first request.
 		now := p.d.Clock.Since()
-		_ = p.paceActor.Tell(func() { p.ensureLimiter(p.d.Group.Context(), epoch, now) })
+		_ = p.paceActor.TryEnqueue(func() { p.ensureLimiter(p.d.Group.Context(), epoch, now) })
 	}
 	// This must not be dropped when the queue of the actor is full: without its history the slot would never be planned for.
-	p.d.Group.Go(func(ctx context.Context) { _ = p.actor.Ask(ctx, func() { p.restoreHistory(slot, epoch, recs) }) })
+	p.d.Group.Go(func(ctx context.Context) { _ = p.actor.Do(ctx, func() { p.restoreHistory(slot, epoch, recs) }) })
 }
 
 // restoreHistory replaces the items of a slot by those in its records and adds the demand of the current reports.
@@ -123,7 +123,7 @@
 // ApplyReports applies the reports of several agents and returns the outcome of each.
 func (p *Planner) ApplyReports(ctx context.Context, all []report.Report) ([]report.Outcome, error) {
 	outcomes := make([]report.Outcome, len(all))
-	err := p.actor.Ask(ctx, func() {
+	err := p.actor.Do(ctx, func() {
 		now := p.d.Clock.Since()
 		for i, r := range all {
 			outcomes[i] = p.applyReport(r, now)
@@ -141,7 +141,7 @@
 	p.work.addReport(r, p.d.Reports.Of(r.Agent).Report, now)
 	p.addDemand(r, now, func(conf.Item) bool { return true })
 	if !p.isBusy() && p.hasNewMiss(r) {
-		p.replan.Now()
+		p.replan.Fire()
 	}
 	return report.Kept
 }
@@ -198,7 +198,7 @@
 		hour demand.Hour
 	}
 	var writes []pendingWrite
-	_ = p.actor.Ask(ctx, func() {
+	_ = p.actor.Do(ctx, func() {
 		now := p.d.Clock.Since()
 		alive := map[string]bool{}
 		for _, r := range p.d.Reports.All() {
@@ -231,7 +231,7 @@
 		cancel()
 		if err != nil {
 			p.d.Log.Info("failed to write demand history", "item", w.item.String(), "error", err)
-			_ = p.actor.Tell(func() {
+			_ = p.actor.TryEnqueue(func() {
 				if entry := p.items[w.item]; entry != nil {
 					entry.dirtyHours[w.hour.Hour] = true
 				}
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -39,7 +39,7 @@
 	var g GrantResponse
 	var mark grantMark
 	granted := false
-	err := p.paceActor.Ask(ctx, func() { g, mark, granted = p.decideGrant(ctx, q) })
+	err := p.paceActor.Do(ctx, func() { g, mark, granted = p.decideGrant(ctx, q) })
 	if err != nil || !granted {
 		return g, err
 	}
@@ -73,7 +73,7 @@
 // persistGrants ensures that the grants up to mark are written to a majority.
 func (p *Planner) persistGrants(ctx context.Context, mark grantMark) bool {
 	persisted := false
-	err := p.grantWriter.Ask(ctx, func() {
+	err := p.grantWriter.Do(ctx, func() {
 		covered := p.lastWritten.epoch == mark.epoch && p.lastWritten.number >= mark.number
 		persisted = covered || p.writeGrants(ctx, mark.epoch)
 	})
@@ -84,7 +84,7 @@
 func (p *Planner) writeGrants(ctx context.Context, epoch uint64) bool {
 	var w GrantRecord
 	var mark grantMark
-	err := p.paceActor.Ask(ctx, func() { w, mark = p.currentGrants() })
+	err := p.paceActor.Do(ctx, func() { w, mark = p.currentGrants() })
 	if err != nil || mark.epoch != epoch || !p.writeGrantRecord(ctx, w) {
 		return false
 	}
@@ -118,11 +118,11 @@
 func (p *Planner) refreshGrants(ctx context.Context) {
 	due := false
 	epoch, _, _ := p.d.Owner.MayOrder(PaceKey)
-	_ = p.paceActor.Ask(ctx, func() {
+	_ = p.paceActor.Do(ctx, func() {
 		due = p.pacer.limiter != nil && p.pacer.epoch == epoch && p.pacer.persisted > 0 && p.d.Owner.Holds(PaceKey)
 	})
 	if due {
-		_ = p.grantWriter.Ask(ctx, func() { p.writeGrants(ctx, epoch) })
+		_ = p.grantWriter.Do(ctx, func() { p.writeGrants(ctx, epoch) })
 	}
 }
 
@@ -130,7 +130,7 @@
 // the seconds since then; each counts against the load rate of the weight store.
 func (p *Planner) OutstandingLoads(ctx context.Context) map[string]int {
 	out := map[string]int{}
-	_ = p.paceActor.Ask(ctx, func() {
+	_ = p.paceActor.Do(ctx, func() {
 		if p.pacer.limiter == nil || !p.d.Owner.Holds(PaceKey) {
 			return
 		}
--- a/internal/place/plan/pacing_test.go
+++ b/internal/place/plan/pacing_test.go
@@ -58,7 +58,7 @@
 			Tell: func(context.Context, SharedPredictions) {}})
 		time.Sleep(time.Second)
 		start := time.Now()
-		answers := run.Fan(g, loads, func(ctx context.Context, i int) bool {
+		answers := run.FanOut(g, loads, func(ctx context.Context, i int) bool {
 			got, err := p.Grant(ctx, GrantRequest{LoadID: fmt.Sprint("load ", i), Penalty: 1})
 			return err == nil && got.Granted
 		})
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -67,7 +67,7 @@
 	items          map[conf.Item]*itemState
 	minuteClock    *demand.MinuteClock
 	minuteUnit     time.Duration
-	replan         *run.Nudge
+	replan         *run.Trigger
 	work           workRates
 	historyEpochs  map[int]uint64 // by slot: epoch whose history has been restored
 	predictions    predictionTable
@@ -95,7 +95,7 @@
 	p.paceActor = run.NewActor(d.Group, 64, 0, nil)
 	p.grantWriter = run.NewActor(d.Group, 64, 0, nil)
 	p.actor = run.NewActor(d.Group, 1024, d.Cadence.Plan, p.onTick)
-	p.replan = run.NewNudge(p.actor, p.onTick)
+	p.replan = run.NewTrigger(p.actor, p.onTick)
 	d.Group.Every(d.Cadence.Share, p.sharePredictions)
 	d.Group.Every(d.Cadence.Keep, p.persistDemand)
 	d.Group.Every(grantRefreshInterval, p.refreshGrants)
--- a/internal/place/plan/progress.go
+++ b/internal/place/plan/progress.go
@@ -58,7 +58,7 @@
 // logProgress logs the summary of the interval if requests waited or decisions were made.
 func (p *Planner) logProgress(ctx context.Context) {
 	inProgress, waiting, longest := 0, 0, time.Duration(0)
-	err := p.actor.Ask(ctx, func() {
+	err := p.actor.Do(ctx, func() {
 		now := p.d.Clock.Since()
 		inProgress = len(p.inProgress)
 		for it, entry := range p.items {
--- a/internal/place/plan/schedule.go
+++ b/internal/place/plan/schedule.go
@@ -88,8 +88,8 @@
 		startedAt := p.d.Clock.Since()
 		accepted := p.executeDecision(ctx, cfg, d, statuses)
 		p.progress.recordDecision(accepted, p.d.Clock.Since()-startedAt)
-		_ = p.actor.Ask(ctx, func() { delete(p.inProgress, subj) })
-		p.replan.Now()
+		_ = p.actor.Do(ctx, func() { delete(p.inProgress, subj) })
+		p.replan.Fire()
 	})
 	if !started {
 		delete(p.inProgress, subj)
--- a/internal/place/plan/schedule_test.go
+++ b/internal/place/plan/schedule_test.go
@@ -79,7 +79,7 @@
 			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return statuses },
 			Tell: func(context.Context, SharedPredictions) {},
 			Ask: func(ctx context.Context, _ string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
-				run.Wait(ctx, delay(q.Item))
+				run.Sleep(ctx, delay(q.Item))
 				if !q.DryRun {
 					loads.add(q)
 				}
--- a/internal/place/plan/share.go
+++ b/internal/place/plan/share.go
@@ -14,10 +14,10 @@
 // sharePredictions predicts the requests for the items of this core and sends them to the other cores.
 func (p *Planner) sharePredictions(ctx context.Context) {
 	s := SharedPredictions{From: p.d.Self, Requests: map[string]float64{}}
-	if use, err := run.AskFor(ctx, p.paceActor, p.currentPaceUse); err == nil && use >= 0 {
+	if use, err := run.Call(ctx, p.paceActor, p.currentPaceUse); err == nil && use >= 0 {
 		s.GrantsLoads, s.PaceUse = true, use
 	}
-	err := p.actor.Ask(ctx, func() {
+	err := p.actor.Do(ctx, func() {
 		now := p.d.Clock.Since()
 		minute, _ := p.currentMinuteClock(p.d.Conf()).Now(p.d.Clock.Wall(), now)
 		params := p.demandParams()
@@ -36,7 +36,7 @@
 
 // MergePredictions applies the predictions of another core.
 func (p *Planner) MergePredictions(ctx context.Context, s SharedPredictions) error {
-	return p.actor.Ask(ctx, func() { p.mergeShared(s) })
+	return p.actor.Do(ctx, func() { p.mergeShared(s) })
 }
 
 // mergeShared applies the predictions of a core, this one included.
--- a/internal/place/report/relay/relay.go
+++ b/internal/place/report/relay/relay.go
@@ -53,7 +53,7 @@
 type Relay struct {
 	d     Deps
 	actor *run.Actor
-	soon  *run.Nudge
+	soon  *run.Trigger
 	asked map[string]time.Duration // by agent: when it last asked
 	waits map[string]waiting       // by agent that asks
 	peers map[string]*peer         // the other cores, by address
@@ -91,7 +91,7 @@
 func New(d Deps) *Relay {
 	r := &Relay{d: d, asked: map[string]time.Duration{}, waits: map[string]waiting{}, peers: map[string]*peer{}}
 	r.actor = run.NewActor(d.Group, 256, roundEvery, r.round)
-	r.soon = run.NewNudge(r.actor, r.round)
+	r.soon = run.NewTrigger(r.actor, r.round)
 	return r
 }
 
@@ -107,7 +107,7 @@
 	}
 	var vouched []uint32
 	urgent := false
-	err := r.actor.Ask(ctx, func() {
+	err := r.actor.Do(ctx, func() {
 		defer func() { r.count.Store(int64(len(r.asked))) }()
 		if !rep.Relay {
 			delete(r.asked, rep.Agent)
@@ -134,7 +134,7 @@
 // in the next round; a core without time to spare sends no more than its rounds.
 func (r *Relay) outOfTurn() {
 	if r.d.Busy == nil || !r.d.Busy() {
-		r.soon.Now()
+		r.soon.Fire()
 	}
 }
 
@@ -260,7 +260,7 @@
 		one, cancel := context.WithTimeout(ctx, answerWithin)
 		got, err := r.d.Send(one, addr, b)
 		cancel()
-		_ = r.actor.Ask(ctx, func() {
+		_ = r.actor.Do(ctx, func() {
 			p.busy = false
 			if p.late {
 				p.late = false
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -45,7 +45,7 @@
 	// Some peers may be down as well; one response is enough.
 	peers := sample.Of(known, peerPullCount)
 	askedAt := p.env.Clock.Since()
-	results := run.Fan(p.group, len(peers), func(ctx context.Context, i int) touch.Word {
+	results := run.FanOut(p.group, len(peers), func(ctx context.Context, i int) touch.Word {
 		ctx, cancel := context.WithTimeout(ctx, peerPullInterval)
 		defer cancel()
 		return gossip.Mend(ctx, p.caller, p.gossip, peers[i], "")
@@ -162,7 +162,7 @@
 func (p *Proxy) paceExchanges(ctx context.Context, exchangedAt time.Duration) {
 	f := &p.feed
 	if exchangedAt-f.exchangedAt < feedBusyWindow {
-		run.Wait(ctx, busyInterval(p.admission.Waiting()))
+		run.Sleep(ctx, busyInterval(p.admission.Waiting()))
 	}
 	f.exchangedAt = p.env.Clock.Since()
 }
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithTimeout(p.group.Context(), feedTimeout)
 	defer cancel()
 	_, _ = wire.Call[report.Report, feed.Taken](ctx, p.caller, p.settings.Agent, feed.UrgentPath, p.buildReport())
-	run.Wait(ctx, urgentReportGap)
+	run.Sleep(ctx, urgentReportGap)
 }
 
 // updateEdgeCount keeps the largest recent count of edges. During a network partition each edge
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -104,7 +104,7 @@
 	watch            *inventory.Watch
 	servers          []*wire.Server
 	reports          atomic.Uint64 // version of the last report
-	urgentReport     *run.Nudge
+	urgentReport     *run.Trigger
 	startedAt        time.Duration
 	confirmed        atomic.Bool // the routing table is current enough to serve from
 	contact          *touch.Keeper
@@ -152,8 +152,8 @@
 		SinceContact: p.contact.For, Edges: func() int { return int(p.edgeCount.Load()) }, PollReplicas: s.Cadence.ProxiesAsk, Log: p.log, Deaf: s.Bounds.Drain - isolationMargin})
 	p.watch.Start(p.group, s.Cadence.List, func() bool { return p.sinceAgentSeen() > agentTimeout })
 	misses := run.NewActor(p.group, 4, 0, nil)
-	p.urgentReport = run.NewNudge(misses, p.sendUrgentReport)
-	p.admission = admission.New(p.group, p.routes, s.Cadence.Hold, p.urgentReport.Now)
+	p.urgentReport = run.NewTrigger(misses, p.sendUrgentReport)
+	p.admission = admission.New(p.group, p.routes, s.Cadence.Hold, p.urgentReport.Fire)
 	if err := p.listen(); err != nil {
 		p.group.Stop()
 		p.rootGroup.Stop()
@@ -199,7 +199,7 @@
 	// Closing a connection while a caller writes to it would drop that request. So each is closed after a response
 	// that announces it, and only those idle for longer than callers keep them are closed without notice.
 	p.draining.Store(true)
-	run.Wait(ctx, p.lameDuck())
+	run.Sleep(ctx, p.lameDuck())
 	for _, srv := range p.servers {
 		srv.Quiesce(ctx, p.lameDuck())
 	}
@@ -218,12 +218,12 @@
 // until the end; once too little time is left, their requests are refused at once.
 func (p *Proxy) stopWithin(ctx context.Context, grace time.Duration) error {
 	p.draining.Store(true)
-	run.Wait(ctx, grace/4)
+	run.Sleep(ctx, grace/4)
 	p.stopping.Store(true)
 	// Requests still queued for a replica now would not be finished when the grace period ends.
-	run.Wait(ctx, grace/8)
+	run.Sleep(ctx, grace/8)
 	p.admission.Close()
-	for p.serving.Load() > 0 && run.Wait(ctx, pollInterval) {
+	for p.serving.Load() > 0 && run.Sleep(ctx, pollInterval) {
 	}
 	var failed error
 	for _, srv := range p.servers {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -70,7 +70,7 @@
 	if p.readyWaiters.Add(1) > maxReadyWaiters {
 		return
 	}
-	for !p.confirmed.Load() && p.env.Clock.Since()-p.startedAt < p.settings.Cadence.Start && run.Wait(ctx, pollInterval) {
+	for !p.confirmed.Load() && p.env.Clock.Since()-p.startedAt < p.settings.Cadence.Start && run.Sleep(ctx, pollInterval) {
 	}
 }
 
@@ -110,7 +110,7 @@
 	for p.routes.Isolated() {
 		now := p.env.Clock.Since()
 		p.isolatedAt.CompareAndSwap(0, int64(now))
-		if now-time.Duration(p.isolatedAt.Load()) > isolationWait || !run.Wait(ctx, pollInterval) {
+		if now-time.Duration(p.isolatedAt.Load()) > isolationWait || !run.Sleep(ctx, pollInterval) {
 			return false
 		}
 	}
--- a/internal/route/poll.go
+++ b/internal/route/poll.go
@@ -38,7 +38,7 @@
 		r  report
 	}
 	start := rt.clock.Since()
-	ch := run.Fan(rt.group, len(ids), func(ctx context.Context, i int) answer {
+	ch := run.FanOut(rt.group, len(ids), func(ctx context.Context, i int) answer {
 		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		r := s.Replicas[ids[i]]
@@ -62,7 +62,7 @@
 			inventory.Mark(rt.gossip, a.id)
 		}
 	}
-	_ = rt.actor.Tell(func() {
+	_ = rt.actor.TryEnqueue(func() {
 		for _, a := range received {
 			a.r.othersInflight, a.r.previousOthers = max(0, a.r.status.Inflight-int(a.r.ownInflight)), rt.reports[a.id].othersInflight
 			a.r.draw = rand.Float64()
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -90,7 +90,7 @@
 	renewedAt        atomic.Int64           // when the table was last brought up to date, on this proxy's clock
 	departed         map[string]struct{}    // replicas that have left the table and still have live state
 	lastFull         map[bool]time.Duration // when a replica was last seen full: true for models, false for services
-	renewSoon        *run.Nudge
+	renewSoon        *run.Trigger
 	onTable          atomic.Pointer[func()]
 	prefixes         *prefixMemory
 	bulk             *bulkDetector
@@ -137,8 +137,8 @@
 	rt.actor = run.NewActor(d.Group, 256, renewInterval, rt.renew)
 	// A new configuration or a withdrawn item takes effect at once, not at the next interval. Entries that arrive
 	// together lead to a single renewal.
-	rt.renewSoon = run.NewNudge(rt.actor, rt.renew)
-	d.Gossip.OnNew(func(gossip.Entry) { rt.renewSoon.Now() })
+	rt.renewSoon = run.NewTrigger(rt.actor, rt.renew)
+	d.Gossip.OnNew(func(gossip.Entry) { rt.renewSoon.Fire() })
 	if !d.PollReplicas {
 		return rt
 	}
--- a/internal/runbook/runbook.go
+++ b/internal/runbook/runbook.go
@@ -94,7 +94,7 @@
 	ctx, cancel := context.WithTimeout(ctx, checkFor)
 	defer cancel()
 	missing := b.Check(s)
-	for len(missing) > 0 && run.Wait(ctx, lookEvery) {
+	for len(missing) > 0 && run.Sleep(ctx, lookEvery) {
 		if now, err := c.Status(ctx); err == nil {
 			missing = b.Check(now)
 		}
@@ -140,7 +140,7 @@
 				did = true
 			}
 		}
-		if !run.Wait(ctx, lookEvery) {
+		if !run.Sleep(ctx, lookEvery) {
 			return errors.Errorf("gave up: %s", what)
 		}
 	}
--- a/internal/sim/capacity/agents_test.go
+++ b/internal/sim/capacity/agents_test.go
@@ -67,7 +67,7 @@
 				if err == nil {
 					up.AgentBoot, up.Cursor, up.Confirmed = d.AgentBoot, d.Cursor, d.Confirmed
 				}
-				run.Wait(ctx, 2*time.Millisecond)
+				run.Sleep(ctx, 2*time.Millisecond)
 				n, b := caller.Sent()
 				_ = n
 				if i == 0 {
--- a/internal/sim/capacity/meter_test.go
+++ b/internal/sim/capacity/meter_test.go
@@ -54,7 +54,7 @@
 	}
 	// Why: what is written is counted once the write is over, and the caller may have read the answer by then.
 	for end := time.Now().Add(5 * time.Second); server.Counts()[Answered+"/two"].Out < caller.Counts()[Asked+"/two"].In && time.Now().Before(end); {
-		run.Wait(t.Context(), time.Millisecond)
+		run.Sleep(t.Context(), time.Millisecond)
 	}
 	asked, answered := caller.Counts(), server.Counts()
 	for path, n := range map[string]int64{"/one": 1, "/two": 2} {
--- a/internal/sim/simstate/simstate.go
+++ b/internal/sim/simstate/simstate.go
@@ -67,7 +67,7 @@
 		if len(own.Held()) == state.SlotCount {
 			return own, acc, nil
 		}
-		run.Wait(ctx, lookEvery)
+		run.Sleep(ctx, lookEvery)
 	}
 	return nil, acc, errors.New("simstate: the slots were not taken")
 }
--- a/internal/stand/answer.go
+++ b/internal/stand/answer.go
@@ -124,7 +124,7 @@
 		defer t.Stop()
 		select {
 		case <-t.C:
-			r.group.Pass()
+			r.group.WaitWhileFrozen()
 			return true
 		case <-q.Context().Done():
 			return false
--- a/internal/stand/client.go
+++ b/internal/stand/client.go
@@ -222,7 +222,7 @@
 // call asks once, and once more when told when to come back.
 func (v *Clients) call(ctx context.Context, edges func() []Edge, e Edge, q Request) {
 	a := v.Ask(ctx, e, q)
-	if !v.Heed || a.Outcome != check.TurnedNo || a.AgainS == 0 || !run.Wait(ctx, time.Duration(a.AgainS)*time.Second) {
+	if !v.Heed || a.Outcome != check.TurnedNo || a.AgainS == 0 || !run.Sleep(ctx, time.Duration(a.AgainS)*time.Second) {
 		return
 	}
 	q.of = a.Ticket
--- a/internal/stand/orders.go
+++ b/internal/stand/orders.go
@@ -99,8 +99,8 @@
 
 func (r *Replica) later(d time.Duration, f func()) {
 	r.group.Go(func(ctx context.Context) {
-		if run.Wait(ctx, d) {
-			r.group.Pass()
+		if run.Sleep(ctx, d) {
+			r.group.WaitWhileFrozen()
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			f()
--- a/internal/state/acceptor/membership.go
+++ b/internal/state/acceptor/membership.go
@@ -42,7 +42,7 @@
 		st  Membership
 		err error
 	}
-	out, err := run.AskFor(ctx, a.membershipActor, func() answer {
+	out, err := run.Call(ctx, a.membershipActor, func() answer {
 		now, change := f(*a.membership.Load())
 		if change {
 			if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyMembership, wire.Pack(now), nil) }); err != nil {
@@ -100,7 +100,7 @@
 // inActor runs f in an actor and returns its error. When ctx ends it returns at once, and
 // f may still run.
 func inActor(ctx context.Context, actor *run.Actor, f func() error) error {
-	result, err := run.AskFor(ctx, actor, f)
+	result, err := run.Call(ctx, actor, f)
 	if err != nil {
 		return err
 	}
--- a/internal/state/acceptor/slot.go
+++ b/internal/state/acceptor/slot.go
@@ -122,7 +122,7 @@
 	}
 	t := a.slots[q.Slot]
 	// A stalled disk must not block the caller beyond its deadline; what is synced after that still takes effect.
-	return run.AskFor(ctx, t.actor, func() state.Reply {
+	return run.Call(ctx, t.actor, func() state.Reply {
 		r, ok := a.checkVote(q.SetVersion)
 		if ok {
 			f(t, &r)
--- a/internal/state/coremembers/catchup.go
+++ b/internal/state/coremembers/catchup.go
@@ -86,7 +86,7 @@
 	}
 	q := state.Request{SetVersion: st.Set.Version, From: k.d.Self(), Slot: slot}
 	voters := st.Previous.Cores
-	answers := run.Fan(k.d.Group, len(voters), func(ctx context.Context, i int) answer {
+	answers := run.FanOut(k.d.Group, len(voters), func(ctx context.Context, i int) answer {
 		if voters[i].SameVoter(k.d.Self()) {
 			return answer{err: wire.ErrUnreachable}
 		}
--- a/internal/state/coremembers/change.go
+++ b/internal/state/coremembers/change.go
@@ -57,7 +57,7 @@
 	a := SetUpdate{Set: next, Previous: old}
 	to := append(append([]state.Core{}, old.Cores...), next.Cores...)
 	// The set is sent in parallel, so that an unreachable voter does not delay the others.
-	sent := run.Fan(k.d.Group, len(to), func(ctx context.Context, i int) bool {
+	sent := run.FanOut(k.d.Group, len(to), func(ctx context.Context, i int) bool {
 		if to[i].SameVoter(k.d.Self()) {
 			_, _ = k.adopt(ctx, a)
 		} else {
@@ -95,7 +95,7 @@
 
 // UpdateBehind sends this core's set to a voter with an older one, without waiting for the result.
 func (k *Manager) UpdateBehind(c state.Core) {
-	_ = k.actor.Tell(func() {
+	_ = k.actor.TryEnqueue(func() {
 		ctx, cancel := context.WithTimeout(k.d.Group.Context(), roundTimeout)
 		defer cancel()
 		st := k.d.Acceptor.Membership()
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -92,7 +92,7 @@
 	})
 	k.actor = run.NewActor(d.Group, 32, tickInterval, k.onTick)
 	// A core that is restarted before its first round must still know that it may form the first set.
-	_ = k.actor.Tell(func() {
+	_ = k.actor.TryEnqueue(func() {
 		ctx, cancel := context.WithTimeout(d.Group.Context(), roundTimeout)
 		defer cancel()
 		k.persistFirstStart(ctx)
--- a/internal/state/owner/changes.go
+++ b/internal/state/owner/changes.go
@@ -87,7 +87,7 @@
 	s := o.slots[state.SlotOf(key)]
 	c := &change{ctx: ctx, key: key, update: f, done: make(chan struct{})}
 	s.changes.push(c)
-	err := s.actor.Ask(ctx, func() {
+	err := s.actor.Do(ctx, func() {
 		for !c.isDone() {
 			s.writeBatch()
 		}
--- a/internal/state/owner/missed_test.go
+++ b/internal/state/owner/missed_test.go
@@ -105,7 +105,7 @@
 func (v *cluster) missedBy(t *testing.T) (n int) {
 	t.Helper()
 	s := v.owner.slots[state.SlotOf(testKey)]
-	if err := s.actor.Ask(context.Background(), func() { n = len(s.missed) }); err != nil {
+	if err := s.actor.Do(context.Background(), func() { n = len(s.missed) }); err != nil {
 		t.Fatal(err)
 	}
 	return n
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -90,7 +90,7 @@
 func (o *Owner) Stop(ctx context.Context) {
 	o.stopped.Store(true)
 	for _, s := range o.slots {
-		_ = s.actor.Ask(ctx, func() { s.giveUp("stopping", true) })
+		_ = s.actor.Do(ctx, func() { s.giveUp("stopping", true) })
 	}
 }
 
--- a/internal/state/owner/owner_test.go
+++ b/internal/state/owner/owner_test.go
@@ -108,7 +108,7 @@
 		time.Sleep(10 * time.Second)
 		lost := time.Now()
 		s := p.owner.slots[state.SlotOf(testKey)]
-		if err := s.actor.Ask(context.Background(), func() { s.giveUp("test", true) }); err != nil {
+		if err := s.actor.Do(context.Background(), func() { s.giveUp("test", true) }); err != nil {
 			t.Fatal(err)
 		}
 		waitFor(t, 10*time.Second, holds)
--- a/internal/state/owner/poll.go
+++ b/internal/state/owner/poll.go
@@ -37,7 +37,7 @@
 // voter that has not answered yet.
 func (o *Owner) pollWithLate(set state.CoreSet, path string, q state.Request, local func(context.Context, state.Request) (state.Reply, error), early bool) (accepted, refused []state.Reply, missed []state.Core, late lateReplies) {
 	self := o.d.Self()
-	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) voterAnswer {
+	ch := run.FanOut(o.d.Group, len(set.Cores), func(ctx context.Context, i int) voterAnswer {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		c := set.Cores[i]
--- a/internal/state/owner/renew.go
+++ b/internal/state/owner/renew.go
@@ -20,7 +20,7 @@
 		return
 	}
 	q := state.RenewRequest{SetVersion: set.Version, From: self, Epochs: epochs}
-	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) state.RenewReply {
+	ch := run.FanOut(o.d.Group, len(set.Cores), func(ctx context.Context, i int) state.RenewReply {
 		return o.renewWith(ctx, set.Cores[i], q, sentAt)
 	})
 	granted := map[int]int{}
--- a/internal/state/owner/repair.go
+++ b/internal/state/owner/repair.go
@@ -25,7 +25,7 @@
 	}
 	sum := acceptor.Sum(all)
 	self := o.d.Self()
-	ch := run.Fan(o.d.Group, len(set.Cores), func(ctx context.Context, i int) repairResult {
+	ch := run.FanOut(o.d.Group, len(set.Cores), func(ctx context.Context, i int) repairResult {
 		c := set.Cores[i]
 		if c.SameVoter(self) {
 			return repairResult{voter: c, current: true}
--- a/internal/state/owner/write.go
+++ b/internal/state/owner/write.go
@@ -14,7 +14,7 @@
 	s := o.slots[state.SlotOf(key)]
 	var rec state.Record
 	var found, held bool
-	err := s.actor.Ask(ctx, func() {
+	err := s.actor.Do(ctx, func() {
 		rec, found = s.records[key]
 		// The lease is checked after the read, so that an expired lease that no tick has noticed yet cannot yield a stale value.
 		held = s.held()
@@ -96,7 +96,7 @@
 		for range late.remaining {
 			if a := <-late.answers; a.err == nil && a.reply.OK {
 				// If the actor's queue is full the entry remains, and the next digest comparison clears it.
-				_ = s.actor.Tell(func() { s.clearMissed(set.Cores[a.voter].Name, written) })
+				_ = s.actor.TryEnqueue(func() { s.clearMissed(set.Cores[a.voter].Name, written) })
 			}
 		}
 	})
