--- a/cmd/dsagent/main.go
+++ b/cmd/dsagent/main.go
@@ -25,7 +25,7 @@
 func main() {
 	os.Exit(setup.Program("dsagent", "link between a proxy and the control plane of drumstall", rows, func(s setup.Set) (func(context.Context) error, func() bool, error) {
 		a, err := agent.Start(agent.Settings{Name: s["name"], Zone: s["zone"], Addr: s["addr"], Feed: s["feed"], Seeds: s.List("seeds"), Platform: s["platform"]},
-			core.Env{Net: wire.Host(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
+			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/cmd/dsfleet/main.go
+++ b/cmd/dsfleet/main.go
@@ -79,7 +79,7 @@
 		f.lower()
 		return 1
 	}
-	v := stand.NewClients("v", wire.Host(), f.rec)
+	v := stand.NewClients("v", wire.HostNetwork(), f.rec)
 	if err := f.serves(ctx, v); err != nil {
 		fmt.Fprintln(os.Stderr, "dsfleet:", err)
 		f.lower()
--- a/cmd/dsproxy/main.go
+++ b/cmd/dsproxy/main.go
@@ -24,7 +24,7 @@
 func main() {
 	os.Exit(setup.Program("dsproxy", "traffic of drumstall", rows, func(s setup.Set) (func(context.Context) error, func() bool, error) {
 		p, err := proxy.Start(proxy.Settings{Name: s["name"], Zone: s["zone"], Callers: s["callers"], Agent: s["agent"], Platform: s["platform"]},
-			core.Env{Net: wire.Host(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
+			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/cmd/dsstand/main.go
+++ b/cmd/dsstand/main.go
@@ -55,7 +55,7 @@
 		}
 		rec := stand.NewRecord(zero, out)
 		if s["role"] == "platform" {
-			p, err := stand.StartPlatform(s["addr"], wire.Host(), rec)
+			p, err := stand.StartPlatform(s["addr"], wire.HostNetwork(), rec)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -63,7 +63,7 @@
 		}
 		r, err := stand.StartReplica(stand.ReplicaSettings{ID: s["id"], Addr: s["addr"], Model: s["role"] == "model", Service: s["service"],
 			CapacityMib: s.Int("capacity"), AdapterPlaces: s.Int("adapters"), Slots: s.Int("slots"), Pieces: s.Int("pieces"),
-			PieceFor: s.Span("piece"), ColdFor: s.Span("cold"), Prefixes: s.Int("prefixes"), LoadMibPerS: s.Int("rate")}, wire.Host(), rec)
+			PieceFor: s.Span("piece"), ColdFor: s.Span("cold"), Prefixes: s.Int("prefixes"), LoadMibPerS: s.Int("rate")}, wire.HostNetwork(), rec)
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -40,7 +40,7 @@
 
 func holderEntry(version uint64) gossip.Entry {
 	return gossip.Entry{Key: order.Key("r"), Stamp: state.Stamp{Epoch: 1, Version: version},
-		Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r", Model: true}, Slots: 1, Items: map[string]string{"m": backend.Loaded}})}
+		Value: wire.Marshal(order.Status{Listed: inventory.Listed{ID: "r", Model: true}, Slots: 1, Items: map[string]string{"m": backend.Loaded}})}
 }
 
 func TestItemWithoutHolderIsRejectedAfterTimeout(t *testing.T) {
--- a/internal/admission/tenant_test.go
+++ b/internal/admission/tenant_test.go
@@ -38,7 +38,7 @@
 			}
 			table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 2}, Value: conf.Kept{Serial: 2, Objects: objects}.Pack()})
 			table.Put(gossip.Entry{Key: order.Key("r"), Stamp: state.Stamp{Epoch: 1, Version: 1},
-				Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r", Model: true}, Slots: 1000, Items: map[string]string{"m": backend.Loaded}})})
+				Value: wire.Marshal(order.Status{Listed: inventory.Listed{ID: "r", Model: true}, Slots: 1000, Items: map[string]string{"m": backend.Loaded}})})
 			synctest.Wait()
 			group := run.NewGroup(context.Background())
 			defer group.Stop()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -59,10 +59,10 @@
 	spread    *gossip.Spreader
 	members   *member.Table
 	watch     *inventory.Watch
-	caller    *wire.Caller
+	caller    *wire.Client
 	mux       *wire.Mux
 	feedMux   *wire.Mux
-	post      *wire.Post
+	post      *wire.DatagramSocket
 	servers   []*wire.Server
 	confirmed atomic.Bool
 	confirms  confirmation
@@ -86,7 +86,7 @@
 // Start begins to take part.
 func Start(s Settings, env core.Env) (*Agent, error) {
 	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), base: run.NewGroup(context.Background()),
-		gossip: gossip.NewTable(), caller: wire.NewCaller(env.Net), mux: wire.NewMux(), feedMux: wire.NewMux()}
+		gossip: gossip.NewTable(), caller: wire.NewClient(env.Net), mux: wire.NewMux(), feedMux: wire.NewMux()}
 	a.group = a.base.Child()
 	a.s.Bounds, a.s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
 	s = a.s
@@ -110,7 +110,7 @@
 		return nil, errors.Wrap(err, "agent: feed address")
 	}
 	a.gossip.OnNew(a.onGossip)
-	a.post = wire.NewPost(pc)
+	a.post = wire.NewDatagramSocket(pc)
 	self := member.Node{Name: s.Name, Role: member.RoleAgent, Zone: s.Zone, Addr: s.Addr, Boot: a.boot, Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), Build: env.BuildName()}
 	a.members = member.New(a.group, env.Clock, a.log, a.post, a.caller, a.mux, self, s.Seeds, a.touch)
 	a.spread = gossip.NewSpreader(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
@@ -120,7 +120,7 @@
 	a.reporting = run.NewActor(a.group, 32, s.Cadence.Report, a.report)
 	a.urgent = run.NewTrigger(a.reporting, a.report)
 	a.group.Every(confirmInterval, a.confirm)
-	load.Watch(a.group, a.log, a.mux.Served, a.feedMux.Served, a.post.Served)
+	load.Watch(a.group, a.log, a.mux.Stats, a.feedMux.Stats, a.post.Stats)
 	a.base.Go(a.post.Run)
 	for _, srv := range []*wire.Server{wire.NewServer(ln, a.mux), wire.NewServer(fl, a.feedMux)} {
 		a.servers = append(a.servers, srv)
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -148,7 +148,7 @@
 	}
 	if err == nil && got.Whole {
 		r.Relay = b.relay
-		packed := wire.Pack(r)
+		packed := wire.Marshal(r)
 		whole = len(packed)
 		got, err = a.tellReport(ctx, core.Addr, packed, within)
 	}
@@ -264,9 +264,9 @@
 func pack(latest report.Report, base takenReport) cbor.RawMessage {
 	switch {
 	case base.report.Version == 0:
-		return wire.Pack(latest)
+		return wire.Marshal(latest)
 	case base.inflight:
-		return wire.Pack(latest.SinceInflight(base.report))
+		return wire.Marshal(latest.SinceInflight(base.report))
 	}
-	return wire.Pack(latest.Since(base.report))
+	return wire.Marshal(latest.Since(base.report))
 }
--- a/internal/agent/report_test.go
+++ b/internal/agent/report_test.go
@@ -12,7 +12,7 @@
 func unpacked(t *testing.T, b body) report.Report {
 	t.Helper()
 	var r report.Report
-	if err := wire.Unpack(b.packed, &r); err != nil {
+	if err := wire.Unmarshal(b.packed, &r); err != nil {
 		t.Fatal(err)
 	}
 	return r
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -81,7 +81,7 @@
 }
 
 // NewSender returns a sender that dials through n. A response without data for stallTimeout is ended.
-func NewSender(n wire.Net, protocol Protocol, stallTimeout time.Duration) *Sender {
+func NewSender(n wire.Network, protocol Protocol, stallTimeout time.Duration) *Sender {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := n.Dial(ctx, network, addr)
 		if err != nil {
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -265,4 +265,4 @@
 	}
 }
 
-var _ wire.Net = (*simnet.Host)(nil)
+var _ wire.Network = (*simnet.Host)(nil)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -23,7 +23,7 @@
 		_, _ = io.WriteString(w, body)
 	}))
 	defer srv.Close()
-	c := NewNative(wire.Host())
+	c := NewNative(wire.HostNetwork())
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -83,7 +83,7 @@
 			w.WriteHeader(c.status)
 			_, _ = io.WriteString(w, c.body)
 		}))
-		conn := NewNative(wire.Host())
+		conn := NewNative(wire.HostNetwork())
 		err := conn.Order(t.Context(), Target{Addr: strings.TrimPrefix(srv.URL, "http://")}, Order{ID: "1", Verb: Load, Item: conf.Item{Model: "m"}, Epoch: 1, Controller: "c"})
 		if c.want == nil && err != nil || c.want != nil && !errors.Is(err, c.want) {
 			t.Errorf("status %d: got %v, want %v", c.status, err, c.want)
@@ -91,7 +91,7 @@
 		conn.Close()
 		srv.Close()
 	}
-	conn := NewNative(wire.Host())
+	conn := NewNative(wire.HostNetwork())
 	defer conn.Close()
 	if err := conn.Order(t.Context(), Target{Addr: "127.0.0.1:1"}, Order{ID: "1", Verb: Load, Item: conf.Item{Model: "m"}}); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("connection refused: %v", err)
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -50,12 +50,12 @@
 )
 
 // Pack encodes for the control state and the gossip.
-func (k Kept) Pack() []byte { return wire.Pack(k) }
+func (k Kept) Pack() []byte { return wire.Marshal(k) }
 
 // Unpack reads what Pack wrote; an error says that it is not that.
 func Unpack(b []byte) (Kept, error) {
 	var k Kept
-	err := wire.Unpack(b, &k)
+	err := wire.Unmarshal(b, &k)
 	return k, err
 }
 
--- a/internal/core/consider.go
+++ b/internal/core/consider.go
@@ -91,7 +91,7 @@
 	case err != nil:
 		return unheard(q, err)
 	case len(got.Answers) != len(q.Replicas):
-		return unheard(q, wire.ErrGarbled)
+		return unheard(q, wire.ErrMalformed)
 	}
 	return got.Answers
 }
--- a/internal/core/consider_test.go
+++ b/internal/core/consider_test.go
@@ -63,7 +63,7 @@
 		g := run.NewGroup(t.Context())
 		server := wire.NewServer(ln, a.mux())
 		g.Go(server.Run)
-		c := &Core{group: g, caller: wire.NewCaller(fabric.Host("10.0.0.1"))}
+		c := &Core{group: g, caller: wire.NewClient(fabric.Host("10.0.0.1"))}
 		answers = c.considerAllAt(t.Context(), "10.0.0.2:7000", order.ConsiderBatchRequest{Request: order.ConsiderRequest{Item: "m"}, Replicas: replicas})
 		c.caller.Close()
 		server.Close()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -66,7 +66,7 @@
 
 // Env is the machine a core runs on, real or simulated.
 type Env struct {
-	Net   wire.Net
+	Net   wire.Network
 	Clock tick.Clock
 	FS    vfs.FS
 	Log   *ring.Ring
@@ -104,9 +104,9 @@
 	views          *plan.StatusCache
 	watch          *inventory.Watch
 	replicas       backend.Client
-	caller         *wire.Caller
+	caller         *wire.Client
 	mux            *wire.Mux
-	post           *wire.Post
+	post           *wire.DatagramSocket
 	servers        []*wire.Server
 	conf           atomic.Pointer[conf.Effective]
 	serial         atomic.Uint64
@@ -145,7 +145,7 @@
 func Start(s Settings, env Env) (*Core, error) {
 	c := &Core{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: NewBoot(),
 		base: run.NewGroup(context.Background()), gossip: gossip.NewTable(), reports: report.NewTable(),
-		caller: wire.NewCaller(env.Net), mux: wire.NewMux(),
+		caller: wire.NewClient(env.Net), mux: wire.NewMux(),
 		controllers: map[string]*controlled{}, absent: map[string]time.Duration{}}
 	c.group = c.base.Child()
 	c.began = env.Clock.Since()
@@ -182,7 +182,7 @@
 		c.base.Stop()
 		return nil, err
 	}
-	c.post = wire.NewPost(pc)
+	c.post = wire.NewDatagramSocket(pc)
 	c.watch = inventory.NewWatch(s.Lister, env.Clock, c.log, c.gossip)
 	c.touch = touch.New(env.Clock, func() time.Duration { return c.watch.HeardFor() }, c.heardMost)
 	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acc.DiskID(),
@@ -205,7 +205,7 @@
 		Reports: c.reports, Conf: c.effective, Views: c.views.Statuses, Ask: c.consider, AskAll: c.considerAll, Tell: c.tellShared, Busy: c.lag.Busy})
 	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
 		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Taken, error) {
-			return wire.CallLarge[relay.Taken](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
+			return wire.CallEncoded[relay.Taken](ctx, c.caller, addr, relay.Path, wire.EncodeMessage(b))
 		}, Busy: c.lag.Busy})
 	c.set = coremembers.New(coremembers.Deps{Self: c.self, Want: s.Cores, InitialAddrs: s.Founders, MayBootstrap: s.MayFound, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
 		Acceptor: c.acc, Owner: c.own, Live: c.liveCores, Addr: c.addrOf, Gone: c.goneFor, SinceContact: c.heardFor}, c.mux)
@@ -226,7 +226,7 @@
 		disk := c.acc.DiskID()
 		c.members.SetSelf(func(n *member.Node) { n.Phase, n.Disk = phase, disk })
 	})
-	load.Watch(c.group, c.log, c.mux.Served, c.post.Served)
+	load.Watch(c.group, c.log, c.mux.Stats, c.post.Stats)
 	c.base.Go(c.post.Run)
 	for _, srv := range append([]*wire.Server{wire.NewServer(ln, c.mux)}, servers...) {
 		c.servers = append(c.servers, srv)
--- a/internal/core/serve.go
+++ b/internal/core/serve.go
@@ -21,11 +21,11 @@
 		a, err := c.submit(ctx, s)
 		return a, coded(err)
 	})
-	wire.HandleLarge(c.mux, newestPath, func(ctx context.Context, q NewestQuery) (Newest, error) {
+	wire.HandleCompressed(c.mux, newestPath, func(ctx context.Context, q NewestQuery) (Newest, error) {
 		a, err := c.newest(ctx, q)
 		return a, coded(err)
 	})
-	wire.HandleLarge(c.mux, ConfirmPath, func(ctx context.Context, q NewestQuery) (Newest, error) {
+	wire.HandleCompressed(c.mux, ConfirmPath, func(ctx context.Context, q NewestQuery) (Newest, error) {
 		a, err := c.confirm(ctx, q)
 		return a, coded(err)
 	})
@@ -46,7 +46,7 @@
 		return none{}, c.planner.MergePredictions(ctx, s)
 	})
 	wire.Handle(c.mux, "/place/report", c.takeReport)
-	wire.HandleLarge(c.mux, relay.Path, func(ctx context.Context, b relay.Batch) (relay.Taken, error) {
+	wire.HandleCompressed(c.mux, relay.Path, func(ctx context.Context, b relay.Batch) (relay.Taken, error) {
 		return relay.Take(ctx, b, c.planner.ApplyReports)
 	})
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -76,7 +76,7 @@
 // served is what calls and datagrams have cost this core, by path and kind.
 func (c *Core) served() map[string]servedCalls {
 	out := map[string]servedCalls{}
-	for name, s := range load.Served(c.mux.Served, c.post.Served) {
+	for name, s := range load.Served(c.mux.Stats, c.post.Stats) {
 		out[name] = servedCalls{Calls: s.Calls, BytesIn: s.In, BytesOut: s.Out, TookMs: s.Took.Milliseconds()}
 	}
 	return out
@@ -134,7 +134,7 @@
 		"core": c.s.Name, "phase": string(st.Phase), "coreSet": st.Set, "slots": held, "members": members,
 		"busy": c.lag.Busy(), "served": c.served(), "decisions": c.planner.Progress(), "conf": serial, "laggards": laggards, "edges": edges, "tenants": tenants, "replicas": views.All,
 		"claimsUnmet": gather(ctx, c, "/place/unmet", c.planner.UnmetClaims), "afloatS": gather(ctx, c, "/place/afloat", c.planner.OutstandingLoads), "inflight": inflight, "platformHeardMs": c.watch.HeardFor().Milliseconds(),
-		"counts": map[string]int64{"garbledCalls": c.mux.Garbled(), "garbledAnswers": c.caller.Garbled(), "garbledGrams": c.post.Garbled(),
+		"counts": map[string]int64{"garbledCalls": c.mux.Malformed(), "garbledAnswers": c.caller.Malformed(), "garbledGrams": c.post.Malformed(),
 			"news": int64(known), "newsDropped": dropped, "handedOver": c.own.Repaired(), "edgesRelayed": c.relay.Agents(),
 			"callsMade": calls, "bytesCalled": bytes, "gramsSent": c.post.Sent()},
 	}
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -39,11 +39,11 @@
 // has answered, a second is over or ctx ends; who could not be reached learns them later. It
 // gives how many have answered.
 func (s *Spreader) Push(ctx context.Context, to []string, entries ...Entry) int {
-	message := wire.Prepare(bundle{From: s.self(), Entries: entries})
+	message := wire.EncodeMessage(bundle{From: s.self(), Entries: entries})
 	ch := run.FanOut(s.g, len(to), func(_ context.Context, i int) bool {
 		one, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		_, err := wire.CallLarge[Pushed](one, s.caller, to[i], "/news/push", message)
+		_, err := wire.CallEncoded[Pushed](one, s.caller, to[i], "/news/push", message)
 		return err == nil
 	})
 	reached := 0
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -50,7 +50,7 @@
 
 // sumOf is what an entry adds to the sum of its bucket.
 func sumOf(e Entry) [sha256.Size]byte {
-	return sha256.Sum256(wire.Pack([]any{e.Key, e.Stamp.Epoch, e.Stamp.Version}))
+	return sha256.Sum256(wire.Marshal([]any{e.Key, e.Stamp.Epoch, e.Stamp.Version}))
 }
 
 // xor adds b to a sum, or takes it out again.
@@ -158,7 +158,7 @@
 
 // Mend makes a table and a peer's know what either knows. It gives the peer's word
 // on how long it has been out of touch, or 0 where that could not be done.
-func Mend(ctx context.Context, caller *wire.Caller, t *Table, addr, self string) touch.Word {
+func Mend(ctx context.Context, caller *wire.Client, t *Table, addr, self string) touch.Word {
 	d, err := wire.Call[Digest, Diff](ctx, caller, addr, digestPath, Digest{Total: t.total()})
 	if err == nil && !d.ReadsTotal {
 		d, err = wire.Call[Digest, Diff](ctx, caller, addr, digestPath, t.digest())
@@ -183,7 +183,7 @@
 		b := t.pick(g.Want)
 		b.From = self
 		// Why: what it lacks is its own loss; what we lacked is here.
-		_, _ = wire.CallLarge[Pushed](ctx, caller, addr, "/news/push", wire.Prepare(b))
+		_, _ = wire.CallEncoded[Pushed](ctx, caller, addr, "/news/push", wire.EncodeMessage(b))
 	}
 	return d.Touch
 }
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -22,7 +22,7 @@
 		}
 		return table.compare(d), nil
 	})
-	wire.HandleLarge(mux, "/news/gap", func(_ context.Context, h Heads) (Gap, error) { return table.gap(h), nil })
+	wire.HandleCompressed(mux, "/news/gap", func(_ context.Context, h Heads) (Gap, error) { return table.gap(h), nil })
 	wire.Handle(mux, "/news/push", func(_ context.Context, b bundle) (Pushed, error) {
 		for _, e := range b.Entries {
 			table.Learn(e)
@@ -49,7 +49,7 @@
 			}
 		}
 		addr, asked := digestPeer(t, b, earlier)
-		caller := wire.NewCaller(wire.Host())
+		caller := wire.NewClient(wire.HostNetwork())
 		t.Cleanup(caller.Close)
 		Mend(t.Context(), caller, a, addr, "a")
 		if !bytes.Equal(a.total(), b.total()) || fmt.Sprint(a.digest()) != fmt.Sprint(b.digest()) {
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -167,7 +167,7 @@
 type packedAnswer struct {
 	mu     sync.Mutex
 	entry  headed
-	answer wire.Large
+	answer wire.EncodedMessage
 }
 
 // headed is an entry by its key and stamp.
@@ -177,15 +177,15 @@
 }
 
 // of packs an answer, once for all who ask for the same one large entry.
-func (p *packedAnswer) of(b bundle) wire.Large {
+func (p *packedAnswer) of(b bundle) wire.EncodedMessage {
 	if len(b.Entries) != 1 || len(b.Entries[0].Value) <= smallBytes {
-		return wire.Prepare(b)
+		return wire.EncodeMessage(b)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	of := headed{b.Entries[0].Key, b.Entries[0].Stamp}
 	if p.entry != of {
-		p.entry, p.answer = of, wire.Prepare(b)
+		p.entry, p.answer = of, wire.EncodeMessage(b)
 	}
 	return p.answer
 }
--- a/internal/gossip/push_test.go
+++ b/internal/gossip/push_test.go
@@ -26,7 +26,7 @@
 type nodes struct {
 	g       *run.Group
 	cores   int
-	callers []*wire.Caller
+	callers []*wire.Client
 	fabric  *simnet.Fabric
 	addrs   []string
 	tables  []*Table
@@ -68,7 +68,7 @@
 	}
 	n.fabric.Rate(ip, rate)
 	host := n.fabric.Host(ip)
-	post, caller, mux, table := wire.NewPost(listen(t, host, n.addrs[i])), wire.NewCaller(host), wire.NewMux(), NewTable()
+	post, caller, mux, table := wire.NewDatagramSocket(listen(t, host, n.addrs[i])), wire.NewClient(host), wire.NewMux(), NewTable()
 	ln, err := host.Listen(n.addrs[i])
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -28,8 +28,8 @@
 	t      *Table
 	g      *run.Group
 	log    *slog.Logger
-	post   *wire.Post
-	caller *wire.Caller
+	post   *wire.DatagramSocket
+	caller *wire.Client
 	self   func() string
 	peers  func() []string
 	tree   func() Tree          // nil is a fleet without one
@@ -42,15 +42,15 @@
 // NewSpreader starts to pass news on and to take it, until g stops. self and peers
 // give addresses as they are now, and tree whom this node tells in a large fleet; in is
 // this node's word on how long it has been out of touch.
-func NewSpreader(g *run.Group, t *Table, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Keeper) *Spreader {
+func NewSpreader(g *run.Group, t *Table, log *slog.Logger, post *wire.DatagramSocket, caller *wire.Client, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Keeper) *Spreader {
 	s := &Spreader{t: t, g: g, log: log, post: post, caller: caller, self: self, peers: peers, tree: tree, turns: make(chan struct{}, mostPulls)}
 	for range mostPulls {
 		s.turns <- struct{}{}
 	}
-	post.On("news", func(body []byte) {
+	post.Handle("news", func(body []byte) {
 		var b bundle
-		if wire.Unpack(body, &b) != nil {
-			post.Bad()
+		if wire.Unmarshal(body, &b) != nil {
+			post.CountMalformed()
 			return
 		}
 		s.take(b)
@@ -77,13 +77,13 @@
 		}
 		return p, nil
 	})
-	wire.HandlePrepared(mux, pullPath, func(_ context.Context, g Gap) (wire.Large, error) { return s.packed.of(t.pick(g.Want)), nil })
+	wire.HandleEncoded(mux, pullPath, func(_ context.Context, g Gap) (wire.EncodedMessage, error) { return s.packed.of(t.pick(g.Want)), nil })
 	wire.Handle(mux, digestPath, func(_ context.Context, d Digest) (Diff, error) {
 		out := t.compare(d)
 		out.Touch = in.Word()
 		return out, nil
 	})
-	wire.HandleLarge(mux, "/news/gap", func(_ context.Context, h Heads) (Gap, error) { return t.gap(h), nil })
+	wire.HandleCompressed(mux, "/news/gap", func(_ context.Context, h Heads) (Gap, error) { return t.gap(h), nil })
 }
 
 // passOn sends what is new to whom it is for: in a small fleet to all, in a large
@@ -149,11 +149,11 @@
 func (s *Spreader) send(to []string, out []Entry) {
 	for len(out) > 0 {
 		n, size := 0, 64
-		for n < len(out) && (n == 0 || size+len(out[n].Key)+len(out[n].Value)+40 < wire.MaxGram) {
+		for n < len(out) && (n == 0 || size+len(out[n].Key)+len(out[n].Value)+40 < wire.MaxDatagram) {
 			size += len(out[n].Key) + len(out[n].Value) + 40
 			n++
 		}
-		body := wire.Pack(bundle{From: s.self(), Entries: out[:n]})
+		body := wire.Marshal(bundle{From: s.self(), Entries: out[:n]})
 		for _, p := range to {
 			s.post.Send(p, "news", body)
 		}
--- a/internal/gossip/spread_test.go
+++ b/internal/gossip/spread_test.go
@@ -37,11 +37,11 @@
 		g := run.NewGroup(t.Context())
 		fab := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
 		l := &listeners{got: map[string]int{}}
-		posts := []*wire.Post{wire.NewPost(listen(t, fab.Host("10.0.0.1"), "10.0.0.1:90"))}
+		posts := []*wire.DatagramSocket{wire.NewDatagramSocket(listen(t, fab.Host("10.0.0.1"), "10.0.0.1:90"))}
 		for i := range peers {
 			ip := fmt.Sprintf("10.0.1.%d", i+1)
-			p := wire.NewPost(listen(t, fab.Host(ip), ip+":90"))
-			p.On("news", l.take)
+			p := wire.NewDatagramSocket(listen(t, fab.Host(ip), ip+":90"))
+			p.Handle("news", l.take)
 			g.Go(func(ctx context.Context) { p.Run(ctx) })
 			posts, l.addrs = append(posts, p), append(l.addrs, ip+":90")
 		}
@@ -57,7 +57,7 @@
 
 func (l *listeners) take(body []byte) {
 	var b bundle
-	if wire.Unpack(body, &b) != nil {
+	if wire.Unmarshal(body, &b) != nil {
 		return
 	}
 	l.mu.Lock()
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -59,7 +59,7 @@
 }
 
 // NewLister asks the platform at an address over the design's own API.
-func NewLister(n wire.Net, addr string, log *slog.Logger) Lister {
+func NewLister(n wire.Network, addr string, log *slog.Logger) Lister {
 	return &native{addr: addr, log: log, http: &http.Client{
 		Transport:     &http.Transport{DialContext: n.Dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
--- a/internal/kernel/load/load.go
+++ b/internal/kernel/load/load.go
@@ -29,7 +29,7 @@
 )
 
 // Source is what the calls at each path, or the datagrams of each kind, have cost so far.
-type Source func() map[string]wire.Served
+type Source func() map[string]wire.Stats
 
 // Watch logs every few seconds what was added since the line before, until g stops.
 func Watch(g *run.Group, log *slog.Logger, sources ...Source) {
@@ -41,7 +41,7 @@
 type watch struct {
 	log     *slog.Logger
 	sources []Source
-	served  map[string]wire.Served
+	served  map[string]wire.Stats
 	used    usage
 }
 
@@ -55,8 +55,8 @@
 }
 
 // Served is what all sources tell.
-func Served(sources ...Source) map[string]wire.Served {
-	all := map[string]wire.Served{}
+func Served(sources ...Source) map[string]wire.Stats {
+	all := map[string]wire.Stats{}
 	for _, source := range sources {
 		maps.Copy(all, source())
 	}
@@ -80,8 +80,8 @@
 }
 
 // most names what grew most in bytes between two counts: calls, bytes in and out, time in the handler.
-func most(now, before map[string]wire.Served) string {
-	grown := map[string]wire.Served{}
+func most(now, before map[string]wire.Stats) string {
+	grown := map[string]wire.Stats{}
 	for name, s := range now {
 		if added := s.Since(before[name]); added.Calls > 0 {
 			grown[name] = added
--- a/internal/kernel/load/load_test.go
+++ b/internal/kernel/load/load_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestALineNamesWhatGrewMostFirst(t *testing.T) {
-	before := map[string]wire.Served{"/a": {Calls: 7, In: 9000, Out: 9000}, "/still": {Calls: 1, In: 1 << 20}}
-	now := map[string]wire.Served{
+	before := map[string]wire.Stats{"/a": {Calls: 7, In: 9000, Out: 9000}, "/still": {Calls: 1, In: 1 << 20}}
+	now := map[string]wire.Stats{
 		"/a":     {Calls: 9, In: 9100, Out: 9020, Took: 4 * time.Millisecond},
 		"/still": {Calls: 1, In: 1 << 20},
 		"ping":   {Calls: 30, In: 6000, Took: time.Millisecond},
--- a/internal/kernel/wire/compat_test.go
+++ b/internal/kernel/wire/compat_test.go
@@ -16,7 +16,7 @@
 
 // messages lists every numbered field of every message in a tree of source, as
 // 'package.Type number Field type'.
-func messages(t *testing.T, root string) []string {
+func messageFields(t *testing.T, root string) []string {
 	var out []string
 	err := source.Files(root, 0, func(path string, file *ast.File) error {
 		ast.Inspect(file, func(n ast.Node) bool {
@@ -57,7 +57,7 @@
 // number and type for ever, and the number of one that is gone is not used
 // again. testdata/messages.txt holds all that were ever sent; new ones are
 // added to it.
-func TestMessagesOfEarlierVersionsAreStillRead(t *testing.T) {
+func TestMessageFieldsStayCompatible(t *testing.T) {
 	b, err := os.ReadFile("testdata/messages.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		ever[w[0]+" "+w[1]] = w[2]
 	}
 	now := map[string]bool{}
-	for _, line := range messages(t, "../..") {
+	for _, line := range messageFields(t, "../..") {
 		w := strings.SplitN(line, " ", 3)
 		key := w[0] + " " + w[1]
 		if now[key] {
--- a/internal/kernel/wire/coding.go
+++ b/internal/kernel/wire/compress.go
@@ -15,15 +15,15 @@
 
 const (
 	// gzipCoding names the one content coding that is written and read here.
-	gzipCoding = "gzip"
+	gzipEncoding = "gzip"
 	// codedFrom is the size from which a large message is worth compressing.
-	codedFrom = 4 << 10
+	minCompressSize = 4 << 10
 	// plainFor is how long a peer that could not read a compressed message gets plain ones.
-	plainFor = time.Minute
+	uncompressedPeriod = time.Minute
 )
 
 // errCoding says that a peer does not read compressed messages.
-var errCoding = errors.New("wire: peer does not read compressed messages")
+var errUnsupportedEncoding = errors.New("wire: peer does not read compressed messages")
 
 var gzipWriters = sync.Pool{New: func() any {
 	w, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
@@ -45,7 +45,7 @@
 func readBody(body io.Reader) ([]byte, error) {
 	read, err := io.ReadAll(io.LimitReader(body, MaxMessage+1))
 	if err == nil && len(read) > MaxMessage {
-		err = errors.Wrap(ErrGarbled, "message too large")
+		err = errors.Wrap(ErrMalformed, "message too large")
 	}
 	return read, err
 }
@@ -55,88 +55,88 @@
 	switch coding := header.Get("Content-Encoding"); coding {
 	case "":
 		return body, nil
-	case gzipCoding:
+	case gzipEncoding:
 		r, err := gzip.NewReader(bytes.NewReader(body))
 		if err != nil {
-			return nil, errors.Wrap(ErrGarbled, err.Error())
+			return nil, errors.Wrap(ErrMalformed, err.Error())
 		}
 		plain, err := readBody(r)
 		if err != nil {
-			return nil, errors.Wrap(ErrGarbled, err.Error())
+			return nil, errors.Wrap(ErrMalformed, err.Error())
 		}
 		return plain, nil
 	default:
-		return nil, errors.Wrap(errCoding, coding)
+		return nil, errors.Wrap(errUnsupportedEncoding, coding)
 	}
 }
 
 // accepts says whether a caller reads compressed answers.
-func accepts(r *http.Request) bool {
-	return strings.Contains(r.Header.Get("Accept-Encoding"), gzipCoding)
+func acceptsGzip(r *http.Request) bool {
+	return strings.Contains(r.Header.Get("Accept-Encoding"), gzipEncoding)
 }
 
 // Large is a message that is encoded and compressed once for many peers.
-type Large struct {
-	plain []byte
-	coded []byte // nil where the message is too small for that
+type EncodedMessage struct {
+	plain      []byte
+	compressed []byte // nil where the message is too small for that
 }
 
 // Prepare encodes a message for CallLarge.
-func Prepare(v any) Large {
-	m := Large{plain: Pack(v)}
-	if len(m.plain) >= codedFrom {
-		m.coded = compress(m.plain)
+func EncodeMessage(v any) EncodedMessage {
+	m := EncodedMessage{plain: Marshal(v)}
+	if len(m.plain) >= minCompressSize {
+		m.compressed = compress(m.plain)
 	}
 	return m
 }
 
 // CallLarge sends a prepared message and waits for the answer. A peer of an
 // earlier build, which does not read the coding, gets the message plain.
-func CallLarge[A any](ctx context.Context, c *Caller, addr, path string, m Large) (A, error) {
-	if m.coded == nil || c.wantsPlain(addr) {
+func CallEncoded[A any](ctx context.Context, c *Client, addr, path string, m EncodedMessage) (A, error) {
+	if m.compressed == nil || c.needsUncompressed(addr) {
 		return call[A](ctx, c, addr, path, m.plain, "")
 	}
-	a, err := call[A](ctx, c, addr, path, m.coded, gzipCoding)
-	if !errors.Is(err, errCoding) {
+	a, err := call[A](ctx, c, addr, path, m.compressed, gzipEncoding)
+	if !errors.Is(err, errUnsupportedEncoding) {
 		return a, err
 	}
-	c.plain.Store(addr, time.Now())
+	c.uncompressedSince.Store(addr, time.Now())
 	return call[A](ctx, c, addr, path, m.plain, "")
 }
 
 // wantsPlain says whether a peer could not read a compressed message lately.
-func (c *Caller) wantsPlain(addr string) bool {
-	at, found := c.plain.Load(addr)
+func (c *Client) needsUncompressed(addr string) bool {
+	at, found := c.uncompressedSince.Load(addr)
 	if !found {
 		return false
 	}
-	if time.Since(at.(time.Time)) < plainFor {
+	if time.Since(at.(time.Time)) < uncompressedPeriod {
 		return true
 	}
-	c.plain.Delete(addr)
+	c.uncompressedSince.Delete(addr)
 	return false
 }
 
 // HandleLarge answers calls at path with f, compressed where the answer is large
 // and the caller reads that.
-func HandleLarge[Q, A any](m *Mux, path string, f func(context.Context, Q) (A, error)) {
+func HandleCompressed[Q, A any](m *Mux, path string, f func(context.Context, Q) (A, error)) {
 	handle(m, path, f, func(w http.ResponseWriter, r *http.Request, answer A) int {
-		packed := Pack(answer)
-		if len(packed) >= codedFrom && accepts(r) {
-			w.Header().Set("Content-Encoding", gzipCoding)
+		packed := Marshal(answer)
+		if len(packed) >= minCompressSize && acceptsGzip(r) {
+			w.Header().Set("Content-Encoding", gzipEncoding)
 			packed = compress(packed)
 		}
-		return write(w, packed)
+		return writeResponse(w, packed)
 	})
 }
 
 // HandlePrepared answers calls at path with messages that f may have prepared before.
-func HandlePrepared[Q any](m *Mux, path string, f func(context.Context, Q) (Large, error)) {
-	handle(m, path, f, func(w http.ResponseWriter, r *http.Request, answer Large) int {
-		if answer.coded == nil || !accepts(r) {
-			return write(w, answer.plain)
+func HandleEncoded[Q any](m *Mux, path string, f func(context.Context, Q) (EncodedMessage, error)) {
+	handle(m, path, f, func(w http.ResponseWriter, r *http.Request, answer EncodedMessage) int {
+		if answer.compressed == nil || !acceptsGzip(r) {
+			return writeResponse(w, answer.plain)
 		}
-		w.Header().Set("Content-Encoding", gzipCoding)
-		return write(w, answer.coded)
+		w.Header().Set("Content-Encoding", gzipEncoding)
+		return writeResponse(w, answer.compressed)
 	})
 }
--- a/internal/kernel/wire/server.go
+++ b/internal/kernel/wire/server.go
@@ -14,10 +14,10 @@
 
 // Server runs an HTTP server on a listener until stopped.
 type Server struct {
-	http  *http.Server
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]connState
+	http     *http.Server
+	listener net.Listener
+	mu       sync.Mutex
+	conns    map[net.Conn]connState
 }
 
 type connState struct {
@@ -27,15 +27,15 @@
 
 // NewServer prepares a server; Run serves until Close or Drain.
 func NewServer(ln net.Listener, h http.Handler) *Server {
-	s := &Server{ln: ln, conns: map[net.Conn]connState{}}
+	s := &Server{listener: ln, conns: map[net.Conn]connState{}}
 	s.http = &http.Server{
 		Handler: h, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second,
-		MaxHeaderBytes: 64 << 10, ConnState: s.note,
+		MaxHeaderBytes: 64 << 10, ConnState: s.trackConn,
 	}
 	return s
 }
 
-func (s *Server) note(c net.Conn, st http.ConnState) {
+func (s *Server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st == http.StateClosed || st == http.StateHijacked {
@@ -46,7 +46,7 @@
 }
 
 // busy says whether a connection is at work, or was within idle.
-func (s *Server) busy(idle time.Duration) bool {
+func (s *Server) hasBusyConn(idle time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -60,13 +60,13 @@
 // Quiesce takes no more connections and waits until each that is open has been idle
 // for so long that its caller will not write to it any more.
 func (s *Server) Quiesce(ctx context.Context, idle time.Duration) {
-	_ = s.ln.Close()
-	for s.busy(idle) && run.Sleep(ctx, 50*time.Millisecond) {
+	_ = s.listener.Close()
+	for s.hasBusyConn(idle) && run.Sleep(ctx, 50*time.Millisecond) {
 	}
 }
 
 // Run serves; call it in a group.
-func (s *Server) Run(context.Context) { _ = s.http.Serve(s.ln) }
+func (s *Server) Run(context.Context) { _ = s.http.Serve(s.listener) }
 
 // Close ends at once.
 func (s *Server) Close() { _ = s.http.Close() }
--- /dev/null
+++ b/internal/kernel/wire/stats.go
@@ -0,0 +1,64 @@
+package wire
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// Served is what calls at one path, or datagrams of one kind, have cost who takes them.
+type Stats struct {
+	Calls int64
+	In    int64 // bytes taken
+	Out   int64 // bytes answered
+	Took  time.Duration
+}
+
+// Since is what was added after an earlier count.
+func (s Stats) Since(before Stats) Stats {
+	return Stats{Calls: s.Calls - before.Calls, In: s.In - before.In, Out: s.Out - before.Out, Took: s.Took - before.Took}
+}
+
+// Bytes is how many went either way.
+func (s Stats) Bytes() int64 { return s.In + s.Out }
+
+// servedCount counts what one path or kind costs.
+type counter struct{ calls, in, out, took atomic.Int64 }
+
+// add counts one call or datagram.
+func (c *counter) add(in, out int, took time.Duration) {
+	c.calls.Add(1)
+	c.in.Add(int64(in))
+	c.out.Add(int64(out))
+	c.took.Add(int64(took))
+}
+
+// servedCounts are the counts of all paths or kinds.
+type counters struct {
+	mu     sync.Mutex
+	byName map[string]*counter
+}
+
+// at is the count of a path or kind.
+func (c *counters) get(name string) *counter {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byName == nil {
+		c.byName = map[string]*counter{}
+	}
+	if c.byName[name] == nil {
+		c.byName[name] = &counter{}
+	}
+	return c.byName[name]
+}
+
+// now is what all have cost so far.
+func (c *counters) snapshot() map[string]Stats {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make(map[string]Stats, len(c.byName))
+	for name, one := range c.byName {
+		out[name] = Stats{Calls: one.calls.Load(), In: one.in.Load(), Out: one.out.Load(), Took: time.Duration(one.took.Load())}
+	}
+	return out
+}
--- a/internal/kernel/wire/wire.go
+++ b/internal/kernel/wire/wire.go
@@ -16,64 +16,64 @@
 )
 
 // Speaks is the version of the messages this build sends and reads.
-const Speaks = "1"
+const ProtocolVersion = "1"
 
 // MaxMessage bounds one message, either way.
 const MaxMessage = 32 << 20
 
 // Net is the network as a node sees it.
-type Net interface {
+type Network interface {
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
 	Listen(addr string) (net.Listener, error)
 	ListenPacket(addr string) (net.PacketConn, error)
 }
 
-type host struct{ dialer net.Dialer }
+type hostNetwork struct{ dialer net.Dialer }
 
 // Host is the network of this machine.
-func Host() Net {
-	return &host{dialer: net.Dialer{Timeout: 2 * time.Second, KeepAlive: 5 * time.Second}}
+func HostNetwork() Network {
+	return &hostNetwork{dialer: net.Dialer{Timeout: 2 * time.Second, KeepAlive: 5 * time.Second}}
 }
 
-func (h *host) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (h *hostNetwork) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return h.dialer.DialContext(ctx, network, addr)
 }
-func (h *host) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
-func (h *host) ListenPacket(addr string) (net.PacketConn, error) {
+func (h *hostNetwork) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+func (h *hostNetwork) ListenPacket(addr string) (net.PacketConn, error) {
 	return net.ListenPacket("udp", addr)
 }
 
 // Errors of this package.
 var (
-	ErrUnreachable = errors.New("wire: peer not reached")
-	ErrGarbled     = errors.New("wire: message cannot be read")
-	ErrVersion     = errors.New("wire: peer speaks another version")
+	ErrUnreachable     = errors.New("wire: peer not reached")
+	ErrMalformed       = errors.New("wire: message cannot be read")
+	ErrVersionMismatch = errors.New("wire: peer speaks another version")
 	// ErrNotServed says that the peer does not know the call; one of an earlier version does not.
 	ErrNotServed = errors.New("wire: peer does not serve the call")
 )
 
 // Refused is a peer's considered no.
-type Refused struct {
+type Refusal struct {
 	Code   string
 	Detail string
 }
 
-func (r Refused) Error() string { return "peer refused: " + r.Code + ": " + r.Detail }
+func (r Refusal) Error() string { return "peer refused: " + r.Code + ": " + r.Detail }
 
 // Refuse makes a considered no with a code.
-func Refuse(code, detail string) error { return Refused{Code: code, Detail: detail} }
+func Refuse(code, detail string) error { return Refusal{Code: code, Detail: detail} }
 
 // Code is the code of a considered no, or "".
 func Code(err error) string {
-	var r Refused
+	var r Refusal
 	if errors.As(err, &r) {
 		return r.Code
 	}
 	return ""
 }
 
-var enc = must(cbor.CoreDetEncOptions().EncMode())
-var dec = must(cbor.DecOptions{
+var encMode = must(cbor.CoreDetEncOptions().EncMode())
+var decMode = must(cbor.DecOptions{
 	// Why: a garbled or hostile message must not make us allocate without bound.
 	MaxNestedLevels: 16, MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20,
 	DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
@@ -87,49 +87,49 @@
 }
 
 // Pack encodes a message of ours; such values always encode.
-func Pack(v any) []byte { return must(enc.Marshal(v)) }
+func Marshal(v any) []byte { return must(encMode.Marshal(v)) }
 
 // Unpack decodes a message and turns any error into ErrGarbled.
-func Unpack(b []byte, v any) error {
-	if err := dec.Unmarshal(b, v); err != nil {
-		return errors.Wrap(ErrGarbled, err.Error())
+func Unmarshal(b []byte, v any) error {
+	if err := decMode.Unmarshal(b, v); err != nil {
+		return errors.Wrap(ErrMalformed, err.Error())
 	}
 	return nil
 }
 
 // Caller makes calls to peers.
-type Caller struct {
-	client  *http.Client
-	garbled atomic.Int64
-	calls   atomic.Int64
-	bytes   atomic.Int64
-	plain   sync.Map // peers' addresses: when one could not read a compressed message
+type Client struct {
+	http              *http.Client
+	malformed         atomic.Int64
+	calls             atomic.Int64
+	bytes             atomic.Int64
+	uncompressedSince sync.Map // peers' addresses: when one could not read a compressed message
 }
 
 // NewCaller dials through n.
-func NewCaller(n Net) *Caller {
-	return &Caller{client: &http.Client{Transport: &http.Transport{
+func NewClient(n Network) *Client {
+	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext: n.Dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: 10 * time.Second,
 		DisableCompression: true, ResponseHeaderTimeout: 10 * time.Second,
 	}}}
 }
 
 // Close lets go of idle connections.
-func (c *Caller) Close() { c.client.CloseIdleConnections() }
+func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Sent counts calls made and the bytes in them and in their answers.
-func (c *Caller) Sent() (calls, bytes int64) { return c.calls.Load(), c.bytes.Load() }
+func (c *Client) Sent() (calls, bytes int64) { return c.calls.Load(), c.bytes.Load() }
 
 // Garbled counts answers that could not be read.
-func (c *Caller) Garbled() int64 { return c.garbled.Load() }
+func (c *Client) Malformed() int64 { return c.malformed.Load() }
 
 // Call asks a peer and waits for its answer.
-func Call[Q, A any](ctx context.Context, c *Caller, addr, path string, q Q) (A, error) {
-	return call[A](ctx, c, addr, path, Pack(q), "")
+func Call[Q, A any](ctx context.Context, c *Client, addr, path string, q Q) (A, error) {
+	return call[A](ctx, c, addr, path, Marshal(q), "")
 }
 
 // call sends a message as it is, in a content coding or plain, and reads the answer.
-func call[A any](ctx context.Context, c *Caller, addr, path string, message []byte, coding string) (A, error) {
+func call[A any](ctx context.Context, c *Client, addr, path string, message []byte, coding string) (A, error) {
 	var a A
 	c.calls.Add(1)
 	c.bytes.Add(int64(len(message)))
@@ -138,24 +138,24 @@
 		return a, errors.Wrap(ErrUnreachable, err.Error())
 	}
 	req.Header.Set("Content-Type", "application/cbor")
-	req.Header.Set("Drumstall-Speaks", Speaks)
-	req.Header.Set("Accept-Encoding", gzipCoding)
+	req.Header.Set("Drumstall-Speaks", ProtocolVersion)
+	req.Header.Set("Accept-Encoding", gzipEncoding)
 	if coding != "" {
 		req.Header.Set("Content-Encoding", coding)
 	}
-	res, err := c.client.Do(req)
+	res, err := c.http.Do(req)
 	if err != nil {
 		return a, errors.Wrap(ErrUnreachable, err.Error())
 	}
 	defer res.Body.Close()
-	return readAnswer[A](c, res, addr+path, coding)
+	return readResponse[A](c, res, addr+path, coding)
 }
 
 // readAnswer reads what a peer answered to a message in a content coding.
-func readAnswer[A any](c *Caller, res *http.Response, at, coding string) (A, error) {
+func readResponse[A any](c *Client, res *http.Response, at, coding string) (A, error) {
 	var a A
 	sent, err := readBody(res.Body)
-	if err != nil && !errors.Is(err, ErrGarbled) {
+	if err != nil && !errors.Is(err, ErrMalformed) {
 		return a, errors.Wrap(ErrUnreachable, err.Error())
 	}
 	c.bytes.Add(int64(len(sent)))
@@ -164,28 +164,28 @@
 		body, err = decode(sent, res.Header)
 	}
 	if err != nil {
-		c.garbled.Add(1)
-		return a, errors.Wrap(ErrGarbled, err.Error())
+		c.malformed.Add(1)
+		return a, errors.Wrap(ErrMalformed, err.Error())
 	}
 	switch {
 	case res.StatusCode == http.StatusOK:
-		if err := Unpack(body, &a); err != nil {
-			c.garbled.Add(1)
+		if err := Unmarshal(body, &a); err != nil {
+			c.malformed.Add(1)
 			return a, err
 		}
 		return a, nil
 	case res.StatusCode == http.StatusHTTPVersionNotSupported:
-		return a, errors.Wrap(ErrVersion, res.Header.Get("Drumstall-Speaks"))
+		return a, errors.Wrap(ErrVersionMismatch, res.Header.Get("Drumstall-Speaks"))
 	case res.StatusCode == http.StatusConflict:
-		var r Refused
-		if err := Unpack(body, &r); err != nil {
-			c.garbled.Add(1)
+		var r Refusal
+		if err := Unmarshal(body, &r); err != nil {
+			c.malformed.Add(1)
 			return a, err
 		}
 		return a, r
 	// Why: a build that knows of no coding takes a compressed message for a garbled one.
 	case coding != "" && (res.StatusCode == http.StatusBadRequest || res.StatusCode == http.StatusUnsupportedMediaType):
-		return a, errCoding
+		return a, errUnsupportedEncoding
 	case res.StatusCode == http.StatusNotFound:
 		return a, errors.Wrap(ErrNotServed, at)
 	}
@@ -194,9 +194,9 @@
 
 // Mux serves the calls of peers.
 type Mux struct {
-	mux     *http.ServeMux
-	garbled atomic.Int64
-	served  servedCounts
+	mux       *http.ServeMux
+	malformed atomic.Int64
+	stats     counters
 }
 
 // NewMux serves nothing yet.
@@ -206,51 +206,51 @@
 func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.mux.ServeHTTP(w, r) }
 
 // Garbled counts calls that could not be read.
-func (m *Mux) Garbled() int64 { return m.garbled.Load() }
+func (m *Mux) Malformed() int64 { return m.malformed.Load() }
 
 // Served is what the calls at each path have cost so far.
-func (m *Mux) Served() map[string]Served { return m.served.now() }
+func (m *Mux) Stats() map[string]Stats { return m.stats.snapshot() }
 
 // Handle answers calls at path with f.
 func Handle[Q, A any](m *Mux, path string, f func(context.Context, Q) (A, error)) {
-	handle(m, path, f, func(w http.ResponseWriter, _ *http.Request, answer A) int { return write(w, Pack(answer)) })
+	handle(m, path, f, func(w http.ResponseWriter, _ *http.Request, answer A) int { return writeResponse(w, Marshal(answer)) })
 }
 
 // write writes an answer and gives how many bytes went.
-func write(w http.ResponseWriter, answer []byte) int {
+func writeResponse(w http.ResponseWriter, answer []byte) int {
 	n, _ := w.Write(answer)
 	return n
 }
 
 // handle reads a message, acts on it with f and hands the answer to write, which gives how many bytes went.
 func handle[Q, A any](m *Mux, path string, f func(context.Context, Q) (A, error), write func(http.ResponseWriter, *http.Request, A) int) {
-	served := m.served.at(path)
+	served := m.stats.get(path)
 	m.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		began, in, out := time.Now(), 0, 0
 		defer func() { served.add(in, out, time.Since(began)) }()
-		w.Header().Set("Drumstall-Speaks", Speaks)
+		w.Header().Set("Drumstall-Speaks", ProtocolVersion)
 		// Why: a message of another version may mean something else; it is never half-applied.
-		if v := r.Header.Get("Drumstall-Speaks"); v != Speaks {
-			m.garbled.Add(1)
+		if v := r.Header.Get("Drumstall-Speaks"); v != ProtocolVersion {
+			m.malformed.Add(1)
 			w.WriteHeader(http.StatusHTTPVersionNotSupported)
 			return
 		}
 		var q Q
-		read, status := readQuestion(w, r, &q)
+		read, status := readRequest(w, r, &q)
 		in = read
 		if status != http.StatusOK {
-			m.garbled.Add(1)
+			m.malformed.Add(1)
 			w.WriteHeader(status)
 			return
 		}
 		a, err := f(r.Context(), q)
 		if err != nil {
-			var no Refused
+			var no Refusal
 			if !errors.As(err, &no) {
-				no = Refused{Code: "problem", Detail: err.Error()}
+				no = Refusal{Code: "problem", Detail: err.Error()}
 			}
 			w.WriteHeader(http.StatusConflict)
-			_, _ = w.Write(Pack(no))
+			_, _ = w.Write(Marshal(no))
 			return
 		}
 		out = write(w, r, a)
@@ -258,19 +258,19 @@
 }
 
 // readQuestion reads a message into q. It gives how many bytes came and the status of what became of them.
-func readQuestion(w http.ResponseWriter, r *http.Request, q any) (bytes, status int) {
+func readRequest(w http.ResponseWriter, r *http.Request, q any) (bytes, status int) {
 	sent, err := readBody(http.MaxBytesReader(w, r.Body, MaxMessage))
 	if err != nil {
 		return len(sent), http.StatusRequestEntityTooLarge
 	}
 	body, err := decode(sent, r.Header)
-	if errors.Is(err, errCoding) {
+	if errors.Is(err, errUnsupportedEncoding) {
 		return len(sent), http.StatusUnsupportedMediaType
 	}
 	if err != nil {
 		return len(sent), http.StatusBadRequest
 	}
-	if err := Unpack(body, q); err != nil {
+	if err := Unmarshal(body, q); err != nil {
 		return len(sent), http.StatusBadRequest
 	}
 	return len(sent), http.StatusOK
--- a/internal/kernel/wire/wire_test.go
+++ b/internal/kernel/wire/wire_test.go
@@ -11,30 +11,30 @@
 	"drumstall.example/internal/kernel/run"
 )
 
-type q struct {
+type testMessage struct {
 	N int               `cbor:"1,keyasint"`
 	M map[string]string `cbor:"2,keyasint,omitempty"`
 }
 
-func TestWhatCannotBeReadIsCountedAndNotActedOn(t *testing.T) {
+func TestMalformedRequestIsCountedAndNotHandled(t *testing.T) {
 	m := NewMux()
 	acted := 0
-	Handle(m, "/x", func(_ context.Context, v q) (q, error) {
+	Handle(m, "/x", func(_ context.Context, v testMessage) (testMessage, error) {
 		acted++
 		if v.N == 7 {
-			return q{}, Refuse("seven", "not that one")
+			return testMessage{}, Refuse("seven", "not that one")
 		}
 		return v, nil
 	})
 	srv := httptest.NewServer(m)
 	defer srv.Close()
 	addr := strings.TrimPrefix(srv.URL, "http://")
-	c := NewCaller(Host())
+	c := NewClient(HostNetwork())
 	defer c.Close()
-	if a, err := Call[q, q](t.Context(), c, addr, "/x", q{N: 3}); err != nil || a.N != 3 {
+	if a, err := Call[testMessage, testMessage](t.Context(), c, addr, "/x", testMessage{N: 3}); err != nil || a.N != 3 {
 		t.Fatalf("%+v %v", a, err)
 	}
-	if _, err := Call[q, q](t.Context(), c, addr, "/x", q{N: 7}); Code(err) != "seven" {
+	if _, err := Call[testMessage, testMessage](t.Context(), c, addr, "/x", testMessage{N: 7}); Code(err) != "seven" {
 		t.Errorf("a considered no came as %v", err)
 	}
 	acted = 0
@@ -43,13 +43,13 @@
 		body   io.Reader
 		status int
 	}{
-		"garbled":       {Speaks, strings.NewReader("\xff\x00nonsense"), 400},
-		"cut":           {Speaks, strings.NewReader(string(Pack(q{N: 5, M: map[string]string{"a": "b"}})[:4])), 400},
-		"newer version": {"2", strings.NewReader(string(Pack(q{N: 5}))), 505},
-		"no version":    {"", strings.NewReader(string(Pack(q{N: 5}))), 505},
-		"oversized":     {Speaks, io.LimitReader(zeros{}, MaxMessage+10), 413},
+		"garbled":       {ProtocolVersion, strings.NewReader("\xff\x00nonsense"), 400},
+		"cut":           {ProtocolVersion, strings.NewReader(string(Marshal(testMessage{N: 5, M: map[string]string{"a": "b"}})[:4])), 400},
+		"newer version": {"2", strings.NewReader(string(Marshal(testMessage{N: 5}))), 505},
+		"no version":    {"", strings.NewReader(string(Marshal(testMessage{N: 5}))), 505},
+		"oversized":     {ProtocolVersion, io.LimitReader(zeros{}, MaxMessage+10), 413},
 	} {
-		before := m.Garbled()
+		before := m.Malformed()
 		req, _ := http.NewRequest(http.MethodPost, srv.URL+"/x", c.body)
 		req.Header.Set("Drumstall-Speaks", c.speaks)
 		res, err := http.DefaultClient.Do(req)
@@ -57,8 +57,8 @@
 			t.Fatal(name, err)
 		}
 		_ = res.Body.Close()
-		if res.StatusCode != c.status || m.Garbled() != before+1 || acted != 0 || res.Header.Get("Drumstall-Speaks") != Speaks {
-			t.Errorf("%s: status %d, counted %d, acted %d", name, res.StatusCode, m.Garbled()-before, acted)
+		if res.StatusCode != c.status || m.Malformed() != before+1 || acted != 0 || res.Header.Get("Drumstall-Speaks") != ProtocolVersion {
+			t.Errorf("%s: status %d, counted %d, acted %d", name, res.StatusCode, m.Malformed()-before, acted)
 		}
 	}
 	// A field that only a newer build knows is passed over.
@@ -66,7 +66,7 @@
 		N   int    `cbor:"1,keyasint"`
 		New string `cbor:"9,keyasint"`
 	}
-	if a, err := Call[newer, q](t.Context(), c, addr, "/x", newer{N: 4, New: "x"}); err != nil || a.N != 4 {
+	if a, err := Call[newer, testMessage](t.Context(), c, addr, "/x", newer{N: 4, New: "x"}); err != nil || a.N != 4 {
 		t.Errorf("a message with a new field: %+v %v", a, err)
 	}
 }
@@ -76,18 +76,18 @@
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
 func FuzzTake(f *testing.F) {
-	f.Add(Pack(gram{Speaks: Speaks, Kind: "k", Body: Pack(q{N: 1})}))
+	f.Add(Marshal(datagram{Version: ProtocolVersion, Kind: "k", Body: Marshal(testMessage{N: 1})}))
 	f.Add([]byte("\xa3\x01\x61\x31\x02"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		p := NewPost(nil)
+		p := NewDatagramSocket(nil)
 		took := 0
-		p.On("k", func(body []byte) {
+		p.Handle("k", func(body []byte) {
 			took++
-			var v q
-			_ = Unpack(body, &v)
+			var v testMessage
+			_ = Unmarshal(body, &v)
 		})
-		p.Take(b)
-		if int64(took)+p.Garbled() != 1 {
+		p.Dispatch(b)
+		if int64(took)+p.Malformed() != 1 {
 			t.Errorf("neither taken nor counted")
 		}
 	})
@@ -96,7 +96,7 @@
 // A planned stop on a real listener: it is closed first, and ends without an error.
 func TestQuiesceThenDrain(t *testing.T) {
 	for range 200 {
-		ln, err := Host().Listen("127.0.0.1:0")
+		ln, err := HostNetwork().Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,18 +119,18 @@
 
 // Whatever is posted is acted on once, or counted and answered with a reason.
 func FuzzCall(f *testing.F) {
-	f.Add(Pack(q{N: 3}), Speaks)
-	f.Add([]byte("\xff\x00nonsense"), Speaks)
+	f.Add(Marshal(testMessage{N: 3}), ProtocolVersion)
+	f.Add([]byte("\xff\x00nonsense"), ProtocolVersion)
 	f.Add([]byte("\xbf\x61\x61"), "2")
 	f.Fuzz(func(t *testing.T, b []byte, speaks string) {
 		m, acted := NewMux(), int64(0)
-		Handle(m, "/x", func(_ context.Context, v q) (q, error) { acted++; return v, nil })
+		Handle(m, "/x", func(_ context.Context, v testMessage) (testMessage, error) { acted++; return v, nil })
 		r := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(string(b)))
 		r.Header["Drumstall-Speaks"] = []string{speaks}
 		w := httptest.NewRecorder()
 		m.ServeHTTP(w, r)
-		if acted+m.Garbled() != 1 || (w.Code == http.StatusOK) != (acted == 1) {
-			t.Errorf("status %d, acted on %d times, counted %d", w.Code, acted, m.Garbled())
+		if acted+m.Malformed() != 1 || (w.Code == http.StatusOK) != (acted == 1) {
+			t.Errorf("status %d, acted on %d times, counted %d", w.Code, acted, m.Malformed())
 		}
 	})
 }
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -33,7 +33,7 @@
 // merge takes one opinion, and says whether it changed the table.
 func (t *Table) merge(n Node) bool {
 	if n.Name == "" || n.Addr == "" || n.State > Left {
-		t.post.Bad()
+		t.post.CountMalformed()
 		return false
 	}
 	if n.Name == t.self.Name {
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -61,7 +61,7 @@
 		e.tell--
 		n.Nodes = append(n.Nodes, e.node)
 	}
-	t.post.Send(addr, kind, wire.Pack(n))
+	t.post.Send(addr, kind, wire.Marshal(n))
 }
 
 // onPing answers a probe that is for this node.
--- a/internal/member/start_test.go
+++ b/internal/member/start_test.go
@@ -62,7 +62,7 @@
 		time.Sleep(4 * time.Second)
 		told := int64(0)
 		for _, n := range nodes[:cores] {
-			told += n.Mux.Served()[syncPath].Out
+			told += n.Mux.Stats()[syncPath].Out
 		}
 		t.Logf("%d bytes told by the seeds, %d a node", told, told/(cores+agents))
 		if most := int64(cores+agents) * tables * tableBytes; told > most {
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -19,7 +19,7 @@
 
 // packedRoll is the whole table as it was told last.
 type packedRoll struct {
-	answer wire.Large
+	answer wire.EncodedMessage
 	at     time.Duration // 0 is never
 }
 
@@ -87,14 +87,14 @@
 }
 
 // answerSync is the packed answer to a peer's table, or to the sum of it.
-func (t *Table) answerSync(q Roll) wire.Large {
+func (t *Table) answerSync(q Roll) wire.EncodedMessage {
 	now := t.clock.Since()
 	if t.toldAsPacked(q, now) {
 		t.mergeAll(q.Nodes)
 		return t.packed.answer
 	}
 	answer := t.onSync(q)
-	packed := wire.Prepare(answer)
+	packed := wire.EncodeMessage(answer)
 	if len(answer.Nodes) > smallTable {
 		t.packed = packedRoll{answer: packed, at: now}
 	}
@@ -148,6 +148,6 @@
 // hash is of all that is known of a node.
 func (n Node) hash() uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(wire.Pack(n))
+	_, _ = h.Write(wire.Marshal(n))
 	return h.Sum64()
 }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -28,8 +28,8 @@
 	group   *run.Group
 	clock   tick.Clock
 	log     *slog.Logger
-	post    *wire.Post
-	caller  *wire.Caller
+	post    *wire.DatagramSocket
+	caller  *wire.Client
 	seeds   []string
 	met     []string // whom an earlier process of this node knew
 	self    Node
@@ -50,16 +50,16 @@
 
 // New starts to look for the others, and answers them on post and mux, until g
 // stops. in tells the others how long this node has been out of touch.
-func New(g *run.Group, clock tick.Clock, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self Node, seeds []string, in *touch.Keeper) *Table {
+func New(g *run.Group, clock tick.Clock, log *slog.Logger, post *wire.DatagramSocket, caller *wire.Client, mux *wire.Mux, self Node, seeds []string, in *touch.Keeper) *Table {
 	t := &Table{group: g, clock: clock, log: log, post: post, caller: caller, seeds: seeds, self: self,
 		nodes: map[string]*entry{}, syncing: map[string]bool{}, probes: map[uint64]probe{}, seq: rand.Uint64N(1 << 40), touch: in}
 	t.acked.Store(&map[string]time.Duration{})
 	t.publish()
 	for kind, f := range map[string]func(note){"ping": t.onPing, "ack": t.onAck, "ask": t.onAsk} {
-		post.On(kind, func(body []byte) {
+		post.Handle(kind, func(body []byte) {
 			var n note
-			if wire.Unpack(body, &n) != nil {
-				post.Bad()
+			if wire.Unmarshal(body, &n) != nil {
+				post.CountMalformed()
 				return
 			}
 			_ = t.actor.TryEnqueue(func() {
@@ -68,8 +68,8 @@
 			})
 		})
 	}
-	wire.HandlePrepared(mux, syncPath, func(ctx context.Context, q Roll) (wire.Large, error) {
-		var answer wire.Large
+	wire.HandleEncoded(mux, syncPath, func(ctx context.Context, q Roll) (wire.EncodedMessage, error) {
+		var answer wire.EncodedMessage
 		err := t.actor.Do(ctx, func() { answer = t.answerSync(q) })
 		return answer, err
 	})
--- a/internal/place/demand/demand.go
+++ b/internal/place/demand/demand.go
@@ -45,12 +45,12 @@
 }
 
 // Pack encodes the hour for the control state.
-func (h Hour) Pack() []byte { return wire.Pack(h) }
+func (h Hour) Pack() []byte { return wire.Marshal(h) }
 
 // UnpackHour decodes an hour encoded by Pack.
 func UnpackHour(b []byte) (Hour, error) {
 	var h Hour
-	err := wire.Unpack(b, &h)
+	err := wire.Unmarshal(b, &h)
 	return h, err
 }
 
--- a/internal/place/order/contents.go
+++ b/internal/place/order/contents.go
@@ -79,7 +79,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.d.Group.Context(), 2*time.Second)
 	defer cancel()
-	_, err := c.d.Owner.Update(ctx, Key(c.listed.ID), func(state.Record, bool) ([]byte, error) { return wire.Pack(b), nil })
+	_, err := c.d.Owner.Update(ctx, Key(c.listed.ID), func(state.Record, bool) ([]byte, error) { return wire.Marshal(b), nil })
 	if err != nil {
 		c.d.Log.Info("replica contents not stored", "replica", c.listed.ID, "error", err)
 		return false
--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -186,7 +186,7 @@
 	c.entries = map[conf.Item]*entry{}
 	now := c.d.Clock.Since()
 	var b Contents
-	if found && wire.Unpack(rec.Value, &b) == nil {
+	if found && wire.Unmarshal(rec.Value, &b) == nil {
 		for item, e := range b.Entries {
 			// A load that may have been ordered counts until the replica's own report shows otherwise.
 			c.entries[conf.ParseItem(item)] = &entry{Entry: e, orderedAt: now, lastUsed: now, inherited: true}
--- a/internal/place/order/estimate.go
+++ b/internal/place/order/estimate.go
@@ -138,7 +138,7 @@
 		status.Items[item.String()] = e.State
 	}
 	c.etas = c.estimateReady()
-	packed := wire.Pack([]any{status, c.etas})
+	packed := wire.Marshal([]any{status, c.etas})
 	if c.version > 0 && bytes.Equal(packed, c.published) {
 		return
 	}
@@ -149,7 +149,7 @@
 	for item, at := range c.etas {
 		status.ReadyMs[item] = int(max(0, at-c.d.Clock.Since()).Milliseconds())
 	}
-	c.d.Gossip.Put(gossip.Entry{Key: Key(c.listed.ID), Stamp: c.currentStamp(), Value: wire.Pack(status)})
+	c.d.Gossip.Put(gossip.Entry{Key: Key(c.listed.ID), Stamp: c.currentStamp(), Value: wire.Marshal(status)})
 }
 
 // estimateReady returns when each pending item is expected to be loaded. A published estimate is kept
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -32,7 +32,7 @@
 
 // recordingNet is a network that records when each order is sent.
 type recordingNet struct {
-	wire.Net
+	wire.Network
 	mu     sync.Mutex
 	sentAt []time.Time
 }
@@ -44,7 +44,7 @@
 }
 
 func (n *recordingNet) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	c, err := n.Net.Dial(ctx, network, addr)
+	c, err := n.Network.Dial(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				out := &recordingNet{Net: fabric.Host("10.0.0.1")}
+				out := &recordingNet{Network: fabric.Host("10.0.0.1")}
 				acc, err := acceptor.Open(g, "d", acceptor.FolderOwner{Node: "a"}, vfs.NewMem(), clk, log)
 				if err != nil {
 					t.Fatal(err)
@@ -87,7 +87,7 @@
 				}); err != nil {
 					t.Fatal(err)
 				}
-				own := owner.New(owner.Deps{Self: func() state.Core { return self }, Group: held, Clock: clk, Log: log, Caller: wire.NewCaller(out), Acceptor: acc,
+				own := owner.New(owner.Deps{Self: func() state.Core { return self }, Group: held, Clock: clk, Log: log, Caller: wire.NewClient(out), Acceptor: acc,
 					Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, Behind: func(state.Core) {}})
 				cfg := conf.Empty()
 				cfg.Models = map[string]conf.Model{}
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -99,7 +99,7 @@
 		it := conf.ParseItem(d.Item)
 		epoch, _, _ := p.d.Owner.MayOrder(DemandKey(it, 0))
 		p.expectationSerial++
-		p.d.Gossip.Put(gossip.Entry{Key: ExpectationKey(d.Item), Stamp: state.Stamp{Epoch: epoch, Version: p.expectationSerial}, Value: wire.Pack(expectation)})
+		p.d.Gossip.Put(gossip.Entry{Key: ExpectationKey(d.Item), Stamp: state.Stamp{Epoch: epoch, Version: p.expectationSerial}, Value: wire.Marshal(expectation)})
 	})
 	return d.AcceptedBy != ""
 }
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -106,7 +106,7 @@
 
 // writeGrantRecord writes the record to the control state.
 func (p *Planner) writeGrantRecord(ctx context.Context, w GrantRecord) bool {
-	_, err := p.d.Owner.Update(ctx, PaceKey, func(state.Record, bool) ([]byte, error) { return wire.Pack(w), nil })
+	_, err := p.d.Owner.Update(ctx, PaceKey, func(state.Record, bool) ([]byte, error) { return wire.Marshal(w), nil })
 	if err != nil {
 		p.d.Log.Info("failed to write load grants", "error", err)
 		return false
@@ -169,7 +169,7 @@
 	case epoch == 1:
 		p.pacer.persisted = 0
 		p.pacer.limiter = pace.NewLimiter(now, p.d.Store.Window, true)
-	case found && wire.Unpack(rec.Value, &previous) == nil:
+	case found && wire.Unmarshal(rec.Value, &previous) == nil:
 		ages := make([]time.Duration, len(previous.AgesMs))
 		for i, ms := range previous.AgesMs {
 			ages[i] = time.Duration(ms)*time.Millisecond + p.d.Owner.UnleasedFor(PaceKey)
--- a/internal/place/plan/pacing_test.go
+++ b/internal/place/plan/pacing_test.go
@@ -73,7 +73,7 @@
 		}
 		rec, found, err := own.Get(t.Context(), PaceKey)
 		var kept GrantRecord
-		if err != nil || !found || wire.Unpack(rec.Value, &kept) != nil || len(kept.AgesMs) != loads {
+		if err != nil || !found || wire.Unmarshal(rec.Value, &kept) != nil || len(kept.AgesMs) != loads {
 			t.Errorf("%d grants are recorded, want %d: %v", len(kept.AgesMs), loads, err)
 		}
 	})
--- a/internal/place/plan/statuses.go
+++ b/internal/place/plan/statuses.go
@@ -27,7 +27,7 @@
 
 func decodeStatus(e gossip.Entry) (order.Status, bool) {
 	var status order.Status
-	return status, wire.Unpack(e.Value, &status) == nil
+	return status, wire.Unmarshal(e.Value, &status) == nil
 }
 
 func compareIDs(a, b order.Status) int { return strings.Compare(a.Listed.ID, b.Listed.ID) }
--- a/internal/place/plan/statuses_test.go
+++ b/internal/place/plan/statuses_test.go
@@ -19,7 +19,7 @@
 	for i := range items {
 		n.Items[fmt.Sprint("m", i)] = "loaded"
 	}
-	return gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: version}, Value: wire.Pack(n)}
+	return gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: version}, Value: wire.Marshal(n)}
 }
 
 // The cache matches the table through changes, removals and entries that cannot be
--- a/internal/place/report/difference_test.go
+++ b/internal/place/report/difference_test.go
@@ -57,7 +57,7 @@
 func sent(t *testing.T, r Report) Report {
 	t.Helper()
 	var out Report
-	if err := wire.Unpack(wire.Pack(r), &out); err != nil {
+	if err := wire.Unmarshal(wire.Marshal(r), &out); err != nil {
 		t.Fatal(err)
 	}
 	return out
--- a/internal/place/report/inflight_test.go
+++ b/internal/place/report/inflight_test.go
@@ -100,7 +100,7 @@
 	b := newBusy(1, 156)
 	base := b.next(0, 0)
 	next := b.next(4, 4)
-	whole, difference := len(wire.Pack(next.Since(base))), len(wire.Pack(next.SinceInflight(base)))
+	whole, difference := len(wire.Marshal(next.Since(base))), len(wire.Marshal(next.SinceInflight(base)))
 	t.Logf("%d bytes with what is in flight whole, %d as a difference", whole, difference)
 	if 5*difference > whole {
 		t.Errorf("%d bytes with what is in flight whole, %d as a difference", whole, difference)
--- a/internal/place/report/relay/messages.go
+++ b/internal/place/report/relay/messages.go
@@ -30,7 +30,7 @@
 	reports, at := make([]report.Report, 0, len(b.Reports)), make([]int, 0, len(b.Reports))
 	for i, packed := range b.Reports {
 		var r report.Report
-		if wire.Unpack(packed, &r) != nil {
+		if wire.Unmarshal(packed, &r) != nil {
 			taken.NotTaken = append(taken.NotTaken, i)
 			continue
 		}
--- a/internal/place/report/relay/random_test.go
+++ b/internal/place/report/relay/random_test.go
@@ -98,7 +98,7 @@
 	if len(r.Waiting) == 0 {
 		r.Waiting = nil
 	}
-	return wire.Pack(r)
+	return wire.Marshal(r)
 }
 
 // tell lays an agent's report in the relay's core, as the difference or whole, and tells the relay.
@@ -115,13 +115,13 @@
 // FuzzTake holds that no batch breaks a core, and that what is not taken is named once, of the batch's reports.
 func FuzzTake(f *testing.F) {
 	whole := report.Report{Agent: "e", Boot: "x", Version: 2, Demand: map[string]uint64{"m": 1}}
-	f.Add(wire.Pack(whole), wire.Pack(whole.Since(report.Report{Agent: "e", Boot: "x", Version: 1})))
+	f.Add(wire.Marshal(whole), wire.Marshal(whole.Since(report.Report{Agent: "e", Boot: "x", Version: 1})))
 	f.Add([]byte{}, []byte{0xff})
-	f.Add([]byte{0xa0}, wire.Pack("no report"))
+	f.Add([]byte{0xa0}, wire.Marshal("no report"))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		table := report.NewTable()
 		b := Batch{}
-		b.Reports = append(b.Reports, first, second, wire.Pack(whole))
+		b.Reports = append(b.Reports, first, second, wire.Marshal(whole))
 		got, err := Take(t.Context(), b, into(table))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/place/report/relay/relay.go
+++ b/internal/place/report/relay/relay.go
@@ -248,9 +248,9 @@
 func pack(latest, base report.Report) cbor.RawMessage {
 	latest.Relay = false // it goes no further
 	if base.Version == 0 {
-		return wire.Pack(latest)
+		return wire.Marshal(latest)
 	}
-	return wire.Pack(latest.SinceInflight(base))
+	return wire.Marshal(latest.SinceInflight(base))
 }
 
 // send sends a batch with the reports of it.
--- a/internal/place/report/relay/relay_test.go
+++ b/internal/place/report/relay/relay_test.go
@@ -373,7 +373,7 @@
 		for a := range agents {
 			p.have(t, fmt.Sprint("e", a), map[string]uint64{"b": 1, "c": 1})
 		}
-		one := len(wire.Pack(p.own.Of("e1").Report))
+		one := len(wire.Marshal(p.own.Of("e1").Report))
 		if p.largest > batchBytes+one {
 			t.Errorf("a batch of %d bytes", p.largest)
 		}
@@ -386,9 +386,9 @@
 // A batch that cannot be read in part is taken for the rest.
 func TestWhatCannotBeReadIsNotTaken(t *testing.T) {
 	table := report.NewTable()
-	good := wire.Pack(report.Report{Agent: "e", Boot: "x", Version: 1})
+	good := wire.Marshal(report.Report{Agent: "e", Boot: "x", Version: 1})
 	b := Batch{}
-	b.Reports = append(b.Reports, []byte{0x01}, good, wire.Pack(report.Report{Agent: "f", Boot: "x", Version: 2, Base: 1}))
+	b.Reports = append(b.Reports, []byte{0x01}, good, wire.Marshal(report.Report{Agent: "f", Boot: "x", Version: 2, Base: 1}))
 	got, err := Take(t.Context(), b, into(table))
 	if err != nil || !slices.Equal(got.NotTaken, []int{0, 2}) || table.Of("e").Version != 1 {
 		t.Errorf("%+v, %v", got, err)
--- a/internal/proxy/dispatch_test.go
+++ b/internal/proxy/dispatch_test.go
@@ -31,7 +31,7 @@
 		announce := func(id string, dark bool) {
 			serial++
 			n := order.Status{Listed: inventory.Listed{ID: id, Model: true, Slots: 12}, Slots: 12, Stale: dark, Items: map[string]string{"m": backend.Loaded}}
-			table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: serial}, Value: wire.Pack(n)})
+			table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: serial}, Value: wire.Marshal(n)})
 			time.Sleep(time.Second)
 		}
 		p := &Proxy{routes: routes, budget: attempt.NewBudget(1)}
--- a/internal/proxy/failover_test.go
+++ b/internal/proxy/failover_test.go
@@ -123,7 +123,7 @@
 func (p *replicaPair) announce(i int) {
 	id := fmt.Sprintf("r%d", i+1)
 	n := order.Status{Listed: inventory.Listed{ID: id, Addr: addrOf(i), Model: true, Slots: 12}, Slots: 12, Items: map[string]string{"m": backend.Loaded}}
-	p.table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: wire.Pack(n)})
+	p.table.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: wire.Marshal(n)})
 }
 
 // requestStream requests a stream and returns its body and the error that it ended with.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -100,7 +100,7 @@
 	sender           *attempt.Sender
 	budget           *attempt.Budget
 	replicas         backend.Client
-	caller           *wire.Caller
+	caller           *wire.Client
 	watch            *inventory.Watch
 	servers          []*wire.Server
 	reports          atomic.Uint64 // version of the last report
@@ -129,7 +129,7 @@
 	s.Bounds, s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
 	p := &Proxy{settings: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), rootGroup: run.NewGroup(context.Background()),
 		gossip: gossip.NewTable(), budget: attempt.NewBudget(s.Bounds.Retry.Ratio), replicas: s.Replicas,
-		caller: wire.NewCaller(env.Net), demand: map[string]uint64{}}
+		caller: wire.NewClient(env.Net), demand: map[string]uint64{}}
 	p.group = p.rootGroup.Child()
 	p.startedAt = env.Clock.Since()
 	if s.Protocol == nil {
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -239,7 +239,7 @@
 func (rt *Router) applyPrediction(d *draft, e gossip.Entry) {
 	item := e.Key[len(predictionPrefix):]
 	var prediction plan.Expectation
-	if e.Gone || wire.Unpack(e.Value, &prediction) != nil {
+	if e.Gone || wire.Unmarshal(e.Value, &prediction) != nil {
 		delete(rt.predictionExpiry.latest, item)
 		d.predictions.Drop(item)
 		return
--- a/internal/route/renew_bench_test.go
+++ b/internal/route/renew_bench_test.go
@@ -18,7 +18,7 @@
 	for i := range 10 {
 		n.Items[fmt.Sprint("model-", number%60*10+i)] = backend.Loaded
 	}
-	return wire.Pack(n)
+	return wire.Marshal(n)
 }
 
 func newBenchFixture(replicas int) *fixture {
@@ -44,7 +44,7 @@
 			states := []string{backend.Loading, backend.Loaded}
 			for i := 0; b.Loop(); i++ {
 				n := order.Status{Listed: inventory.Listed{ID: "r1", Model: true, Zone: "z1"}, Slots: 8, Items: map[string]string{"model-1": states[i%2]}}
-				w.gossip.Put(gossip.Entry{Key: order.Key("r1"), Stamp: w.stamp(), Value: wire.Pack(n)})
+				w.gossip.Put(gossip.Entry{Key: order.Key("r1"), Stamp: w.stamp(), Value: wire.Marshal(n)})
 				w.router.renew()
 			}
 		})
--- a/internal/route/renew_fixture_test.go
+++ b/internal/route/renew_fixture_test.go
@@ -69,7 +69,7 @@
 		item := w.item()
 		n.Items[item], n.ReadyMs[item] = states[w.rng.IntN(len(states))], w.rng.IntN(3000)
 	}
-	return wire.Pack(n)
+	return wire.Marshal(n)
 }
 
 // configuration returns a configuration that drains the replicas of one service, or of none.
@@ -90,7 +90,7 @@
 	case 4:
 		w.gossip.Put(gossip.Entry{Key: order.Key(w.id()), Stamp: w.stamp(), Gone: true})
 	case 5, 6:
-		w.gossip.Put(gossip.Entry{Key: plan.ExpectationKey(w.item()), Stamp: w.stamp(), Value: wire.Pack(plan.Expectation{ReadyMs: w.rng.IntN(9)}), Gone: w.rng.IntN(4) == 0})
+		w.gossip.Put(gossip.Entry{Key: plan.ExpectationKey(w.item()), Stamp: w.stamp(), Value: wire.Marshal(plan.Expectation{ReadyMs: w.rng.IntN(9)}), Gone: w.rng.IntN(4) == 0})
 	case 7:
 		inventory.Mark(w.gossip, w.id())
 	case 8:
--- a/internal/route/renew_reference_test.go
+++ b/internal/route/renew_reference_test.go
@@ -83,7 +83,7 @@
 	for _, e := range w.gossip.List(replicaPrefix) {
 		at := seen(e)
 		var n order.Status
-		if wire.Unpack(e.Value, &n) == nil {
+		if wire.Unmarshal(e.Value, &n) == nil {
 			row := ref.row(n, now)
 			out.Rows[row.Listed.ID], out.Acked[row.Listed.ID] = row, e.Stamp
 			addReadyAt(out.ReadyAt, n, row.Listed.Leaving, at)
@@ -91,7 +91,7 @@
 	}
 	for _, e := range w.gossip.List(predictionPrefix) {
 		var x plan.Expectation
-		if at := seen(e); now-at < predictionTTL && wire.Unpack(e.Value, &x) == nil {
+		if at := seen(e); now-at < predictionTTL && wire.Unmarshal(e.Value, &x) == nil {
 			out.Predictions[e.Key[len(predictionPrefix):]] = x
 		}
 	}
--- a/internal/route/renew_test.go
+++ b/internal/route/renew_test.go
@@ -92,8 +92,8 @@
 
 func TestTableIsNotRebuiltWithoutChanges(t *testing.T) {
 	w := newFixture(t, 1, false)
-	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r3", Model: true}, Slots: 2, Items: map[string]string{"a": backend.Loaded}})})
-	w.gossip.Put(gossip.Entry{Key: order.Key("r4"), Stamp: w.stamp(), Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r4", Model: true}, Slots: 2, Items: map[string]string{"a": backend.Loaded}})})
+	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Value: wire.Marshal(order.Status{Listed: inventory.Listed{ID: "r3", Model: true}, Slots: 2, Items: map[string]string{"a": backend.Loaded}})})
+	w.gossip.Put(gossip.Entry{Key: order.Key("r4"), Stamp: w.stamp(), Value: wire.Marshal(order.Status{Listed: inventory.Listed{ID: "r4", Model: true}, Slots: 2, Items: map[string]string{"a": backend.Loaded}})})
 	w.router.renew()
 	before := w.router.Current()
 	for range 100 {
@@ -106,7 +106,7 @@
 	if _, held, _ := w.router.Choose(Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "a"}}); held != 2 {
 		t.Errorf("%d replicas hold the item after ten seconds, want 2", held)
 	}
-	w.gossip.Put(gossip.Entry{Key: order.Key("r4"), Stamp: w.stamp(), Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r4", Model: true}, Slots: 1})})
+	w.gossip.Put(gossip.Entry{Key: order.Key("r4"), Stamp: w.stamp(), Value: wire.Marshal(order.Status{Listed: inventory.Listed{ID: "r4", Model: true}, Slots: 1})})
 	w.router.renew()
 	if w.router.Current().Replicas["r3"] != before.Replicas["r3"] {
 		t.Error("a row was rebuilt though its status had not changed")
@@ -116,7 +116,7 @@
 // A proxy whose own loops were frozen does not know what changed in the meantime.
 func TestNoReplicaIsChosenFromAStaleTable(t *testing.T) {
 	w := newFixture(t, 1, false)
-	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r3", Model: true}, Slots: 2, Items: map[string]string{"a": backend.Loaded}})})
+	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Value: wire.Marshal(order.Status{Listed: inventory.Listed{ID: "r3", Model: true}, Slots: 2, Items: map[string]string{"a": backend.Loaded}})})
 	w.router.renew()
 	target := Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "a"}}
 	w.clock.now += maxReportAge + 1
@@ -131,7 +131,7 @@
 
 func TestLiveStateIsDroppedAfterTheLastRequest(t *testing.T) {
 	w := newFixture(t, 1, false)
-	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Value: wire.Pack(order.Status{Listed: inventory.Listed{ID: "r3", Model: true}})})
+	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Value: wire.Marshal(order.Status{Listed: inventory.Listed{ID: "r3", Model: true}})})
 	w.router.renew()
 	live := w.router.Current().Replicas["r3"].Live
 	live.Inflight.Add(1)
--- a/internal/route/steer_test.go
+++ b/internal/route/steer_test.go
@@ -50,7 +50,7 @@
 		id := fmt.Sprint("r", i)
 		n := order.Status{Listed: inventory.Listed{ID: id, Zone: "z1", Model: true, Slots: 1000, Labels: map[string]string{"pool": "main"}}, Slots: 1000,
 			Items: map[string]string{"m": backend.Loaded}}
-		s.gossip.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: wire.Pack(n)})
+		s.gossip.Put(gossip.Entry{Key: order.Key(id), Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: wire.Marshal(n)})
 	}
 	s.configure(t, doc)
 	return s
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -30,7 +30,7 @@
 // decodeEntry decodes the status entry of a replica; it returns nil if the entry is malformed.
 func decodeEntry(e gossip.Entry, now time.Duration) *entry {
 	var st order.Status
-	if wire.Unpack(e.Value, &st) != nil {
+	if wire.Unmarshal(e.Value, &st) != nil {
 		return nil
 	}
 	decoded := entry{receivedAt: now, status: &st}
--- a/internal/sim/capacity/agents_test.go
+++ b/internal/sim/capacity/agents_test.go
@@ -28,9 +28,9 @@
 
 // fleet runs cores and agents for real and counts what an agent sends; a loop stands for each proxy.
 func fleet(cores, agents, replicas, items int) {
-	cn := NewMeter(wire.Host())
+	cn := NewMeter(wire.HostNetwork())
 	env := func() core.Env {
-		return core.Env{Net: wire.Host(), Clock: tick.Machine(), FS: vfs.NewMem(), Log: ring.New(io.Discard, 10)}
+		return core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), FS: vfs.NewMem(), Log: ring.New(io.Discard, 10)}
 	}
 	var addrs []string
 	for range cores {
@@ -58,7 +58,7 @@
 			return
 		}
 		as = append(as, a)
-		caller := wire.NewCaller(wire.Host())
+		caller := wire.NewClient(wire.HostNetwork())
 		g.Go(func(ctx context.Context) {
 			up := feed.Up{Boot: "0123456789abcdef", Report: aReport(i, replicas, items, 8), HoldMs: 200}
 			for ctx.Err() == nil {
--- a/internal/sim/capacity/fakes_test.go
+++ b/internal/sim/capacity/fakes_test.go
@@ -36,7 +36,7 @@
 
 func call(mux *wire.Mux, path string, body []byte) int {
 	req := httptest.NewRequest(http.MethodPost, path, bytes.NewReader(body))
-	req.Header.Set("Drumstall-Speaks", wire.Speaks)
+	req.Header.Set("Drumstall-Speaks", wire.ProtocolVersion)
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, req)
 	if w.Code != http.StatusOK {
--- a/internal/sim/capacity/measure_test.go
+++ b/internal/sim/capacity/measure_test.go
@@ -9,7 +9,7 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-func size(v any) float64 { return float64(len(wire.Pack(v))) }
+func size(v any) float64 { return float64(len(wire.Marshal(v))) }
 
 func fit(name, of string, xs []int, f func(x int) float64) {
 	var points, values []float64
--- a/internal/sim/capacity/memory_test.go
+++ b/internal/sim/capacity/memory_test.go
@@ -28,12 +28,18 @@
 		return heap(func() any { return plan.DecodeStatuses(t) })
 	})
 	fit("member table (rolls)", "node", nodes, func(x int) float64 {
-		b := wire.Pack(roll(x))
-		return heap(func() any { var r member.Roll; _ = wire.Unpack(b, &r); return r })
+		b := wire.Marshal(roll(x))
+		return heap(func() any { var r member.Roll; _ = wire.Unmarshal(b, &r); return r })
+	})
+	read := func(b []byte) any { var r report.Report; _ = wire.Unmarshal(b, &r); return r }
+	fit("a report at a core", "replica acked", reps, func(x int) float64 {
+		b := wire.Marshal(aReport(1, x, 0, 8))
+		return heap(func() any { return read(b) })
+	})
+	fit("a report at a core", "item counted", its, func(x int) float64 {
+		b := wire.Marshal(aReport(1, 0, x, 8))
+		return heap(func() any { return read(b) })
 	})
-	read := func(b []byte) any { var r report.Report; _ = wire.Unpack(b, &r); return r }
-	fit("a report at a core", "replica acked", reps, func(x int) float64 { b := wire.Pack(aReport(1, x, 0, 8)); return heap(func() any { return read(b) }) })
-	fit("a report at a core", "item counted", its, func(x int) float64 { b := wire.Pack(aReport(1, 0, x, 8)); return heap(func() any { return read(b) }) })
 	fit("planner: an item's seen", "node that counted", nodes, func(x int) float64 {
 		return heap(func() any {
 			m := map[string]uint64{}
--- a/internal/sim/capacity/meter.go
+++ b/internal/sim/capacity/meter.go
@@ -38,20 +38,20 @@
 
 // Meter is a machine's network that counts by kind and may be cut off from others.
 type Meter struct {
-	wire.Net
+	wire.Network
 	// Blocked says that nothing passes between this machine and an address now; nil is never.
 	Blocked func(addr net.Addr) bool
 	counts  *counts
 }
 
 // NewMeter counts on a network.
-func NewMeter(n wire.Net) *Meter {
-	return &Meter{Net: n, counts: &counts{kinds: map[string]*counter{}}}
+func NewMeter(n wire.Network) *Meter {
+	return &Meter{Network: n, counts: &counts{kinds: map[string]*counter{}}}
 }
 
 // As is another machine's network whose traffic is counted with this one's.
-func (m *Meter) As(n wire.Net, blocked func(addr net.Addr) bool) *Meter {
-	return &Meter{Net: n, Blocked: blocked, counts: m.counts}
+func (m *Meter) As(n wire.Network, blocked func(addr net.Addr) bool) *Meter {
+	return &Meter{Network: n, Blocked: blocked, counts: m.counts}
 }
 
 // counts is what has been counted.
@@ -106,7 +106,7 @@
 		}
 		time.Sleep(blockedLook)
 	}
-	c, err := m.Net.Dial(ctx, network, addr)
+	c, err := m.Network.Dial(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -115,13 +115,13 @@
 
 // Listen opens a port whose connections are counted.
 func (m *Meter) Listen(addr string) (net.Listener, error) {
-	l, err := m.Net.Listen(addr)
+	l, err := m.Network.Listen(addr)
 	return countedListener{l, m}, err
 }
 
 // ListenPacket opens a port for datagrams that are counted.
 func (m *Meter) ListenPacket(addr string) (net.PacketConn, error) {
-	p, err := m.Net.ListenPacket(addr)
+	p, err := m.Network.ListenPacket(addr)
 	return countedPackets{p, m}, err
 }
 
--- a/internal/sim/capacity/meter_test.go
+++ b/internal/sim/capacity/meter_test.go
@@ -17,7 +17,7 @@
 
 // Calls are counted by path, at both ends alike, and datagrams by kind.
 func TestTrafficIsCountedByKind(t *testing.T) {
-	caller, server := NewMeter(wire.Host()), NewMeter(wire.Host())
+	caller, server := NewMeter(wire.HostNetwork()), NewMeter(wire.HostNetwork())
 	ln, err := server.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -30,12 +30,12 @@
 	wire.Handle(mux, "/one", func(_ context.Context, q text) (text, error) { return q, nil })
 	wire.Handle(mux, "/two", func(_ context.Context, q text) (text, error) { return text{}, nil })
 	srv := wire.NewServer(ln, mux)
-	post := wire.NewPost(pc)
+	post := wire.NewDatagramSocket(pc)
 	came := make(chan struct{})
-	post.On("hello", func([]byte) { close(came) })
+	post.Handle("hello", func([]byte) { close(came) })
 	g.Go(srv.Run)
 	g.Go(post.Run)
-	c := wire.NewCaller(caller)
+	c := wire.NewClient(caller)
 	for _, path := range []string{"/one", "/two", "/two"} {
 		if _, err := wire.Call[text, text](t.Context(), c, ln.Addr().String(), path, text{"0123456789"}); err != nil {
 			t.Fatal(err)
@@ -45,8 +45,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := wire.NewPost(from)
-	if !out.Send(pc.LocalAddr().String(), "hello", wire.Pack(text{"x"})) {
+	out := wire.NewDatagramSocket(from)
+	if !out.Send(pc.LocalAddr().String(), "hello", wire.Marshal(text{"x"})) {
 		t.Fatal("the datagram was not sent")
 	}
 	if !run.WaitOn(t.Context(), came, 5*time.Second) {
@@ -80,8 +80,8 @@
 // A machine that is cut off hears nothing until the cut ends, and then what was sent.
 func TestACutHoldsCallsBack(t *testing.T) {
 	var cut atomic.Bool
-	caller := NewMeter(wire.Host()).As(wire.Host(), func(net.Addr) bool { return cut.Load() })
-	ln, err := wire.Host().Listen("127.0.0.1:0")
+	caller := NewMeter(wire.HostNetwork()).As(wire.HostNetwork(), func(net.Addr) bool { return cut.Load() })
+	ln, err := wire.HostNetwork().Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 	wire.Handle(mux, "/one", func(_ context.Context, q text) (text, error) { calls.Add(1); return q, nil })
 	srv := wire.NewServer(ln, mux)
 	g.Go(srv.Run)
-	c := wire.NewCaller(caller)
+	c := wire.NewClient(caller)
 	call := func(limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
--- a/internal/sim/capacity/onecore_test.go
+++ b/internal/sim/capacity/onecore_test.go
@@ -31,7 +31,7 @@
 }
 
 func one(replicas, agents, items int) {
-	env := core.Env{Net: wire.Host(), Clock: tick.Machine(), FS: vfs.NewMem(), Log: ring.New(io.Discard, 10)}
+	env := core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), FS: vfs.NewMem(), Log: ring.New(io.Discard, 10)}
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	addr := ln.Addr().String()
 	_ = ln.Close()
@@ -48,7 +48,7 @@
 		fmt.Println("core holds", len(c.Held()), "slots, phase", c.Phase())
 	}
 	time.Sleep(4 * time.Second)
-	caller := wire.NewCaller(env.Net)
+	caller := wire.NewClient(env.Net)
 	ctx := context.Background()
 	k := kept(1200, 40000, 200, 12)
 	ent := bundle{Entries: []gossip.Entry{{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: k.Pack()}}}
@@ -85,7 +85,7 @@
 		for i := range r.Demand {
 			r.Demand[i] += 1
 		}
-		sink = wire.Pack(r)
+		sink = wire.Marshal(r)
 	}
 	client := float64(cpu() - b0)
 	fmt.Printf("replicas %d nodes %d items %d: %.0f us a report, %.0f of them making it\n", replicas, agents, items, spent/1000/float64(agents), client/1000/float64(agents))
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -37,15 +37,15 @@
 		b := kept(120, 4000, x, 12).Pack()
 		return func() { k, _ := conf.Unpack(b); sink, _ = conf.Effect(k) }
 	})
-	costs("report packed", "replica acked", reps, func(x int) func() { r := aReport(1, x, 0, 8); return func() { sink = wire.Pack(r) } })
-	costs("report packed", "item counted", its, func(x int) func() { r := aReport(1, 0, x, 8); return func() { sink = wire.Pack(r) } })
+	costs("report packed", "replica acked", reps, func(x int) func() { r := aReport(1, x, 0, 8); return func() { sink = wire.Marshal(r) } })
+	costs("report packed", "item counted", its, func(x int) func() { r := aReport(1, 0, x, 8); return func() { sink = wire.Marshal(r) } })
 	costs("report read", "replica acked", reps, func(x int) func() {
-		b := wire.Pack(aReport(1, x, 0, 8))
-		return func() { var r report.Report; _ = wire.Unpack(b, &r); sink = r }
+		b := wire.Marshal(aReport(1, x, 0, 8))
+		return func() { var r report.Report; _ = wire.Unmarshal(b, &r); sink = r }
 	})
 	costs("report read", "item counted", its, func(x int) func() {
-		b := wire.Pack(aReport(1, 0, x, 8))
-		return func() { var r report.Report; _ = wire.Unpack(b, &r); sink = r }
+		b := wire.Marshal(aReport(1, 0, x, 8))
+		return func() { var r report.Report; _ = wire.Unmarshal(b, &r); sink = r }
 	})
 	costs("report.Table.Put", "node", nodes, func(x int) func() {
 		t := report.NewTable()
@@ -104,7 +104,7 @@
 	})
 	costs("news.Put (stamp newer)", "key in table", its, func(x int) func() {
 		t := gossipTable(600, 10, x, nil)
-		n, v := uint64(1<<20), wire.Pack(replicaStatus(1, 10))
+		n, v := uint64(1<<20), wire.Marshal(replicaStatus(1, 10))
 		return func() {
 			n++
 			t.Put(gossip.Entry{Key: order.Key(ReplicaID(1)), Stamp: state.Stamp{Epoch: 40, Version: n}, Value: v})
@@ -112,7 +112,7 @@
 	})
 	costs("news.After(last)", "key in table", its, func(x int) func() {
 		t := gossipTable(600, 10, x, nil)
-		n, v := uint64(1<<20), wire.Pack(replicaStatus(1, 10))
+		n, v := uint64(1<<20), wire.Marshal(replicaStatus(1, 10))
 		_, c, _ := t.After(0)
 		return func() {
 			n++
@@ -121,27 +121,27 @@
 		}
 	})
 	g := run.NewGroup(context.Background())
-	env := core.Env{Net: wire.Host(), Clock: tick.Machine(), Log: ring.New(io.Discard, 10)}
+	env := core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(io.Discard, 10)}
 	costs("news: digest answered", "key in table", []int{100, 1000, 5000}, func(x int) func() {
 		pc, _ := net.ListenPacket("udp", "127.0.0.1:0")
 		mux := wire.NewMux()
 		t := gossipTable(600, 10, x, nil)
-		gossip.NewSpreader(g.Child(), t, env.Log.Logger(), wire.NewPost(pc), wire.NewCaller(env.Net), mux, func() string { return "" }, func() []string { return nil }, nil, touch.New(env.Clock))
+		gossip.NewSpreader(g.Child(), t, env.Log.Logger(), wire.NewDatagramSocket(pc), wire.NewClient(env.Net), mux, func() string { return "" }, func() []string { return nil }, nil, touch.New(env.Clock))
 		var d gossip.Digest
 		for range 64 {
 			d.Sums = append(d.Sums, make([]byte, 16))
 		}
-		b := wire.Pack(d)
+		b := wire.Marshal(d)
 		return func() { call(mux, "/news/digest", b) }
 	})
 	costs("member sync: roll read, merged, answered", "node", nodes, func(x int) func() {
 		pc, _ := net.ListenPacket("udp", "127.0.0.1:0")
 		mux := wire.NewMux()
-		member.New(g.Child(), env.Clock, env.Log.Logger(), wire.NewPost(pc), wire.NewCaller(env.Net), mux, aNode(1000), nil, touch.New(env.Clock))
-		b := wire.Pack(roll(x))
+		member.New(g.Child(), env.Clock, env.Log.Logger(), wire.NewDatagramSocket(pc), wire.NewClient(env.Net), mux, aNode(1000), nil, touch.New(env.Clock))
+		b := wire.Marshal(roll(x))
 		return func() { call(mux, "/member/sync", b) }
 	})
-	costs("member sync: roll packed", "node", nodes, func(x int) func() { r := roll(x); return func() { sink = wire.Pack(r) } })
+	costs("member sync: roll packed", "node", nodes, func(x int) func() { r := roll(x); return func() { sink = wire.Marshal(r) } })
 	rebuilds := func(name, of string, xs []int, counts func(x int) (replicas, items, expects int)) {
 		costs(name, of, xs, func(x int) func() {
 			r, i, e := counts(x)
@@ -155,7 +155,7 @@
 				default:
 				}
 			})
-			n, v := uint64(1<<20), wire.Pack(replicaStatus(1, i))
+			n, v := uint64(1<<20), wire.Marshal(replicaStatus(1, i))
 			return func() {
 				n++
 				select {
@@ -187,11 +187,11 @@
 		for i := range x {
 			s.Requests[ItemName(i)] = 12.25 + float64(i)/7
 		}
-		b := wire.Pack(s)
+		b := wire.Marshal(s)
 		held := map[string]float64{}
 		return func() {
 			var in plan.SharedPredictions
-			_ = wire.Unpack(b, &in)
+			_ = wire.Unmarshal(b, &in)
 			for k, v := range in.Requests {
 				held[k] = v
 			}
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -50,7 +50,7 @@
 	for range 64 {
 		d.Sums = append(d.Sums, make([]byte, 16))
 	}
-	fmt.Printf("news digest %d bytes, fixed\n", len(wire.Pack(d)))
+	fmt.Printf("news digest %d bytes, fixed\n", len(wire.Marshal(d)))
 	fit("news heads", "key in buckets", []int{10, 100, 600, 3000}, func(x int) float64 {
 		h := gossip.Heads{Bucket: []int{1}, Have: map[string]state.Stamp{}}
 		for i := range x {
@@ -65,7 +65,7 @@
 		}
 		return size(b)
 	})
-	fmt.Printf("expect entry %.0f bytes\n", size(gossip.Entry{Key: plan.ExpectationKey(ItemName(1)), Stamp: stamp(1), Value: wire.Pack(plan.Expectation{ReadyMs: 43000})}))
+	fmt.Printf("expect entry %.0f bytes\n", size(gossip.Entry{Key: plan.ExpectationKey(ItemName(1)), Stamp: stamp(1), Value: wire.Marshal(plan.Expectation{ReadyMs: 43000})}))
 	hour := func(seen int) demand.Hour {
 		h := demand.Hour{Hour: 1 << 27, ReporterTotals: map[string]uint64{}}
 		for i := range h.Counts {
@@ -112,7 +112,7 @@
 			d.Peers = append(d.Peers, aNode(i).Addr)
 		}
 		for i := range x {
-			d.Entries = append(d.Entries, gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), Value: wire.Pack(replicaStatus(i, 10))})
+			d.Entries = append(d.Entries, gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), Value: wire.Marshal(replicaStatus(i, 10))})
 		}
 		return size(d)
 	})
--- a/internal/sim/capacity/slots_test.go
+++ b/internal/sim/capacity/slots_test.go
@@ -82,7 +82,7 @@
 			fmt.Println(err)
 			return
 		}
-		g, srv, caller := run.NewGroup(context.Background()), wire.NewServer(ln, mux), wire.NewCaller(wire.Host())
+		g, srv, caller := run.NewGroup(context.Background()), wire.NewServer(ln, mux), wire.NewClient(wire.HostNetwork())
 		g.Go(srv.Run)
 		began := time.Now()
 		r, err := wire.Call[state.Request, state.Reply](context.Background(), caller, ln.Addr().String(), "/state/prepare", state.Request{})
--- a/internal/sim/hollow/network.go
+++ b/internal/sim/hollow/network.go
@@ -33,7 +33,7 @@
 }
 
 // machine is the network as a machine of the fleet has it.
-func (n *network) machine(ip string) wire.Net {
+func (n *network) machine(ip string) wire.Network {
 	own, inZone := n.layout.regionOf(&net.TCPAddr{IP: net.ParseIP(ip)})
 	blocked := func(addr net.Addr) bool {
 		cut := *n.cut.Load()
@@ -43,12 +43,12 @@
 		other, found := n.layout.regionOf(addr)
 		return found && other != own && (cut[own] || cut[other])
 	}
-	return n.meter.As(sourced{wire.Host(), ip}, blocked)
+	return n.meter.As(sourced{wire.HostNetwork(), ip}, blocked)
 }
 
 // sourced dials from a machine's own address, so that others know who calls.
 type sourced struct {
-	wire.Net
+	wire.Network
 	ip string
 }
 
--- a/internal/sim/hollow/node.go
+++ b/internal/sim/hollow/node.go
@@ -35,7 +35,7 @@
 	name    string
 	feed    string
 	agent   *agent.Agent
-	caller  *wire.Caller
+	caller  *wire.Client
 	shared  *knowledge
 	callers callers
 	boot    string
@@ -50,7 +50,7 @@
 func (p *process) startNode(i int) error {
 	l := p.spec.Layout
 	ip := l.NodeIP(i)
-	n := &node{name: capacity.NodeName(i), feed: at(ip, feedPort), caller: wire.NewCaller(wire.Host()), shared: p.shared, boot: core.NewBoot()}
+	n := &node{name: capacity.NodeName(i), feed: at(ip, feedPort), caller: wire.NewClient(wire.HostNetwork()), shared: p.shared, boot: core.NewBoot()}
 	n.callers = callers{load: p.spec.Load, share: p.spec.Load.Misses / float64(max(l.Nodes, 1)), catalogue: p.spec.Catalogue,
 		rnd: rand.New(rand.NewPCG(uint64(i), 1))}
 	n.now = report.Report{Boot: n.boot, Zone: l.ZoneName(i), Serving: true, Demand: map[string]uint64{}, WorkMs: map[string]uint64{}, Acked: map[string]state.Stamp{}}
@@ -191,7 +191,7 @@
 	k.stamps[id], k.current = e.Stamp, nil
 	delete(k.items, id)
 	var n order.Status
-	if e.Gone || wire.Unpack(e.Value, &n) != nil {
+	if e.Gone || wire.Unmarshal(e.Value, &n) != nil {
 		return
 	}
 	for item, st := range n.Items {
--- a/internal/sim/simnode/simnode.go
+++ b/internal/sim/simnode/simnode.go
@@ -23,8 +23,8 @@
 	Group   *run.Group
 	Log     *slog.Logger
 	Mux     *wire.Mux
-	Post    *wire.Post
-	Caller  *wire.Caller
+	Post    *wire.DatagramSocket
+	Caller  *wire.Client
 	Touch   *touch.Keeper
 	Members *member.Table
 	server  *wire.Server
@@ -43,8 +43,8 @@
 		return nil, err
 	}
 	clock := simhost.NewClock()
-	n := &Node{Group: parent.Child(), Log: ring.New(io.Discard, logLines).Logger(), Mux: wire.NewMux(), Post: wire.NewPost(packets),
-		Caller: wire.NewCaller(host), Touch: touch.New(clock)}
+	n := &Node{Group: parent.Child(), Log: ring.New(io.Discard, logLines).Logger(), Mux: wire.NewMux(), Post: wire.NewDatagramSocket(packets),
+		Caller: wire.NewClient(host), Touch: touch.New(clock)}
 	n.Members = member.New(n.Group, clock, n.Log, n.Post, n.Caller, n.Mux, self, seeds, n.Touch)
 	n.server = wire.NewServer(listener, n.Mux)
 	return n, nil
--- a/internal/stand/client.go
+++ b/internal/stand/client.go
@@ -44,7 +44,7 @@
 const maxOut = 2000
 
 // NewClients dial through n; name keeps their tickets apart from others'.
-func NewClients(name string, n wire.Net, rec *Record) *Clients {
+func NewClients(name string, n wire.Network, rec *Record) *Clients {
 	return &Clients{rec: rec, name: name, http: &http.Client{Transport: &http.Transport{DialContext: n.Dial, MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 2 * time.Second, DisableCompression: true}}}
 }
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -27,7 +27,7 @@
 
 // StartPlatform lists what it is told. Under /control it takes changes from
 // whoever runs the proof.
-func StartPlatform(addr string, n wire.Net, rec *Record) (*Platform, error) {
+func StartPlatform(addr string, n wire.Network, rec *Record) (*Platform, error) {
 	p := &Platform{list: map[string]*gen.Listed{}, told: map[string]bool{}, rec: rec, group: run.NewGroup(context.Background())}
 	ln, err := n.Listen(addr)
 	if err != nil {
--- a/internal/stand/replica.go
+++ b/internal/stand/replica.go
@@ -77,7 +77,7 @@
 }
 
 // StartReplica begins to answer.
-func StartReplica(s ReplicaSettings, n wire.Net, rec *Record) (*Replica, error) {
+func StartReplica(s ReplicaSettings, n wire.Network, rec *Record) (*Replica, error) {
 	var id [6]byte
 	_, _ = rand.Read(id[:])
 	r := &Replica{s: s, rec: rec, group: run.NewGroup(context.Background()), incarnation: hex.EncodeToString(id[:]),
--- a/internal/state/acceptor/acceptor.go
+++ b/internal/state/acceptor/acceptor.go
@@ -94,7 +94,7 @@
 		if disk, err = newDiskID(); err != nil {
 			return err
 		}
-		if err := a.db.Set(keyDiskID, wire.Pack(disk), pebble.Sync); err != nil {
+		if err := a.db.Set(keyDiskID, wire.Marshal(disk), pebble.Sync); err != nil {
 			return err
 		}
 	}
--- a/internal/state/acceptor/disk.go
+++ b/internal/state/acceptor/disk.go
@@ -73,7 +73,7 @@
 		return false, err
 	}
 	defer closer.Close()
-	return true, wire.Unpack(raw, v)
+	return true, wire.Unmarshal(raw, v)
 }
 
 // commit writes one batch and waits until it is synced. After state.ErrDiskFailed it may
--- a/internal/state/acceptor/folder.go
+++ b/internal/state/acceptor/folder.go
@@ -118,7 +118,7 @@
 	case err != nil:
 		return refuse("is damaged: "+err.Error(), "move it away and start this core with an empty one, as a new member")
 	case !found:
-		if err := a.db.Set(keyFolderOwner, wire.Pack(want), pebble.Sync); err != nil {
+		if err := a.db.Set(keyFolderOwner, wire.Marshal(want), pebble.Sync); err != nil {
 			return refuse("cannot be written: "+err.Error(), "check the disk")
 		}
 	case stored.Format > folderFormat:
--- a/internal/state/acceptor/folder_test.go
+++ b/internal/state/acceptor/folder_test.go
@@ -100,7 +100,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := db.Set(keyFolderOwner, wire.Pack(FolderOwner{Fleet: "f", Node: "n", Format: folderFormat + 1}), pebble.Sync); err != nil {
+				if err := db.Set(keyFolderOwner, wire.Marshal(FolderOwner{Fleet: "f", Node: "n", Format: folderFormat + 1}), pebble.Sync); err != nil {
 					t.Fatal(err)
 				}
 				_ = db.Close()
--- a/internal/state/acceptor/fuzz_test.go
+++ b/internal/state/acceptor/fuzz_test.go
@@ -16,13 +16,13 @@
 // No request of a peer, however malformed, lowers the promised epoch or leaves a folder that
 // cannot be opened again.
 func FuzzRequest(f *testing.F) {
-	f.Add(wire.Pack(request("a", 3, 1, false, record("x", "v", 3, 1))), uint8(0))
-	f.Add(wire.Pack(request("b", 1<<63, 1<<63, true, record("", "", 0, 0))), uint8(1))
-	f.Add(wire.Pack(state.Request{SetVersion: 1, Slot: -1, Epoch: 9}), uint8(2))
-	f.Add(wire.Pack(state.Request{SetVersion: 1, Slot: 1 << 40}), uint8(3))
+	f.Add(wire.Marshal(request("a", 3, 1, false, record("x", "v", 3, 1))), uint8(0))
+	f.Add(wire.Marshal(request("b", 1<<63, 1<<63, true, record("", "", 0, 0))), uint8(1))
+	f.Add(wire.Marshal(state.Request{SetVersion: 1, Slot: -1, Epoch: 9}), uint8(2))
+	f.Add(wire.Marshal(state.Request{SetVersion: 1, Slot: 1 << 40}), uint8(3))
 	f.Fuzz(func(t *testing.T, b []byte, which uint8) {
 		var q state.Request
-		if wire.Unpack(b, &q) != nil {
+		if wire.Unmarshal(b, &q) != nil {
 			return
 		}
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/state/acceptor/lease.go
+++ b/internal/state/acceptor/lease.go
@@ -34,7 +34,7 @@
 		}
 		next := t.promise
 		next.Epoch, next.Holder = q.Epoch, q.From
-		if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyPromise(q.Slot), wire.Pack(next), nil) }); err != nil {
+		if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyPromise(q.Slot), wire.Marshal(next), nil) }); err != nil {
 			r.Reason = state.ReasonDisk
 			return
 		}
@@ -69,7 +69,7 @@
 			if epoch > t.promise.Epoch {
 				next := t.promise
 				next.Epoch, next.Holder, next.Version = epoch, q.From, 0
-				if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyPromise(slot), wire.Pack(next), nil) }); err != nil {
+				if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyPromise(slot), wire.Marshal(next), nil) }); err != nil {
 					return
 				}
 				t.setPromise(next)
--- a/internal/state/acceptor/membership.go
+++ b/internal/state/acceptor/membership.go
@@ -45,7 +45,7 @@
 	out, err := run.Call(ctx, a.membershipActor, func() answer {
 		now, change := f(*a.membership.Load())
 		if change {
-			if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyMembership, wire.Pack(now), nil) }); err != nil {
+			if err := a.commit(func(b *pebble.Batch) error { return b.Set(keyMembership, wire.Marshal(now), nil) }); err != nil {
 				return answer{err: err}
 			}
 			a.membership.Store(&now)
@@ -75,10 +75,10 @@
 					return err
 				}
 			}
-			if err := b.Set(keyDiskID, wire.Pack(disk), nil); err != nil {
+			if err := b.Set(keyDiskID, wire.Marshal(disk), nil); err != nil {
 				return err
 			}
-			return b.Set(keyMembership, wire.Pack(st), nil)
+			return b.Set(keyMembership, wire.Marshal(st), nil)
 		})
 	})
 	if err != nil {
--- a/internal/state/acceptor/records.go
+++ b/internal/state/acceptor/records.go
@@ -37,7 +37,7 @@
 			if err := a.writeAccepted(b, q, t.promise); err != nil {
 				return err
 			}
-			return b.Set(keyPromise(q.Slot), wire.Pack(next), nil)
+			return b.Set(keyPromise(q.Slot), wire.Marshal(next), nil)
 		})
 		if err != nil {
 			r.Reason = state.ReasonDisk
@@ -95,7 +95,7 @@
 		if found && !rec.Stamp.Newer(old.Stamp) {
 			continue
 		}
-		if err := b.Set(k, wire.Pack(rec), nil); err != nil {
+		if err := b.Set(k, wire.Marshal(rec), nil); err != nil {
 			return err
 		}
 	}
@@ -109,7 +109,7 @@
 		return err
 	}
 	for _, rec := range recs {
-		if err := b.Set(keyRecord(slot, rec.Key), wire.Pack(rec), nil); err != nil {
+		if err := b.Set(keyRecord(slot, rec.Key), wire.Marshal(rec), nil); err != nil {
 			return err
 		}
 	}
@@ -150,7 +150,7 @@
 			if err := replaceRecords(b, slot, recs); err != nil {
 				return err
 			}
-			return b.Set(keyPromise(slot), wire.Pack(pr), nil)
+			return b.Set(keyPromise(slot), wire.Marshal(pr), nil)
 		})
 		if err != nil {
 			return err
@@ -171,7 +171,7 @@
 	var out []state.Record
 	for ok := it.First(); ok; ok = it.Next() {
 		var r state.Record
-		if err := wire.Unpack(it.Value(), &r); err != nil {
+		if err := wire.Unmarshal(it.Value(), &r); err != nil {
 			_ = it.Close()
 			return nil, errors.Wrapf(err, "record %q", it.Key())
 		}
@@ -213,7 +213,7 @@
 func Sum(recs []state.Record) []byte {
 	var total [sha256.Size]byte
 	for _, r := range recs {
-		sum := sha256.Sum256(wire.Pack(r))
+		sum := sha256.Sum256(wire.Marshal(r))
 		for i := range total {
 			total[i] ^= sum[i]
 		}
--- a/internal/state/coremembers/change.go
+++ b/internal/state/coremembers/change.go
@@ -16,7 +16,7 @@
 		set := k.d.Acceptor.Membership().Set
 		if found {
 			var kept state.CoreSet
-			if err := wire.Unpack(old.Value, &kept); err == nil && kept.Version > set.Version {
+			if err := wire.Unmarshal(old.Value, &kept); err == nil && kept.Version > set.Version {
 				return nil, wire.Refuse("busy", "another change is in progress")
 			}
 		}
@@ -24,7 +24,7 @@
 		if next, err = change(set); err != nil {
 			return nil, err
 		}
-		return wire.Pack(next), nil
+		return wire.Marshal(next), nil
 	})
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 		return
 	}
 	var set state.CoreSet
-	if wire.Unpack(rec.Value, &set) == nil && set.Version > st.Set.Version {
+	if wire.Unmarshal(rec.Value, &set) == nil && set.Version > st.Set.Version {
 		k.distribute(ctx, set)
 	}
 }
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -43,7 +43,7 @@
 	Replaces     string   // name of the member that this core replaces
 	Group        *run.Group
 	Log          *slog.Logger
-	Caller       *wire.Caller
+	Caller       *wire.Client
 	Acceptor     *acceptor.Acceptor
 	Owner        *owner.Owner
 	// Live returns the cores that are believed to be alive, with the phase that each reports.
--- a/internal/state/owner/missed_test.go
+++ b/internal/state/owner/missed_test.go
@@ -24,7 +24,7 @@
 	group     *run.Group
 	owner     *Owner
 	farServer *wire.Server
-	caller    *wire.Caller
+	caller    *wire.Client
 	servers   []*wire.Server
 	acceptors []*acceptor.Acceptor
 }
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 	}
-	v.caller = wire.NewCaller(fabric.Host("10.0.0.1"))
+	v.caller = wire.NewClient(fabric.Host("10.0.0.1"))
 	v.owner = New(Deps{
 		Self: func() state.Core { return set.Cores[0] }, Group: v.group, Clock: clk, Log: log, Caller: v.caller, Acceptor: v.acceptors[0],
 		Addr: func(c state.Core) (string, bool) { return c.Addr, true },
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -42,7 +42,7 @@
 	Group    *run.Group
 	Clock    tick.Clock
 	Log      *slog.Logger
-	Caller   *wire.Caller
+	Caller   *wire.Client
 	Acceptor *acceptor.Acceptor
 	// Addr returns the current address of a voter, or false if the voter is believed to be down.
 	Addr func(state.Core) (string, bool)
