--- a/internal/kernel/sharedcache/cache.go
+++ b/internal/kernel/sharedcache/cache.go
@@ -25,16 +25,16 @@
 	// floorPart of what a tenant uses again stays with a less urgent step that wants it.
 	// Why: urgent entries that nobody uses any more would otherwise leave the others nothing for ever. With
 	// fewer steps than parts one step is always above its floor.
-	floorPart = 16
+	floorDivisor = 16
 	// oncePart of what a tenant keeps may have been used only once.
-	oncePart = 4
+	probationaryDivisor = 4
 )
 
 // The segments of what a tenant keeps.
 const (
-	once uint8 = iota
-	again
-	segments
+	probationary uint8 = iota
+	protected
+	numSegments
 )
 
 // Owner is whose an entry is.
@@ -47,26 +47,26 @@
 
 // Cache keeps values up to a total cost.
 type Cache[K comparable, V any] struct {
-	capacity int64
-	used     int64
-	index    map[K]int32
-	nodes    slab[K, V]
-	tenants  map[string]*tenant
-	fullest  tenantHeap // the one that uses most for its share is on top
-	shares   map[string]int
-	present  int64 // sum of the shares of those that keep something
-	onEvict  func(K, Owner)
+	capacity     int64
+	used         int64
+	index        map[K]int32
+	nodes        slab[K, V]
+	tenants      map[string]*tenant
+	byUsage      tenantHeap // the one that uses most for its share is on top
+	shares       map[string]int
+	activeShares int64 // sum of the shares of those that keep something
+	onEvict      func(K, Owner)
 }
 
 // tenant is what one tenant keeps.
 type tenant struct {
-	name    string
-	share   int64
-	used    int64
-	entries int
-	evicted uint64
-	place   int // in the heap
-	parts   [segments]segment
+	name      string
+	share     int64
+	used      int64
+	entries   int
+	evicted   uint64
+	heapIndex int // in the heap
+	segments  [numSegments]segment
 }
 
 // segment is what was used once, or again.
@@ -92,9 +92,9 @@
 func (c *Cache[K, V]) SetShares(shares map[string]int) {
 	c.shares = shares
 	for _, t := range c.tenants {
-		c.reshare(t)
+		c.updateShare(t)
 	}
-	heap.Init(&c.fullest)
+	heap.Init(&c.byUsage)
 }
 
 // SetShare gives one tenant its weight.
@@ -104,16 +104,16 @@
 	}
 	c.shares[name] = share
 	if t := c.tenants[name]; t != nil {
-		c.reshare(t)
-		heap.Fix(&c.fullest, t.place)
+		c.updateShare(t)
+		heap.Fix(&c.byUsage, t.heapIndex)
 	}
 }
 
 // reshare gives a tenant the share that is set now.
-func (c *Cache[K, V]) reshare(t *tenant) {
+func (c *Cache[K, V]) updateShare(t *tenant) {
 	share := c.shareOf(t.name)
 	if t.entries > 0 {
-		c.present += share - t.share
+		c.activeShares += share - t.share
 	}
 	t.share = share
 }
@@ -131,7 +131,7 @@
 }
 
 // Use is the value of a key that a tenant has a use for now.
-func (c *Cache[K, V]) Use(key K, by Owner) (V, bool) {
+func (c *Cache[K, V]) Get(key K, by Owner) (V, bool) {
 	at, found := c.index[key]
 	if !found {
 		var none V
@@ -151,13 +151,13 @@
 	}
 	at, found := c.index[key]
 	if found {
-		c.recharge(at, int64(cost))
+		c.updateCost(at, int64(cost))
 		c.touch(at, by)
 		c.nodes.at(at).value = value
 	} else {
-		at = c.nodes.take()
+		at = c.nodes.alloc()
 		n := c.nodes.at(at)
-		n.key, n.value, n.cost, n.rank, n.part, n.owner = key, value, int32(cost), by.rank(), once, c.tenantOf(by.Tenant)
+		n.key, n.value, n.cost, n.rank, n.segment, n.owner = key, value, int32(cost), by.rank(), probationary, c.tenantOf(by.Tenant)
 		c.index[key] = at
 		c.link(at)
 	}
@@ -171,7 +171,7 @@
 // Remove lets go of a key.
 func (c *Cache[K, V]) Remove(key K) {
 	if at, found := c.index[key]; found {
-		c.drop(at)
+		c.removeEntry(at)
 	}
 }
 
@@ -189,96 +189,96 @@
 	to, rank := n.owner, n.rank
 	if n.owner.name == by.Tenant {
 		rank = min(rank, by.rank())
-	} else if other := c.tenants[by.Tenant]; c.isAbove(n.owner) && keepsLess(other, n.owner) {
+	} else if other := c.tenants[by.Tenant]; c.isOverShare(n.owner) && usesLess(other, n.owner) {
 		to, rank = c.tenantOf(by.Tenant), by.rank()
 	}
 	c.unlink(at)
-	n.owner, n.rank, n.part = to, rank, again
+	n.owner, n.rank, n.segment = to, rank, protected
 	c.link(at)
 }
 
 // isAbove says whether a tenant keeps more than its share of the capacity.
-func (c *Cache[K, V]) isAbove(t *tenant) bool { return t.used*c.present > c.capacity*t.share }
+func (c *Cache[K, V]) isOverShare(t *tenant) bool { return t.used*c.activeShares > c.capacity*t.share }
 
 // keepsLess says whether a tenant, or nobody yet, keeps less for its share than another.
-func keepsLess(t, than *tenant) bool { return t == nil || t.used*than.share < than.used*t.share }
+func usesLess(t, than *tenant) bool { return t == nil || t.used*than.share < than.used*t.share }
 
 // tenantOf is the tenant of a name, made where there is none.
 func (c *Cache[K, V]) tenantOf(name string) *tenant {
 	t := c.tenants[name]
 	if t == nil {
 		t = &tenant{name: name, share: c.shareOf(name)}
-		for part := range t.parts {
-			for rank := range t.parts[part].ranks {
-				t.parts[part].ranks[rank] = list{first: none, last: none}
+		for part := range t.segments {
+			for rank := range t.segments[part].ranks {
+				t.segments[part].ranks[rank] = list{first: noEntry, last: noEntry}
 			}
 		}
 		c.tenants[name] = t
-		heap.Push(&c.fullest, t)
+		heap.Push(&c.byUsage, t)
 	}
 	return t
 }
 
 // recharge changes the cost of an entry.
-func (c *Cache[K, V]) recharge(at int32, cost int64) {
+func (c *Cache[K, V]) updateCost(at int32, cost int64) {
 	n := c.nodes.at(at)
 	by := cost - int64(n.cost)
 	if by == 0 {
 		return
 	}
 	n.cost = int32(cost)
-	c.charge(n, by)
+	c.addUsage(n, by)
 }
 
 // charge adds to what an entry's owner keeps.
-func (c *Cache[K, V]) charge(n *node[K, V], by int64) {
+func (c *Cache[K, V]) addUsage(n *node[K, V], by int64) {
 	t := n.owner
 	c.used += by
 	t.used += by
-	t.parts[n.part].used += by
-	t.parts[n.part].ranks[n.rank].used += by
-	heap.Fix(&c.fullest, t.place)
+	t.segments[n.segment].used += by
+	t.segments[n.segment].ranks[n.rank].used += by
+	heap.Fix(&c.byUsage, t.heapIndex)
 }
 
 // evict lets one entry go.
 func (c *Cache[K, V]) evict() {
-	t := c.fullest[0]
-	at := t.victims().last
+	t := c.byUsage[0]
+	at := t.victimList().last
 	n := c.nodes.at(at)
 	key, owner := n.key, Owner{Tenant: t.name, Rank: int(n.rank)}
 	t.evicted++
-	c.drop(at)
+	c.removeEntry(at)
 	if c.onEvict != nil {
 		c.onEvict(key, owner)
 	}
 }
 
 // victims is the list of a tenant that gives way.
-func (t *tenant) victims() *list {
-	if p := &t.parts[once]; p.used*oncePart > t.used {
-		return &p.ranks[p.mostForItsUrgency()]
+func (t *tenant) victimList() *list {
+	if p := &t.segments[probationary]; p.used*probationaryDivisor > t.used {
+		return &p.ranks[p.heaviestRank()]
 	}
-	p := &t.parts[again]
-	return &p.ranks[p.leastUrgent()]
+	p := &t.segments[protected]
+	return &p.ranks[p.leastUrgentAboveFloor()]
 }
 
 // mostForItsUrgency is the step that has most, a more urgent one being worth more.
-func (p *segment) mostForItsUrgency() int {
+func (p *segment) heaviestRank() int {
 	most := Ranks - 1
 	for rank := Ranks - 2; rank >= 0; rank-- {
-		if p.ranks[rank].used*worth(most) > p.ranks[most].used*worth(rank) {
+		if p.ranks[rank].used*rankWeight(most) > p.ranks[most].used*rankWeight(rank) {
 			most = rank
 		}
 	}
 	return most
 }
 
-func worth(rank int) int64 { return int64(Ranks - rank) }
+func rankWeight(rank int) int64 { return int64(Ranks - rank) }
 
 // leastUrgent is the least urgent step that has more than its floor.
-func (p *segment) leastUrgent() int {
+func (p *segment) leastUrgentAboveFloor() int {
 	for rank := Ranks - 1; rank > 0; rank-- {
-		if p.ranks[rank].used*floorPart > p.used {
+		if p.ranks[rank].used*floorDivisor > p.used {
 			return rank
 		}
 	}
@@ -286,19 +286,19 @@
 }
 
 // drop takes an entry out; a tenant that keeps nothing more is forgotten.
-func (c *Cache[K, V]) drop(at int32) {
+func (c *Cache[K, V]) removeEntry(at int32) {
 	n := c.nodes.at(at)
 	t := n.owner
 	delete(c.index, n.key)
 	c.unlink(at)
-	c.nodes.give(at)
-	c.forget(t)
+	c.nodes.release(at)
+	c.removeIfEmpty(t)
 }
 
-func (c *Cache[K, V]) forget(t *tenant) {
+func (c *Cache[K, V]) removeIfEmpty(t *tenant) {
 	if t.entries > 0 || c.shares[t.name] > 0 {
 		return
 	}
-	heap.Remove(&c.fullest, t.place)
+	heap.Remove(&c.byUsage, t.heapIndex)
 	delete(c.tenants, t.name)
 }
--- a/internal/kernel/sharedcache/cache_test.go
+++ b/internal/kernel/sharedcache/cache_test.go
@@ -13,7 +13,7 @@
 	rank   int
 	cost   int
 	usedAt int
-	again  bool
+	reused bool
 }
 
 type oracle struct {
@@ -41,22 +41,22 @@
 	return used
 }
 
-func (o *oracle) use(key int, by Owner) bool {
+func (o *oracle) get(key int, by Owner) bool {
 	o.now++
 	e := o.entries[key]
 	if e == nil {
 		return false
 	}
-	e.usedAt, e.again = o.now, true
+	e.usedAt, e.reused = o.now, true
 	if e.tenant == by.Tenant {
 		e.rank = min(e.rank, by.Rank)
-	} else if o.isAbove(e.tenant) && o.used(by.Tenant)*o.share(e.tenant) < o.used(e.tenant)*o.share(by.Tenant) {
+	} else if o.isOverShare(e.tenant) && o.used(by.Tenant)*o.share(e.tenant) < o.used(e.tenant)*o.share(by.Tenant) {
 		e.tenant, e.rank = by.Tenant, by.Rank
 	}
 	return true
 }
 
-func (o *oracle) isAbove(tenant string) bool {
+func (o *oracle) isOverShare(tenant string) bool {
 	shares, seen := 0, map[string]bool{}
 	for _, e := range o.entries {
 		if !seen[e.tenant] {
@@ -74,7 +74,7 @@
 	}
 	if e := o.entries[key]; e != nil {
 		e.cost = cost
-		o.use(key, by)
+		o.get(key, by)
 	} else {
 		o.now++
 		o.entries[key] = &oracleEntry{key: key, tenant: by.Tenant, rank: by.Rank, cost: cost, usedAt: o.now}
@@ -107,13 +107,13 @@
 	byRank, sum := map[bool]map[int]int{false: {}, true: {}}, map[bool]int{}
 	for _, e := range o.entries {
 		if e.tenant == tenant {
-			byRank[e.again][e.rank] += e.cost
-			sum[e.again] += e.cost
+			byRank[e.reused][e.rank] += e.cost
+			sum[e.reused] += e.cost
 		}
 	}
-	again, rank := sum[false]*oncePart <= present[tenant], Ranks-1
+	again, rank := sum[false]*probationaryDivisor <= present[tenant], Ranks-1
 	if again {
-		for rank > 0 && byRank[true][rank]*floorPart <= sum[true] {
+		for rank > 0 && byRank[true][rank]*floorDivisor <= sum[true] {
 			rank--
 		}
 	} else {
@@ -125,7 +125,7 @@
 	}
 	var victim *oracleEntry
 	for _, e := range o.entries {
-		if e.tenant == tenant && e.rank == rank && e.again == again && (victim == nil || e.usedAt < victim.usedAt) {
+		if e.tenant == tenant && e.rank == rank && e.reused == again && (victim == nil || e.usedAt < victim.usedAt) {
 			victim = e
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // play lets a cache and the oracle do the same and compares them.
-func play(t *testing.T, seed uint64, steps int) {
+func compareWithOracle(t *testing.T, seed uint64, steps int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	capacity := 1 + rnd.IntN(60)
 	o := &oracle{capacity: capacity, shares: map[string]int{}, entries: map[int]*oracleEntry{}}
@@ -161,8 +161,8 @@
 			delete(o.entries, key)
 			c.Remove(key)
 		case what < 30:
-			want := o.use(key, by)
-			if got, found := c.Use(key, by); found != want || found && got != key {
+			want := o.get(key, by)
+			if got, found := c.Get(key, by); found != want || found && got != key {
 				t.Fatalf("seed %d step %d: use of %d: %d %v, want %v", seed, step, key, got, found, want)
 			}
 		default:
@@ -176,11 +176,11 @@
 				t.Fatalf("seed %d step %d: put of %d: kept %v, want %v", seed, step, key, got, kept)
 			}
 		}
-		compare(t, c, o, fmt.Sprintf("seed %d step %d", seed, step))
+		compareState(t, c, o, fmt.Sprintf("seed %d step %d", seed, step))
 	}
 }
 
-func compare(t *testing.T, c *Cache[int, int], o *oracle, when string) {
+func compareState(t *testing.T, c *Cache[int, int], o *oracle, when string) {
 	if c.Len() != len(o.entries) || c.Used() != o.total() || c.Used() > o.capacity {
 		t.Fatalf("%s: %d entries of %d, want %d of %d, at most %d", when, c.Len(), c.Used(), len(o.entries), o.total(), o.capacity)
 	}
@@ -203,18 +203,18 @@
 	}
 }
 
-func TestTheCacheDoesWhatASearchWould(t *testing.T) {
+func TestCacheMatchesOracle(t *testing.T) {
 	for seed := range uint64(200) {
-		play(t, seed, 300)
+		compareWithOracle(t, seed, 300)
 	}
 }
 
 func FuzzCache(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(func(t *testing.T, seed uint64) { play(t, seed, 200) })
+	f.Fuzz(func(t *testing.T, seed uint64) { compareWithOracle(t, seed, 200) })
 }
 
-func kept(c *Cache[int, int], tenant string) int {
+func usedBy(c *Cache[int, int], tenant string) int {
 	for _, u := range c.Usages() {
 		if u.Tenant == tenant {
 			return u.Used
@@ -230,30 +230,30 @@
 	}
 }
 
-func TestABulkRunTakesNothingFromATenantWithinItsShare(t *testing.T) {
+func TestBulkTenantDoesNotEvictTenantWithinItsShare(t *testing.T) {
 	c := New[int, int](1000, nil)
 	c.SetShares(map[string]int{"transport": 3, "archive": 1})
 	fill(c, 0, 700, Owner{Tenant: "transport"})
 	fill(c, 10_000, 100_000, Owner{Tenant: "archive"})
-	if ours, theirs := kept(c, "transport"), kept(c, "archive"); ours != 700 || theirs != 300 {
+	if ours, theirs := usedBy(c, "transport"), usedBy(c, "archive"); ours != 700 || theirs != 300 {
 		t.Errorf("kept %d and %d, want 700 and 300: what is within the share stays, what it leaves idle is lent", ours, theirs)
 	}
 	fill(c, 1000, 300, Owner{Tenant: "transport"})
-	if ours, theirs := kept(c, "transport"), kept(c, "archive"); ours != 750 || theirs != 250 {
+	if ours, theirs := usedBy(c, "transport"), usedBy(c, "archive"); ours != 750 || theirs != 250 {
 		t.Errorf("kept %d and %d, want 750 and 250", ours, theirs)
 	}
 }
 
-func TestATenantAloneHasAll(t *testing.T) {
+func TestSoleTenantUsesWholeCapacity(t *testing.T) {
 	c := New[int, int](100, nil)
 	c.SetShares(map[string]int{"transport": 99, "archive": 1})
 	fill(c, 0, 500, Owner{Tenant: "archive"})
-	if got := kept(c, "archive"); got != 100 {
+	if got := usedBy(c, "archive"); got != 100 {
 		t.Errorf("kept %d of 100 with nobody else there", got)
 	}
 }
 
-func TestUrgentOnesStayAheadWithinATenant(t *testing.T) {
+func TestUrgentEntriesAreKeptLongerWithinTenant(t *testing.T) {
 	c := New[int, int](160, nil)
 	urgent, counter, night := Owner{Tenant: "transport"}, Owner{Tenant: "transport", Rank: 1}, Owner{Tenant: "transport", Rank: 6}
 	use := func(from, n int, by Owner) {
@@ -285,11 +285,11 @@
 	}
 }
 
-func TestWhatTwoUseIsNotMadeColdByOne(t *testing.T) {
+func TestEntrySharedByTwoTenantsStaysCached(t *testing.T) {
 	c := New[int, int](100, nil)
 	fill(c, 0, 10, Owner{Tenant: "transport"})
 	for i := range 5000 {
-		c.Use(i%10, Owner{Tenant: "archive", Rank: 3})
+		c.Get(i%10, Owner{Tenant: "archive", Rank: 3})
 		c.Put(1000+i, Owner{Tenant: "archive", Rank: 3}, 1, i)
 	}
 	for key := range 10 {
@@ -297,27 +297,27 @@
 			t.Errorf("%d is gone", key)
 		}
 	}
-	if got := kept(c, "transport"); got != 10 {
+	if got := usedBy(c, "transport"); got != 10 {
 		t.Errorf("%d of 10 are counted with the tenant that is within its share", got)
 	}
 }
 
-func TestNewSharesShowWhenRoomIsWanted(t *testing.T) {
+func TestNewSharesApplyAtNextEviction(t *testing.T) {
 	c := New[int, int](100, nil)
 	c.SetShares(map[string]int{"a": 1, "b": 1})
 	fill(c, 0, 100, Owner{Tenant: "a"})
 	fill(c, 1000, 100, Owner{Tenant: "b"})
 	c.SetShares(map[string]int{"a": 4, "b": 1})
-	if a, b := kept(c, "a"), kept(c, "b"); a != 50 || b != 50 {
+	if a, b := usedBy(c, "a"), usedBy(c, "b"); a != 50 || b != 50 {
 		t.Errorf("a change of shares alone left %d and %d", a, b)
 	}
 	fill(c, 200, 100, Owner{Tenant: "a"})
-	if a, b := kept(c, "a"), kept(c, "b"); a != 80 || b != 20 {
+	if a, b := usedBy(c, "a"), usedBy(c, "b"); a != 80 || b != 20 {
 		t.Errorf("kept %d and %d, want 80 and 20", a, b)
 	}
 }
 
-func TestATenantThatVanishesIsForgotten(t *testing.T) {
+func TestTenantWithoutEntriesIsRemoved(t *testing.T) {
 	c := New[int, int](50, nil)
 	fill(c, 0, 50, Owner{Tenant: "a"})
 	for i := range 50 {
--- a/internal/kernel/sharedcache/list.go
+++ b/internal/kernel/sharedcache/list.go
@@ -2,10 +2,10 @@
 
 const (
 	// none is no entry.
-	none int32 = -1
+	noEntry int32 = -1
 	// chunk is how many entries are made at a time. Why: one slice that grows would be copied whole in the
 	// middle of a request.
-	chunk = 1 << 10
+	chunkSize = 1 << 10
 )
 
 // node is one entry, with its neighbours in the list of its owner.
@@ -16,34 +16,34 @@
 	prev, next int32
 	cost       int32
 	rank       uint8
-	part       uint8
+	segment    uint8
 }
 
 // slab holds the entries; those that are free are chained by next.
 type slab[K comparable, V any] struct {
-	chunks [][]node[K, V]
-	made   int32
-	free   int32 // one more than the first free entry; 0 is none
+	chunks    [][]node[K, V]
+	allocated int32
+	free      int32 // one more than the first free entry; 0 is none
 }
 
-func (s *slab[K, V]) at(i int32) *node[K, V] { return &s.chunks[i/chunk][i%chunk] }
+func (s *slab[K, V]) at(i int32) *node[K, V] { return &s.chunks[i/chunkSize][i%chunkSize] }
 
 // take is an entry to be filled.
-func (s *slab[K, V]) take() int32 {
+func (s *slab[K, V]) alloc() int32 {
 	if s.free > 0 {
 		i := s.free - 1
 		s.free = s.at(i).next + 1
 		return i
 	}
-	if int(s.made) == len(s.chunks)*chunk {
-		s.chunks = append(s.chunks, make([]node[K, V], chunk))
+	if int(s.allocated) == len(s.chunks)*chunkSize {
+		s.chunks = append(s.chunks, make([]node[K, V], chunkSize))
 	}
-	s.made++
-	return s.made - 1
+	s.allocated++
+	return s.allocated - 1
 }
 
 // give frees an entry.
-func (s *slab[K, V]) give(i int32) {
+func (s *slab[K, V]) release(i int32) {
 	*s.at(i) = node[K, V]{next: s.free - 1}
 	s.free = i + 1
 }
@@ -51,38 +51,38 @@
 // link puts an entry in front of the list of its owner.
 func (c *Cache[K, V]) link(at int32) {
 	n := c.nodes.at(at)
-	l := &n.owner.parts[n.part].ranks[n.rank]
-	n.prev, n.next = none, l.first
-	if l.first != none {
+	l := &n.owner.segments[n.segment].ranks[n.rank]
+	n.prev, n.next = noEntry, l.first
+	if l.first != noEntry {
 		c.nodes.at(l.first).prev = at
 	} else {
 		l.last = at
 	}
 	l.first = at
 	if n.owner.entries++; n.owner.entries == 1 {
-		c.present += n.owner.share
+		c.activeShares += n.owner.share
 	}
-	c.charge(n, int64(n.cost))
+	c.addUsage(n, int64(n.cost))
 }
 
 // unlink takes an entry out of the list of its owner.
 func (c *Cache[K, V]) unlink(at int32) {
 	n := c.nodes.at(at)
-	l := &n.owner.parts[n.part].ranks[n.rank]
-	if n.prev != none {
+	l := &n.owner.segments[n.segment].ranks[n.rank]
+	if n.prev != noEntry {
 		c.nodes.at(n.prev).next = n.next
 	} else {
 		l.first = n.next
 	}
-	if n.next != none {
+	if n.next != noEntry {
 		c.nodes.at(n.next).prev = n.prev
 	} else {
 		l.last = n.prev
 	}
 	if n.owner.entries--; n.owner.entries == 0 {
-		c.present -= n.owner.share
+		c.activeShares -= n.owner.share
 	}
-	c.charge(n, -int64(n.cost))
+	c.addUsage(n, -int64(n.cost))
 }
 
 // tenantHeap has the tenant on top that uses most for its share.
@@ -102,13 +102,13 @@
 // Swap is for container/heap.
 func (h tenantHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push is for container/heap.
 func (h *tenantHeap) Push(x any) {
 	t := x.(*tenant)
-	t.place = len(*h)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
--- a/internal/kernel/sharedcache/usage.go
+++ b/internal/kernel/sharedcache/usage.go
@@ -20,9 +20,9 @@
 	out := make([]Usage, 0, len(c.tenants))
 	for _, t := range c.tenants {
 		u := Usage{Tenant: t.name, Share: int(t.share), Entries: t.entries, Used: int(t.used), Evicted: t.evicted}
-		for part := range t.parts {
-			for rank := range t.parts[part].ranks {
-				u.ByRank[rank] += int(t.parts[part].ranks[rank].used)
+		for part := range t.segments {
+			for rank := range t.segments[part].ranks {
+				u.ByRank[rank] += int(t.segments[part].ranks[rank].used)
 			}
 		}
 		out = append(out, u)
