--- a/cmd/dsagent/main.go
+++ b/cmd/dsagent/main.go
@@ -13,9 +13,9 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-var rows = []setup.Row{
-	{Name: "name", Check: setup.Word, Doc: "name of this machine"},
-	{Name: "zone", Check: setup.Word, Doc: "zone of this machine"},
+var rows = []setup.Setting{
+	{Name: "name", Check: setup.Name, Doc: "name of this machine"},
+	{Name: "zone", Check: setup.Name, Doc: "zone of this machine"},
 	{Name: "addr", Check: setup.Address, Doc: "IP:PORT for peers, TCP and UDP"},
 	{Name: "feed", Check: setup.Address, Doc: "loopback IP:PORT for the proxy beside it"},
 	{Name: "seeds", Check: setup.Addresses, Doc: "up to three IP:PORT of other processes, as first contacts"},
@@ -23,7 +23,7 @@
 }
 
 func main() {
-	os.Exit(setup.Program("dsagent", "link between a proxy and the control plane of drumstall", rows, func(s setup.Set) (func(context.Context) error, func() bool, error) {
+	os.Exit(setup.RunProgram("dsagent", "link between a proxy and the control plane of drumstall", rows, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		a, err := agent.Start(agent.Settings{Name: s["name"], Zone: s["zone"], Addr: s["addr"], Feed: s["feed"], Seeds: s.List("seeds"), Platform: s["platform"]},
 			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
--- a/cmd/dsctl/runbooks.go
+++ b/cmd/dsctl/runbooks.go
@@ -52,7 +52,7 @@
 		if rule := setup.Addresses(c.cores); rule != "" {
 			return usage("setting cores = %q %s", c.cores, rule)
 		}
-		h := runbook.HTTP{Client: &http.Client{Timeout: c.timeout}, Cores: (setup.Set{"c": c.cores}).List("c")}
+		h := runbook.HTTP{Client: &http.Client{Timeout: c.timeout}, Cores: (setup.Settings{"c": c.cores}).List("c")}
 		b, err := build(ctx, h, args)
 		if err != nil {
 			return err
@@ -63,7 +63,7 @@
 
 // one refuses anything but one plain word.
 func one(args []string, what string) error {
-	if len(args) != 1 || setup.Word(args[0]) != "" {
+	if len(args) != 1 || setup.Name(args[0]) != "" {
 		return usage("want one %s", what)
 	}
 	return nil
@@ -110,7 +110,7 @@
 		if setup.Address(survivor) != "" || lost == "" || len(args) > 0 {
 			return runbook.Book{}, usage("want --survivor with the operator address of the surviving core, and --lost with the other members' names")
 		}
-		return runbook.Rescue(h, survivor, (setup.Set{"l": lost}).List("l")), nil
+		return runbook.Rescue(h, survivor, (setup.Settings{"l": lost}).List("l")), nil
 	}
 	return c.book("rescue", "--survivor IP:PORT --lost NAMES", "go on with one core after the others' disks are lost for good", build, func(fs *flag.FlagSet) {
 		fs.StringVar(&survivor, "survivor", "", "operator IP:PORT of the surviving core")
--- a/cmd/dsfleet/main.go
+++ b/cmd/dsfleet/main.go
@@ -38,14 +38,14 @@
 99s start  agent-3
 `
 
-var rows = []setup.Row{
+var rows = []setup.Setting{
 	{Name: "deployment", Default: "cascadia", Check: setup.OneOf("cascadia", "fotofamilia"), Doc: "cascadia or fotofamilia"},
-	{Name: "for", Default: "3m", Check: setup.Within(5*time.Second, 2*time.Hour), Doc: "how long traffic is sent"},
-	{Name: "scale", Default: "100", Check: setup.Between(1, 1000), Doc: "traffic in percent of the deployment's"},
+	{Name: "for", Default: "3m", Check: setup.DurationRange(5*time.Second, 2*time.Hour), Doc: "how long traffic is sent"},
+	{Name: "scale", Default: "100", Check: setup.IntRange(1, 1000), Doc: "traffic in percent of the deployment's"},
 	{Name: "schedule", Doc: "file of faults, lines 'AT VERB TARGET' (default: the usual one; - for none)", Check: func(string) string { return "" }},
 	{Name: "dir", Doc: "folder for data and records (default: a temporary one, removed after a good run)", Check: func(string) string { return "" }},
-	{Name: "port", Default: "21000", Check: setup.Between(1024, 60000), Doc: "first port used on 127.0.0.1"},
-	{Name: "seed", Default: "1", Check: setup.Between(0, 1<<30), Doc: "seed of the traffic"},
+	{Name: "port", Default: "21000", Check: setup.IntRange(1024, 60000), Doc: "first port used on 127.0.0.1"},
+	{Name: "seed", Default: "1", Check: setup.IntRange(0, 1<<30), Doc: "seed of the traffic"},
 	{Name: "other", Doc: "folder of another version's programs, which the step 'swap' changes a process to and back", Check: func(string) string { return "" }},
 	{Name: "json", Doc: "file that takes the report as JSON", Check: func(string) string { return "" }},
 }
@@ -102,7 +102,7 @@
 }
 
 // schedule reads the steps, and says on standard error what is wrong with them.
-func schedule(s setup.Set, d stand.Deployment) (steps []stand.Step, ok bool) {
+func schedule(s setup.Settings, d stand.Deployment) (steps []stand.Step, ok bool) {
 	text := usual
 	if s["schedule"] == "-" {
 		text = ""
@@ -140,7 +140,7 @@
 
 // newFleet makes a fleet without any process, and its folder, which may be a
 // temporary one. It says on standard error why not, and gives the exit code then.
-func newFleet(s setup.Set, d stand.Deployment) (f *fleet, temporary bool, code int) {
+func newFleet(s setup.Settings, d stand.Deployment) (f *fleet, temporary bool, code int) {
 	self, err := os.Executable()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dsfleet:", err)
--- a/cmd/dsfleet/play.go
+++ b/cmd/dsfleet/play.go
@@ -33,12 +33,12 @@
 
 // play sends the traffic and takes the steps meanwhile, and reads the
 // configuration back at the end. It gives how many things went wrong.
-func (f *fleet) play(ctx context.Context, s setup.Set, v *stand.Clients, steps []stand.Step) (wrong int) {
+func (f *fleet) play(ctx context.Context, s setup.Settings, v *stand.Clients, steps []stand.Step) (wrong int) {
 	flows := append([]stand.Flow(nil), f.d.Flows...)
 	for i := range flows {
 		flows[i].PerSecond *= float64(s.Int("scale")) / 100
 	}
-	traffic, quiet := context.WithTimeout(ctx, s.Span("for"))
+	traffic, quiet := context.WithTimeout(ctx, s.Duration("for"))
 	defer quiet()
 	v.Run(f.group, traffic, uint64(s.Int("seed")), func() []stand.Edge { return f.edges }, flows)
 	began := time.Now()
--- a/cmd/dsproxy/main.go
+++ b/cmd/dsproxy/main.go
@@ -13,16 +13,16 @@
 	"drumstall.example/internal/proxy"
 )
 
-var rows = []setup.Row{
-	{Name: "name", Check: setup.Word, Doc: "name of this machine"},
-	{Name: "zone", Check: setup.Word, Doc: "zone of this machine"},
+var rows = []setup.Setting{
+	{Name: "name", Check: setup.Name, Doc: "name of this machine"},
+	{Name: "zone", Check: setup.Name, Doc: "zone of this machine"},
 	{Name: "callers", Check: setup.Address, Doc: "IP:PORT for callers, HTTP"},
 	{Name: "agent", Check: setup.Address, Doc: "loopback IP:PORT of the agent's feed"},
 	{Name: "platform", Check: setup.Address, Doc: "IP:PORT of the platform, asked only while the agent is away"},
 }
 
 func main() {
-	os.Exit(setup.Program("dsproxy", "traffic of drumstall", rows, func(s setup.Set) (func(context.Context) error, func() bool, error) {
+	os.Exit(setup.RunProgram("dsproxy", "traffic of drumstall", rows, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		p, err := proxy.Start(proxy.Settings{Name: s["name"], Zone: s["zone"], Callers: s["callers"], Agent: s["agent"], Platform: s["platform"]},
 			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
--- a/cmd/dsreplay/main.go
+++ b/cmd/dsreplay/main.go
@@ -12,13 +12,13 @@
 	"drumstall.example/internal/stand"
 )
 
-var rows = []setup.Row{
+var rows = []setup.Setting{
 	{Name: "deployment", Default: "cascadia", Check: setup.OneOf("cascadia", "fotofamilia"), Doc: "cascadia or fotofamilia"},
-	{Name: "days", Default: "10", Check: setup.Between(8, 60), Doc: "days; the first seven only make history"},
-	{Name: "scale", Default: "100", Check: setup.Between(1, 2000), Doc: "traffic in percent of the deployment's"},
-	{Name: "memory", Default: "100", Check: setup.Between(10, 400), Doc: "replicas' memory in percent of the deployment's"},
+	{Name: "days", Default: "10", Check: setup.IntRange(8, 60), Doc: "days; the first seven only make history"},
+	{Name: "scale", Default: "100", Check: setup.IntRange(1, 2000), Doc: "traffic in percent of the deployment's"},
+	{Name: "memory", Default: "100", Check: setup.IntRange(10, 400), Doc: "replicas' memory in percent of the deployment's"},
 	{Name: "only", Check: func(string) string { return "" }, Doc: "only cases whose name holds this"},
-	{Name: "seed", Default: "1", Check: setup.Between(0, 1<<30), Doc: "seed of the traffic"},
+	{Name: "seed", Default: "1", Check: setup.IntRange(0, 1<<30), Doc: "seed of the traffic"},
 }
 
 func main() {
--- a/cmd/dsscale/main.go
+++ b/cmd/dsscale/main.go
@@ -38,24 +38,24 @@
 
 func anything(string) string { return "" }
 
-var rows = []setup.Row{
+var rows = []setup.Setting{
 	{Name: "sizes", Default: "41x60", Check: checkSizes, Doc: "NODESxREPLICAS, several separated by commas; at most 410x600"},
-	{Name: "cores", Default: "7", Check: setup.Between(1, maxCores), Doc: "cores, each a process"},
-	{Name: "zones", Default: "7", Check: setup.Between(1, maxZones), Doc: "zones that machines are spread over"},
-	{Name: "regions", Default: "3", Check: setup.Between(1, maxZones), Doc: "regions that zones are spread over"},
-	{Name: "real", Default: "2", Check: setup.Between(0, 20), Doc: "nodes whose agent and proxy are processes"},
-	{Name: "models", Default: "1200", Check: setup.Between(1, 5000), Doc: "models of the catalogue"},
-	{Name: "adapters", Default: "40000", Check: setup.Between(0, 100_000), Doc: "adapters of all models together"},
-	{Name: "routes", Default: "200", Check: setup.Between(1, 5000), Doc: "routes of the configuration"},
-	{Name: "warm", Default: "20s", Check: setup.Within(0, 5*time.Minute), Doc: "time between serving and measuring"},
-	{Name: "for", Default: "20s", Check: setup.Within(time.Second, 5*time.Minute), Doc: "how long is measured"},
-	{Name: "slower", Default: "1", Check: setup.Between(1, maxSlower), Doc: "times slower: reports to cores, asking replicas, list, predictions"},
+	{Name: "cores", Default: "7", Check: setup.IntRange(1, maxCores), Doc: "cores, each a process"},
+	{Name: "zones", Default: "7", Check: setup.IntRange(1, maxZones), Doc: "zones that machines are spread over"},
+	{Name: "regions", Default: "3", Check: setup.IntRange(1, maxZones), Doc: "regions that zones are spread over"},
+	{Name: "real", Default: "2", Check: setup.IntRange(0, 20), Doc: "nodes whose agent and proxy are processes"},
+	{Name: "models", Default: "1200", Check: setup.IntRange(1, 5000), Doc: "models of the catalogue"},
+	{Name: "adapters", Default: "40000", Check: setup.IntRange(0, 100_000), Doc: "adapters of all models together"},
+	{Name: "routes", Default: "200", Check: setup.IntRange(1, 5000), Doc: "routes of the configuration"},
+	{Name: "warm", Default: "20s", Check: setup.DurationRange(0, 5*time.Minute), Doc: "time between serving and measuring"},
+	{Name: "for", Default: "20s", Check: setup.DurationRange(time.Second, 5*time.Minute), Doc: "how long is measured"},
+	{Name: "slower", Default: "1", Check: setup.IntRange(1, maxSlower), Doc: "times slower: reports to cores, asking replicas, list, predictions"},
 	{Name: "events", Check: checkEvents, Doc: "after measuring, separated by commas: cut (a region's), zone (loss)"},
-	{Name: "apart", Default: "10s", Check: setup.Within(time.Second, 5*time.Minute), Doc: "how long a region is cut off"},
+	{Name: "apart", Default: "10s", Check: setup.DurationRange(time.Second, 5*time.Minute), Doc: "how long a region is cut off"},
 	{Name: "plots", Check: anything, Doc: "folder that takes a plot of each slope"},
 	{Name: "dir", Check: anything, Doc: "folder for data and logs (default: a temporary one, removed after a good run)"},
-	{Name: "block", Default: "100", Check: setup.Between(2, 200), Doc: "second number of the first zone's addresses, 127.BLOCK.x.y"},
-	{Name: "limit", Default: "10m", Check: setup.Within(10*time.Second, 2*time.Hour), Doc: "most time for all sizes together"},
+	{Name: "block", Default: "100", Check: setup.IntRange(2, 200), Doc: "second number of the first zone's addresses, 127.BLOCK.x.y"},
+	{Name: "limit", Default: "10m", Check: setup.DurationRange(10*time.Second, 2*time.Hour), Doc: "most time for all sizes together"},
 }
 
 func main() {
@@ -83,7 +83,7 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	ctx, end := context.WithTimeout(ctx, s.Span("limit"))
+	ctx, end := context.WithTimeout(ctx, s.Duration("limit"))
 	defer end()
 	if err := runAll(ctx, plan, means, out); err != nil {
 		fmt.Fprintf(errs, "%s: %v\n", program, err)
--- a/cmd/dsscale/plan.go
+++ b/cmd/dsscale/plan.go
@@ -65,7 +65,7 @@
 )
 
 func checkEvents(text string) string {
-	for _, name := range (setup.Set{"events": text}).List("events") {
+	for _, name := range (setup.Settings{"events": text}).List("events") {
 		if event(name) != cutRegion && event(name) != loseZone {
 			return fmt.Sprintf("must be of %s, %s, separated by commas", cutRegion, loseZone)
 		}
@@ -89,9 +89,9 @@
 }
 
 // newPlan is made of settings that were checked.
-func newPlan(s setup.Set) plan {
+func newPlan(s setup.Settings) plan {
 	sizes, _ := readSizes(s["sizes"])
-	p := plan{sizes: sizes, real: s.Int("real"), slower: s.Int("slower"), warm: s.Span("warm"), window: s.Span("for"), apart: s.Span("apart"), plots: s["plots"], dir: s["dir"],
+	p := plan{sizes: sizes, real: s.Int("real"), slower: s.Int("slower"), warm: s.Duration("warm"), window: s.Duration("for"), apart: s.Duration("apart"), plots: s["plots"], dir: s["dir"],
 		shape:     hollow.Layout{Cores: s.Int("cores"), Zones: s.Int("zones"), Regions: min(s.Int("regions"), s.Int("zones")), Block: s.Int("block")},
 		catalogue: hollow.Catalogue{Models: s.Int("models"), Adapters: s.Int("adapters"), Routes: s.Int("routes")}}
 	for _, name := range s.List("events") {
--- a/internal/kernel/setup/build_test.go
+++ b/internal/kernel/setup/build_test.go
@@ -15,7 +15,7 @@
 )
 
 // Only dsfleet and dsscale, which are proof, may start processes: one package has the means, and nobody else uses it.
-func TestOnlyTheProofStartsProcesses(t *testing.T) {
+func TestOnlyTestToolsStartProcesses(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	may := map[string][]string{
 		`"os/exec"`: {filepath.Join("internal", "sim", "process")},
--- a/internal/kernel/setup/fuzz_test.go
+++ b/internal/kernel/setup/fuzz_test.go
@@ -19,11 +19,11 @@
 			t.Fatal(err)
 		}
 		var out, errw bytes.Buffer
-		s, code, done := Read("prog", "", rows, []string{"--config", file}, &out, &errw)
+		s, code, done := Read("prog", "", testSettings, []string{"--config", file}, &out, &errw)
 		if done && (code != 2 || errw.Len() == 0) {
 			t.Fatalf("ended with %d and said %q", code, errw.String())
 		}
-		for _, r := range rows {
+		for _, r := range testSettings {
 			if rule := r.Check(s[r.Name]); !done && rule != "" {
 				t.Errorf("%s = %q was taken; it %s", r.Name, s[r.Name], rule)
 			}
--- a/internal/kernel/setup/settest/settest.go
+++ b/internal/kernel/setup/settest/settest.go
@@ -10,7 +10,7 @@
 )
 
 // Examples reads each deployment's example file of a program as the program would.
-func Examples(t *testing.T, program string, rows []setup.Row) {
+func CheckExamples(t *testing.T, program string, rows []setup.Setting) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", "..", "examples", "*", program+".conf"))
 	if err != nil || len(files) != 2 {
--- a/internal/kernel/setup/setup.go
+++ b/internal/kernel/setup/setup.go
@@ -21,7 +21,7 @@
 )
 
 // Row is one setting.
-type Row struct {
+type Setting struct {
 	Name    string
 	Default string
 	Check   func(string) string // "" when it is good, else the rule it breaks
@@ -29,10 +29,10 @@
 }
 
 // Set is settings that were read and checked.
-type Set map[string]string
+type Settings map[string]string
 
 // List splits a setting at commas.
-func (s Set) List(name string) []string {
+func (s Settings) List(name string) []string {
 	var out []string
 	for _, p := range strings.Split(s[name], ",") {
 		if p = strings.TrimSpace(p); p != "" {
@@ -43,13 +43,13 @@
 }
 
 // Int is a setting that was checked to be a whole number.
-func (s Set) Int(name string) int {
+func (s Settings) Int(name string) int {
 	n, _ := strconv.Atoi(s[name])
 	return n
 }
 
 // Span is a setting that was checked to be a duration.
-func (s Set) Span(name string) time.Duration {
+func (s Settings) Duration(name string) time.Duration {
 	d, _ := time.ParseDuration(s[name])
 	return d
 }
@@ -78,26 +78,26 @@
 	return ""
 }
 
-var word = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 // Word wants a plain name.
-func Word(v string) string {
-	if !word.MatchString(v) {
+func Name(v string) string {
+	if !namePattern.MatchString(v) {
 		return "must be 1 to 63 letters, digits, '.', '_' or '-'"
 	}
 	return ""
 }
 
 // MaybeWord wants a plain name or nothing.
-func MaybeWord(v string) string {
+func OptionalName(v string) string {
 	if v == "" {
 		return ""
 	}
-	return Word(v)
+	return Name(v)
 }
 
 // Path wants something.
-func Path(v string) string {
+func NonEmpty(v string) string {
 	if v == "" {
 		return "must be given"
 	}
@@ -105,7 +105,7 @@
 }
 
 // Between wants a whole number.
-func Between(lo, hi int) func(string) string {
+func IntRange(lo, hi int) func(string) string {
 	return func(v string) string {
 		if n, err := strconv.Atoi(v); err != nil || n < lo || n > hi {
 			return fmt.Sprintf("must be a whole number from %d to %d", lo, hi)
@@ -115,7 +115,7 @@
 }
 
 // Within wants a duration.
-func Within(lo, hi time.Duration) func(string) string {
+func DurationRange(lo, hi time.Duration) func(string) string {
 	return func(v string) string {
 		if d, err := time.ParseDuration(v); err != nil || d < lo || d > hi {
 			return fmt.Sprintf("must be a duration from %v to %v", lo, hi)
@@ -137,7 +137,7 @@
 }
 
 // Usage writes what a program does and all its settings.
-func Usage(w io.Writer, program, what string, rows []Row) {
+func Usage(w io.Writer, program, what string, rows []Setting) {
 	fmt.Fprintf(w, "%s - %s\n\nusage: %s [--config FILE] [settings]\n\nA settings file has a line 'name value' for each setting; flags go before it.\n\nsettings:\n", program, what, program)
 	for _, r := range rows {
 		def := "must be given"
@@ -151,7 +151,7 @@
 }
 
 // Read reads and checks. code is what the program must exit with when done is true.
-func Read(program, what string, rows []Row, args []string, out, errw io.Writer) (s Set, code int, done bool) {
+func Read(program, what string, rows []Setting, args []string, out, errw io.Writer) (s Settings, code int, done bool) {
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	fs.String("config", "", "settings file")
@@ -169,7 +169,7 @@
 			return nil
 		})
 	}
-	args, unknown := known(fs, args)
+	args, unknown := splitKnownFlags(fs, args)
 	faults = append(faults, unknown...)
 	err := ff.Parse(fs, args, ff.WithConfigFileFlag("config"), ff.WithConfigFileParser(all))
 	switch {
@@ -185,7 +185,7 @@
 		fmt.Fprintf(errw, "%s: %s\n", program, f)
 		code, done = 2, true
 	}
-	s = Set{}
+	s = Settings{}
 	for _, r := range rows {
 		s[r.Name] = *vals[r.Name]
 		if r.Check == nil {
@@ -202,7 +202,7 @@
 
 // known parts flags from those that no setting has; of an unknown one its value
 // goes too.
-func known(fs *flag.FlagSet, args []string) (good, faults []string) {
+func splitKnownFlags(fs *flag.FlagSet, args []string) (good, faults []string) {
 	for i := 0; i < len(args); i++ {
 		a := args[i]
 		name, _, whole := strings.Cut(strings.TrimLeft(a, "-"), "=")
@@ -225,7 +225,7 @@
 }
 
 // Program is what a daemon's main does: read, start, wait for a signal, stop.
-func Program(program, what string, rows []Row, start func(Set) (stop func(context.Context) error, sick func() bool, err error)) int {
+func RunProgram(program, what string, rows []Setting, start func(Settings) (stop func(context.Context) error, sick func() bool, err error)) int {
 	s, code, done := Read(program, what, rows, os.Args[1:], os.Stdout, os.Stderr)
 	if done {
 		return code
@@ -245,7 +245,7 @@
 		case <-sig:
 			ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer cancel()
-			return end(ctx, program, stop, os.Exit)
+			return shutdown(ctx, program, stop, os.Exit)
 		case <-look.C:
 			// Why: a core whose disk failed can never vote again; it ends so that it is seen and replaced.
 			if sick != nil && sick() {
@@ -259,15 +259,15 @@
 }
 
 // stopLimit is how long a planned stop may take.
-const stopLimit = time.Minute
+const shutdownTimeout = time.Minute
 
 // end stops a program and says with which code it ends. A second signal ends
 // ctx, and a minute ends the process, if stop will not finish by itself.
-func end(ctx context.Context, program string, stop func(context.Context) error, exit func(int)) int {
-	ctx, cancel := context.WithTimeout(ctx, stopLimit)
+func shutdown(ctx context.Context, program string, stop func(context.Context) error, exit func(int)) int {
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	// Why: a timer of its own, not the end of ctx: that comes with every stop, and would race the code of a good one.
-	late := time.AfterFunc(stopLimit, func() { exit(1) })
+	late := time.AfterFunc(shutdownTimeout, func() { exit(1) })
 	defer late.Stop()
 	if err := stop(ctx); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: stopping: %v\n", program, err)
--- a/internal/kernel/setup/setup_test.go
+++ b/internal/kernel/setup/setup_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-var rows = []Row{
-	{Name: "name", Check: Word, Doc: "a name"},
+var testSettings = []Setting{
+	{Name: "name", Check: Name, Doc: "a name"},
 	{Name: "addr", Default: "127.0.0.1:80", Check: Address, Doc: "an address"},
 	{Name: "seeds", Default: "127.0.0.1:1", Check: Addresses, Doc: "seeds"},
-	{Name: "n", Default: "3", Check: Between(1, 9), Doc: "a number"},
-	{Name: "for", Default: "1s", Check: Within(0, time.Minute), Doc: "a span"},
+	{Name: "n", Default: "3", Check: IntRange(1, 9), Doc: "a number"},
+	{Name: "for", Default: "1s", Check: DurationRange(0, time.Minute), Doc: "a span"},
 }
 
 func TestSettings(t *testing.T) {
@@ -41,7 +41,7 @@
 		{"--name - --n z", 2, `setting n = "z"`}, {"--config /nowhere", 2, "nowhere"}, {"--help", 0, "usage: prog"},
 	} {
 		var out, errw bytes.Buffer
-		s, code, done := Read("prog", "does things", rows, strings.Fields(c.args), &out, &errw)
+		s, code, done := Read("prog", "does things", testSettings, strings.Fields(c.args), &out, &errw)
 		if code != c.code || !strings.Contains(out.String()+errw.String(), c.says) {
 			t.Errorf("%q: code %d, said %q%q", c.args, code, out.String(), errw.String())
 		}
