--- a/internal/kernel/run/run.go
+++ b/internal/kernel/run/run.go
@@ -1,5 +1,5 @@
-// Package run is the one place that starts goroutines and the one place that
-// holds a select loop.
+// Package run owns the start of goroutines and the select loop of the system: groups of goroutines with a common
+// lifetime, actors that run commands one at a time, and helpers to wait.
 package run
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/pkg/errors"
 )
 
-// ErrStopped is given to whoever asks an actor whose group has stopped.
+// ErrStopped is returned by calls to an actor whose group has stopped.
 var ErrStopped = errors.New("run: stopped")
 
-// ErrFull is given when an actor's queue has no place left.
+// ErrFull is returned when an actor's queue is full.
 var ErrFull = errors.New("run: queue is full")
 
-// Group is a set of goroutines that live and end together.
+// Group is a set of goroutines with a common lifetime.
 type Group struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -28,27 +28,27 @@
 	parent *Group
 }
 
-// Child makes a group that freezes and ends with this one, or before it.
+// Child returns a group that freezes and stops with this one, or earlier.
 func (g *Group) Child() *Group {
 	c := NewGroup(g.ctx)
 	c.parent = g
 	return c
 }
 
-// NewGroup starts an empty group under ctx.
+// NewGroup returns an empty group whose context is derived from ctx.
 func NewGroup(ctx context.Context) *Group {
 	inner, cancel := context.WithCancel(ctx)
 	return &Group{ctx: inner, cancel: cancel}
 }
 
-// Context ends when the group stops.
+// Context returns a context that is cancelled when the group stops.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Go runs f until it returns; it is not started once the group has stopped.
+// Go runs f in a goroutine of the group and reports whether it was started; a stopped group starts none.
 func (g *Group) Go(f func(ctx context.Context)) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Why: a late start must not race with the wait in Stop.
+	// Checked under the mutex, so that a late start does not race with wg.Wait in Stop.
 	if g.ended {
 		return false
 	}
@@ -68,7 +68,7 @@
 	return true
 }
 
-// Stop ends the group and waits for every goroutine in it.
+// Stop cancels the group's context and waits until all its goroutines have returned.
 func (g *Group) Stop() {
 	g.mu.Lock()
 	g.ended = true
@@ -78,13 +78,13 @@
 	g.wg.Wait()
 }
 
-// Freeze makes every loop of the group stand still, as a stopped machine does.
+// Freeze suspends every loop of the group, like a stopped machine.
 func (g *Group) Freeze() {
 	gate := make(chan struct{})
 	g.frozen.CompareAndSwap(nil, &gate)
 }
 
-// Thaw lets a frozen group go on.
+// Thaw resumes a frozen group.
 func (g *Group) Thaw() {
 	if gate := g.frozen.Swap(nil); gate != nil {
 		close(*gate)
@@ -101,7 +101,7 @@
 	}
 }
 
-// loop is the select loop; every other loop in the system is made of it.
+// loop runs commands from inbox and calls onTick at each interval until ctx ends.
 func (g *Group) loop(ctx context.Context, inbox <-chan func(), interval time.Duration, onTick func()) {
 	var ticks <-chan time.Time
 	if interval > 0 {
@@ -123,20 +123,20 @@
 	}
 }
 
-// Every calls f at each interval until the group stops.
+// Every calls f at a fixed interval until the group stops.
 func (g *Group) Every(interval time.Duration, f func(ctx context.Context)) {
 	g.Go(func(ctx context.Context) {
 		g.loop(ctx, nil, interval, func() { f(ctx) })
 	})
 }
 
-// Actor owns a table: commands are worked off one at a time, in order.
+// Actor runs commands one at a time, in order, and so guards the state that they use.
 type Actor struct {
 	group *Group
 	inbox chan func()
 }
 
-// NewActor opens an actor with a queue of depth commands and an optional interval, at which it calls onTick.
+// NewActor starts an actor with a queue of depth commands. If interval is positive, the actor calls onTick at it.
 func NewActor(g *Group, depth int, interval time.Duration, onTick func()) *Actor {
 	a := &Actor{group: g, inbox: make(chan func(), depth)}
 	g.Go(func(ctx context.Context) { g.loop(ctx, a.inbox, interval, onTick) })
@@ -241,7 +241,7 @@
 	}
 }
 
-// WaitOn waits until ch closes, d passes or ctx ends; true when ch closed.
+// WaitOn waits until ch is closed, d has passed or ctx ends, and reports whether ch was closed.
 func WaitOn(ctx context.Context, ch <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -255,7 +255,7 @@
 	}
 }
 
-// Repeat calls f again and again, at least gap apart, until the group stops.
+// Repeat calls f until the group stops, with a pause of gap after each call.
 func (g *Group) Repeat(gap time.Duration, f func(ctx context.Context)) {
 	g.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
--- a/internal/kernel/run/timer_test.go
+++ b/internal/kernel/run/timer_test.go
@@ -12,19 +12,19 @@
 		g := NewGroup(context.Background())
 		defer g.Stop()
 		began, times := time.Now(), []time.Duration{}
-		var a *Timer
-		a = NewTimer(NewActor(g, 4, 0, nil), func() {
+		var timer *Timer
+		timer = NewTimer(NewActor(g, 4, 0, nil), func() {
 			times = append(times, time.Since(began))
 			if len(times) < 3 {
-				a.Start(time.Second)
+				timer.Start(time.Second)
 			}
 		})
-		a.Start(2 * time.Second)
-		a.Start(time.Second) // it is set already
+		timer.Start(2 * time.Second)
+		timer.Start(time.Second) // no effect: already pending
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if len(times) != 3 || times[0] != 2*time.Second || times[1] != 3*time.Second || times[2] != 4*time.Second {
-			t.Errorf("it came at %v", times)
+			t.Errorf("the command ran after %v", times)
 		}
 	})
 }
@@ -33,23 +33,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(context.Background())
 		defer g.Stop()
-		d := NewActor(g, 1, 0, nil)
+		actor := NewActor(g, 1, 0, nil)
 		g.Freeze()
-		for d.TryEnqueue(func() {}) == nil {
+		for actor.TryEnqueue(func() {}) == nil {
 			synctest.Wait()
 		}
-		came := false
-		NewTimer(d, func() { came = true }).Start(time.Second)
+		ran := false
+		NewTimer(actor, func() { ran = true }).Start(time.Second)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		if came {
-			t.Error("a frozen actor has worked")
+		if ran {
+			t.Error("a frozen actor ran the command")
 		}
 		g.Thaw()
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		if !came {
-			t.Error("the command was lost")
+		if !ran {
+			t.Error("the command did not run after the group was thawed")
 		}
 	})
 }
@@ -57,10 +57,10 @@
 func TestTimerEndsWhenActorIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(context.Background())
-		d := NewActor(g, 1, 0, nil)
-		NewTimer(d, func() { t.Error("a stopped actor has worked") }).Start(time.Second)
+		actor := NewActor(g, 1, 0, nil)
+		NewTimer(actor, func() { t.Error("a stopped actor ran the command") }).Start(time.Second)
 		g.Stop()
-		_ = d.TryEnqueue(func() {})
+		_ = actor.TryEnqueue(func() {})
 		time.Sleep(time.Minute)
 	})
 }
@@ -69,20 +69,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(t.Context())
 		defer g.Stop()
-		var came []time.Duration
+		var fired []time.Duration
 		began := time.Now()
-		a := NewTimer(NewActor(g, 4, 0, nil), func() { came = append(came, time.Since(began)) })
-		time.Sleep(2 * time.Hour) // one that was never set does not come
+		timer := NewTimer(NewActor(g, 4, 0, nil), func() { fired = append(fired, time.Since(began)) })
+		time.Sleep(2 * time.Hour) // a timer that was never started does not fire
 		began = time.Now()
-		a.Reset(time.Second)
-		a.Reset(100 * time.Millisecond)
+		timer.Reset(time.Second)
+		timer.Reset(100 * time.Millisecond)
 		time.Sleep(5 * time.Second)
-		a.Reset(100 * time.Millisecond)
-		a.Reset(time.Second)
+		timer.Reset(100 * time.Millisecond)
+		timer.Reset(time.Second)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		if len(came) != 2 || came[0] != 100*time.Millisecond || came[1] != 6*time.Second {
-			t.Errorf("came after %v", came)
+		if len(fired) != 2 || fired[0] != 100*time.Millisecond || fired[1] != 6*time.Second {
+			t.Errorf("fired after %v", fired)
 		}
 	})
 }
@@ -91,18 +91,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(t.Context())
 		defer g.Stop()
-		a := NewActor(g, 1, 0, nil)
-		came := 0
-		w := NewTimer(a, func() { came++ })
-		for range 2 { // one is worked on, one waits
-			_ = a.TryEnqueue(func() { time.Sleep(time.Second) })
+		actor := NewActor(g, 1, 0, nil)
+		runs := 0
+		timer := NewTimer(actor, func() { runs++ })
+		for range 2 { // one command runs, the other fills the queue
+			_ = actor.TryEnqueue(func() { time.Sleep(time.Second) })
 			time.Sleep(time.Millisecond)
 		}
-		w.Reset(0)
+		timer.Reset(0)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if came != 1 {
-			t.Errorf("came %d times", came)
+		if runs != 1 {
+			t.Errorf("the command ran %d times", runs)
 		}
 	})
 }
@@ -110,9 +110,9 @@
 func TestResetAfterActorStoppedDoesNotFire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGroup(t.Context())
-		w := NewTimer(NewActor(g, 4, 0, nil), func() { t.Error("a stopped actor has worked") })
+		timer := NewTimer(NewActor(g, 4, 0, nil), func() { t.Error("a stopped actor ran the command") })
 		g.Stop()
-		w.Reset(0)
+		timer.Reset(0)
 		time.Sleep(time.Second)
 	})
 }
