--- a/internal/kernel/wire/compat_test.go
+++ b/internal/kernel/wire/compat_test.go
@@ -53,39 +53,39 @@
 	return out
 }
 
-// Versions run side by side, and folders outlive them: a field keeps its
-// number and type for ever, and the number of one that is gone is not used
-// again. testdata/messages.txt holds all that were ever sent; new ones are
+// Versions run side by side, and data directories outlive them: a field keeps its
+// number and type for ever, and the number of a removed field is not
+// reused. testdata/messages.txt lists all fields that were ever sent; new fields are
 // added to it.
 func TestMessageFieldsStayCompatible(t *testing.T) {
 	b, err := os.ReadFile("testdata/messages.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ever := map[string]string{} // type and number: field and type
+	listed := map[string]string{} // type and number: field and type
 	for _, line := range strings.Split(strings.TrimSpace(string(b)), "\n") {
 		w := strings.SplitN(line, " ", 3)
 		if len(w) != 3 {
 			t.Fatalf("testdata/messages.txt: %q", line)
 		}
-		ever[w[0]+" "+w[1]] = w[2]
+		listed[w[0]+" "+w[1]] = w[2]
 	}
-	now := map[string]bool{}
+	current := map[string]bool{}
 	for _, line := range messageFields(t, "../..") {
 		w := strings.SplitN(line, " ", 3)
 		key := w[0] + " " + w[1]
-		if now[key] {
+		if current[key] {
 			t.Errorf("%s is used twice", key)
 		}
-		now[key] = true
-		switch old, known := ever[key]; {
+		current[key] = true
+		switch old, known := listed[key]; {
 		case !known:
 			t.Errorf("new, to be added to testdata/messages.txt: %s", line)
 		case strings.SplitN(old, " ", 2)[1] != strings.SplitN(w[2], " ", 2)[1]:
 			t.Errorf("%s is %q now and was %q: an earlier version cannot read it", key, w[2], old)
 		}
 	}
-	if len(now) < 50 {
-		t.Errorf("only %d fields found", len(now))
+	if len(current) < 50 {
+		t.Errorf("only %d fields found", len(current))
 	}
 }
--- a/internal/kernel/wire/compress.go
+++ b/internal/kernel/wire/compress.go
@@ -30,7 +30,7 @@
 	return must(w, err)
 }}
 
-// compress gives the bytes in the coding; writes to memory do not fail.
+// compress returns the bytes compressed with gzip. Errors are ignored, since writes to memory do not fail.
 func compress(plain []byte) []byte {
 	var out bytes.Buffer
 	w := gzipWriters.Get().(*gzip.Writer)
@@ -41,7 +41,7 @@
 	return out.Bytes()
 }
 
-// readBody reads at most MaxMessage bytes.
+// readBody reads a body and returns ErrMalformed if it is longer than MaxMessage.
 func readBody(body io.Reader) ([]byte, error) {
 	read, err := io.ReadAll(io.LimitReader(body, MaxMessage+1))
 	if err == nil && len(read) > MaxMessage {
@@ -50,7 +50,7 @@
 	return read, err
 }
 
-// decode undoes the content coding that a header names, if any.
+// decode undoes the content encoding named in a header, if any.
 func decode(body []byte, header http.Header) ([]byte, error) {
 	switch coding := header.Get("Content-Encoding"); coding {
 	case "":
@@ -78,7 +78,7 @@
 // Large is a message that is encoded and compressed once for many peers.
 type EncodedMessage struct {
 	plain      []byte
-	compressed []byte // nil where the message is too small for that
+	compressed []byte // nil if the message is smaller than minCompressSize
 }
 
 // Prepare encodes a message for CallLarge.
--- a/internal/kernel/wire/compress_test.go
+++ b/internal/kernel/wire/compress_test.go
@@ -84,7 +84,7 @@
 		}
 	}
 	if n := coded.Load(); n != 1 {
-		t.Errorf("it was sent %d compressed messages, want one try", n)
+		t.Errorf("the peer was sent %d compressed messages, want 1", n)
 	}
 }
 
--- a/internal/kernel/wire/datagram.go
+++ b/internal/kernel/wire/datagram.go
@@ -10,6 +10,7 @@
 // MaxGram bounds a datagram, so that none is cut up on the way.
 const MaxDatagram = 1400
 
+// datagram is the encoded form of a message: protocol version, kind and body.
 type datagram struct {
 	Version string `cbor:"1,keyasint"`
 	Kind    string `cbor:"2,keyasint"`
@@ -31,7 +32,7 @@
 	stats  *counter
 }
 
-// Sent counts datagrams let go.
+// Sent returns the number of datagrams sent.
 func (p *DatagramSocket) Sent() int64 { return p.sent.Load() }
 
 // Served is what the datagrams of each kind have cost so far.
@@ -47,7 +48,8 @@
 	p.handlers[name] = datagramHandler{f, p.stats.get(name)}
 }
 
-// Send lets one datagram go; one too large, or to nowhere, is lost like any other.
+// Send sends a datagram and reports whether it was sent. A datagram that is too large or has an invalid
+// address is dropped.
 func (p *DatagramSocket) Send(addr, kind string, body []byte) bool {
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -65,7 +67,7 @@
 // Garbled counts datagrams that could not be read or are of another version.
 func (p *DatagramSocket) Malformed() int64 { return p.malformed.Load() }
 
-// Run takes datagrams until the connection is closed.
+// Run receives and dispatches datagrams until the connection is closed.
 func (p *DatagramSocket) Run(context.Context) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -97,5 +99,5 @@
 // Bad counts one body that its kind could not read.
 func (p *DatagramSocket) CountMalformed() { p.malformed.Add(1) }
 
-// Close ends Run.
+// Close closes the connection, which ends Run.
 func (p *DatagramSocket) Close() { _ = p.conn.Close() }
--- a/internal/kernel/wire/server.go
+++ b/internal/kernel/wire/server.go
@@ -12,7 +12,7 @@
 	"drumstall.example/internal/kernel/run"
 )
 
-// Server runs an HTTP server on a listener until stopped.
+// Server runs an HTTP server on a listener and tracks the state of its connections.
 type Server struct {
 	http     *http.Server
 	listener net.Listener
@@ -20,12 +20,13 @@
 	conns    map[net.Conn]connState
 }
 
+// connState is the state of a connection and the time at which it was entered.
 type connState struct {
 	state http.ConnState
 	since time.Time
 }
 
-// NewServer prepares a server; Run serves until Close or Drain.
+// NewServer returns a server; Run serves until Close or Drain.
 func NewServer(ln net.Listener, h http.Handler) *Server {
 	s := &Server{listener: ln, conns: map[net.Conn]connState{}}
 	s.http = &http.Server{
@@ -35,6 +36,7 @@
 	return s
 }
 
+// trackConn records the state of a connection; it is the http.Server's ConnState hook.
 func (s *Server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,23 +59,23 @@
 	return false
 }
 
-// Quiesce takes no more connections and waits until each that is open has been idle
-// for so long that its caller will not write to it any more.
+// Quiesce closes the listener and waits until each open connection has been idle
+// for the given time, after which its client does not write to it any more.
 func (s *Server) Quiesce(ctx context.Context, idle time.Duration) {
 	_ = s.listener.Close()
 	for s.hasBusyConn(idle) && run.Sleep(ctx, 50*time.Millisecond) {
 	}
 }
 
-// Run serves; call it in a group.
+// Run serves requests until the server is closed. It blocks; call it in a group.
 func (s *Server) Run(context.Context) { _ = s.http.Serve(s.listener) }
 
-// Close ends at once.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// Drain takes no more connections and lets what was accepted finish.
+// Drain closes the listener and waits for accepted requests to finish.
 func (s *Server) Drain(ctx context.Context) error {
-	// Why: the listener may have been closed before, by Quiesce.
+	// Quiesce may already have closed the listener.
 	if err := s.http.Shutdown(ctx); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
--- a/internal/kernel/wire/stats.go
+++ b/internal/kernel/wire/stats.go
@@ -9,23 +9,23 @@
 // Served is what calls at one path, or datagrams of one kind, have cost who takes them.
 type Stats struct {
 	Calls int64
-	In    int64 // bytes taken
-	Out   int64 // bytes answered
+	In    int64 // bytes received
+	Out   int64 // bytes of responses
 	Took  time.Duration
 }
 
-// Since is what was added after an earlier count.
+// Since returns the difference to an earlier count.
 func (s Stats) Since(before Stats) Stats {
 	return Stats{Calls: s.Calls - before.Calls, In: s.In - before.In, Out: s.Out - before.Out, Took: s.Took - before.Took}
 }
 
-// Bytes is how many went either way.
+// Bytes returns the bytes in both directions.
 func (s Stats) Bytes() int64 { return s.In + s.Out }
 
 // servedCount counts what one path or kind costs.
 type counter struct{ calls, in, out, took atomic.Int64 }
 
-// add counts one call or datagram.
+// add counts a call or datagram.
 func (c *counter) add(in, out int, took time.Duration) {
 	c.calls.Add(1)
 	c.in.Add(int64(in))
--- a/internal/kernel/wire/wire.go
+++ b/internal/kernel/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire carries cbor between drumstall's own processes: calls as HTTP
-// POSTs by net/http, small messages as datagrams. It makes up no transport.
+// Package wire owns the exchange of CBOR messages between drumstall's own processes: calls are HTTP
+// POST requests by net/http, small messages are UDP datagrams. It implements no transport of its own.
 package wire
 
 import (
@@ -18,7 +18,7 @@
 // Speaks is the version of the messages this build sends and reads.
 const ProtocolVersion = "1"
 
-// MaxMessage bounds one message, either way.
+// MaxMessage is the maximum size of a request or response in bytes.
 const MaxMessage = 32 << 20
 
 // Net is the network as a node sees it.
@@ -48,7 +48,7 @@
 	ErrUnreachable     = errors.New("wire: peer not reached")
 	ErrMalformed       = errors.New("wire: message cannot be read")
 	ErrVersionMismatch = errors.New("wire: peer speaks another version")
-	// ErrNotServed says that the peer does not know the call; one of an earlier version does not.
+	// ErrNotServed means that the peer does not serve the path, for instance because it is of an earlier version.
 	ErrNotServed = errors.New("wire: peer does not serve the call")
 )
 
@@ -60,10 +60,10 @@
 
 func (r Refusal) Error() string { return "peer refused: " + r.Code + ": " + r.Detail }
 
-// Refuse makes a considered no with a code.
+// Refuse returns a Refusal.
 func Refuse(code, detail string) error { return Refusal{Code: code, Detail: detail} }
 
-// Code is the code of a considered no, or "".
+// Code returns the code of a Refusal in err's chain, or "" if there is none.
 func Code(err error) string {
 	var r Refusal
 	if errors.As(err, &r) {
@@ -74,7 +74,7 @@
 
 var encMode = must(cbor.CoreDetEncOptions().EncMode())
 var decMode = must(cbor.DecOptions{
-	// Why: a garbled or hostile message must not make us allocate without bound.
+	// A malformed or hostile message must not cause unbounded allocation.
 	MaxNestedLevels: 16, MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20,
 	DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 }.DecMode())
@@ -103,7 +103,7 @@
 	malformed         atomic.Int64
 	calls             atomic.Int64
 	bytes             atomic.Int64
-	uncompressedSince sync.Map // peers' addresses: when one could not read a compressed message
+	uncompressedSince sync.Map // address of a peer to the time at which it rejected a compressed message
 }
 
 // NewCaller dials through n.
@@ -114,21 +114,21 @@
 	}}}
 }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Sent counts calls made and the bytes in them and in their answers.
+// Sent returns the number of calls made and the bytes of their requests and responses.
 func (c *Client) Sent() (calls, bytes int64) { return c.calls.Load(), c.bytes.Load() }
 
 // Garbled counts answers that could not be read.
 func (c *Client) Malformed() int64 { return c.malformed.Load() }
 
-// Call asks a peer and waits for its answer.
+// Call sends a request to a peer and waits for its response.
 func Call[Q, A any](ctx context.Context, c *Client, addr, path string, q Q) (A, error) {
 	return call[A](ctx, c, addr, path, Marshal(q), "")
 }
 
-// call sends a message as it is, in a content coding or plain, and reads the answer.
+// call sends an already encoded message, with the given content encoding if not empty, and reads the response.
 func call[A any](ctx context.Context, c *Client, addr, path string, message []byte, coding string) (A, error) {
 	var a A
 	c.calls.Add(1)
@@ -183,7 +183,7 @@
 			return a, err
 		}
 		return a, r
-	// Why: a build that knows of no coding takes a compressed message for a garbled one.
+	// Builds without support for content encodings treat a compressed message as malformed.
 	case coding != "" && (res.StatusCode == http.StatusBadRequest || res.StatusCode == http.StatusUnsupportedMediaType):
 		return a, errUnsupportedEncoding
 	case res.StatusCode == http.StatusNotFound:
@@ -192,17 +192,17 @@
 	return a, errors.Wrapf(ErrUnreachable, "%s answered %d", at, res.StatusCode)
 }
 
-// Mux serves the calls of peers.
+// Mux dispatches the calls of peers by path.
 type Mux struct {
 	mux       *http.ServeMux
 	malformed atomic.Int64
 	stats     counters
 }
 
-// NewMux serves nothing yet.
+// NewMux returns a mux without handlers.
 func NewMux() *Mux { return &Mux{mux: http.NewServeMux()} }
 
-// ServeHTTP makes a Mux a handler.
+// ServeHTTP implements http.Handler.
 func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.mux.ServeHTTP(w, r) }
 
 // Garbled counts calls that could not be read.
@@ -211,7 +211,7 @@
 // Served is what the calls at each path have cost so far.
 func (m *Mux) Stats() map[string]Stats { return m.stats.snapshot() }
 
-// Handle answers calls at path with f.
+// Handle serves calls at path with f.
 func Handle[Q, A any](m *Mux, path string, f func(context.Context, Q) (A, error)) {
 	handle(m, path, f, func(w http.ResponseWriter, _ *http.Request, answer A) int { return writeResponse(w, Marshal(answer)) })
 }
@@ -222,14 +222,15 @@
 	return n
 }
 
-// handle reads a message, acts on it with f and hands the answer to write, which gives how many bytes went.
+// handle serves calls at path: it decodes the request, calls f and passes the result to write, which returns the number
+// of bytes written. Errors of f are sent as a Refusal.
 func handle[Q, A any](m *Mux, path string, f func(context.Context, Q) (A, error), write func(http.ResponseWriter, *http.Request, A) int) {
 	served := m.stats.get(path)
 	m.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		began, in, out := time.Now(), 0, 0
 		defer func() { served.add(in, out, time.Since(began)) }()
 		w.Header().Set("Drumstall-Speaks", ProtocolVersion)
-		// Why: a message of another version may mean something else; it is never half-applied.
+		// A message of another version may have another meaning, so it is rejected as a whole.
 		if v := r.Header.Get("Drumstall-Speaks"); v != ProtocolVersion {
 			m.malformed.Add(1)
 			w.WriteHeader(http.StatusHTTPVersionNotSupported)
@@ -245,12 +246,12 @@
 		}
 		a, err := f(r.Context(), q)
 		if err != nil {
-			var no Refusal
-			if !errors.As(err, &no) {
-				no = Refusal{Code: "problem", Detail: err.Error()}
+			var refusal Refusal
+			if !errors.As(err, &refusal) {
+				refusal = Refusal{Code: "problem", Detail: err.Error()}
 			}
 			w.WriteHeader(http.StatusConflict)
-			_, _ = w.Write(Marshal(no))
+			_, _ = w.Write(Marshal(refusal))
 			return
 		}
 		out = write(w, r, a)
--- a/internal/kernel/wire/wire_test.go
+++ b/internal/kernel/wire/wire_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("%+v %v", a, err)
 	}
 	if _, err := Call[testMessage, testMessage](t.Context(), c, addr, "/x", testMessage{N: 7}); Code(err) != "seven" {
-		t.Errorf("a considered no came as %v", err)
+		t.Errorf("a refusal was returned as %v", err)
 	}
 	acted = 0
 	for name, c := range map[string]struct {
@@ -61,7 +61,7 @@
 			t.Errorf("%s: status %d, counted %d, acted %d", name, res.StatusCode, m.Malformed()-before, acted)
 		}
 	}
-	// A field that only a newer build knows is passed over.
+	// Fields of newer builds are ignored.
 	type newer struct {
 		N   int    `cbor:"1,keyasint"`
 		New string `cbor:"9,keyasint"`
@@ -88,12 +88,12 @@
 		})
 		p.Dispatch(b)
 		if int64(took)+p.Malformed() != 1 {
-			t.Errorf("neither taken nor counted")
+			t.Errorf("the datagram was neither handled once nor counted once as malformed")
 		}
 	})
 }
 
-// A planned stop on a real listener: it is closed first, and ends without an error.
+// Drain after Quiesce, which has already closed the listener, returns no error.
 func TestQuiesceThenDrain(t *testing.T) {
 	for range 200 {
 		ln, err := HostNetwork().Listen("127.0.0.1:0")
@@ -117,7 +117,7 @@
 	}
 }
 
-// Whatever is posted is acted on once, or counted and answered with a reason.
+// Each request is either handled once, or counted as malformed and answered with an error status.
 func FuzzCall(f *testing.F) {
 	f.Add(Marshal(testMessage{N: 3}), ProtocolVersion)
 	f.Add([]byte("\xff\x00nonsense"), ProtocolVersion)
