--- a/internal/kernel/sharedcache/cache.go
+++ b/internal/kernel/sharedcache/cache.go
@@ -1,26 +1,27 @@
-// Package sharedcache is a bounded cache that tenants share by weight.
+// Package sharedcache implements a bounded cache that tenants share by weight.
 //
-// Each entry belongs to a tenant and to a step of urgency within it. Any tenant
-// may use what the others leave idle. When the cache is full, the tenant that uses
-// most for its share gives way (weighted max-min fairness over the tenants that
-// have something there). So a tenant at or under its share loses nothing while
+// Each entry belongs to a tenant and has a rank, its urgency within the tenant. A tenant
+// may use capacity that the others leave idle. When the cache is full, it evicts from the tenant that uses
+// most relative to its share (weighted max-min fairness over the tenants that
+// have entries). So a tenant at or below its share loses no entry while
 // another is above its own.
 //
-// Within a tenant, what was used once and what was used again are kept apart. Once
-// more than a quarter was used but once, that gives way, of the step that has most of it for its
-// urgency; else the least urgent step, in it what was used longest ago. Why: every prompt ends
-// in something of its own. Were urgent entries kept whatever their use, those ends would push out what the less
-// urgent classes use all the time.
+// Within a tenant, entries that were used once (probationary) and entries that were used again (protected) are
+// kept in separate segments. While the probationary entries make up more than a quarter of the tenant's usage,
+// they are evicted, from the rank with the highest usage weighted by rank; otherwise entries of the least urgent
+// rank above its floor are evicted, least recently used first. The reason is that every prompt has a unique ending:
+// if urgent entries were kept regardless of reuse, those endings would displace entries that the less
+// urgent classes use constantly.
 //
-// The router's memory of warm prefixes and the stand-in replica's cache are made of
-// it. A cache is not safe for concurrent use; its owner guards it. It starts
-// nothing and reads no clock.
+// The router's table of warm prefixes and the stand-in replica's cache use this package.
+// A cache is not safe for concurrent use; callers must synchronize. It starts
+// no goroutines and reads no clock.
 package sharedcache
 
 import "container/heap"
 
 const (
-	// Ranks is how many steps of urgency there are within a tenant; 0 is the most urgent.
+	// Ranks is the number of ranks within a tenant; rank 0 is the most urgent.
 	Ranks = 12
 	// floorPart of what a tenant uses again stays with a less urgent step that wants it.
 	// Why: urgent entries that nobody uses any more would otherwise leave the others nothing for ever. With
@@ -30,65 +31,65 @@
 	probationaryDivisor = 4
 )
 
-// The segments of what a tenant keeps.
+// The segments of a tenant's entries.
 const (
 	probationary uint8 = iota
 	protected
 	numSegments
 )
 
-// Owner is whose an entry is.
+// Owner identifies the tenant and rank that an entry is accounted to.
 type Owner struct {
 	Tenant string
-	Rank   int // step of urgency; out of bounds is the nearest
+	Rank   int // clamped to 0..Ranks-1
 }
 
 func (o Owner) rank() uint8 { return uint8(min(max(o.Rank, 0), Ranks-1)) }
 
-// Cache keeps values up to a total cost.
+// Cache holds values up to a total cost.
 type Cache[K comparable, V any] struct {
 	capacity     int64
 	used         int64
 	index        map[K]int32
 	nodes        slab[K, V]
 	tenants      map[string]*tenant
-	byUsage      tenantHeap // the one that uses most for its share is on top
+	byUsage      tenantHeap // the tenant with the highest usage relative to its share is on top
 	shares       map[string]int
-	activeShares int64 // sum of the shares of those that keep something
+	activeShares int64 // sum of the shares of tenants with entries
 	onEvict      func(K, Owner)
 }
 
-// tenant is what one tenant keeps.
+// tenant holds the accounting and the entry lists of one tenant.
 type tenant struct {
 	name      string
 	share     int64
 	used      int64
 	entries   int
 	evicted   uint64
-	heapIndex int // in the heap
+	heapIndex int // position in Cache.byUsage
 	segments  [numSegments]segment
 }
 
-// segment is what was used once, or again.
+// segment holds the probationary or the protected entries of a tenant, by rank.
 type segment struct {
 	used  int64
 	ranks [Ranks]list
 }
 
-// list is the entries of one step of urgency, the latest used first.
+// list holds the entries of one rank, most recently used first.
 type list struct {
 	first, last int32
 	used        int64
 }
 
-// New is an empty cache of a capacity. onEvict is told of each entry that has to
-// give way; nil is nobody.
+// New returns an empty cache with the given capacity. onEvict, if not nil, is called for each
+// evicted entry.
 func New[K comparable, V any](capacity int, onEvict func(K, Owner)) *Cache[K, V] {
 	return &Cache[K, V]{capacity: int64(max(capacity, 0)), index: map[K]int32{}, tenants: map[string]*tenant{}, shares: map[string]int{}, onEvict: onEvict}
 }
 
-// SetShares gives tenants their weights; any other has weight 1. Nothing is
-// evicted for it: what is shared otherwise now shows when room is wanted.
+// SetShares sets the weights of all tenants; a tenant not listed has weight 1. It evicts
+// nothing: the new shares apply from the next eviction.
 func (c *Cache[K, V]) SetShares(shares map[string]int) {
 	c.shares = shares
 	for _, t := range c.tenants {
@@ -97,7 +98,7 @@
 	heap.Init(&c.byUsage)
 }
 
-// SetShare gives one tenant its weight.
+// SetShare sets the weight of one tenant.
 func (c *Cache[K, V]) SetShare(name string, share int) {
 	if c.shares[name] == share {
 		return
@@ -120,12 +121,12 @@
 
 func (c *Cache[K, V]) shareOf(name string) int64 { return int64(max(c.shares[name], 1)) }
 
-// Peek is the value of a key; that counts as no use.
+// Peek returns the value of a key without counting it as a use.
 func (c *Cache[K, V]) Peek(key K) (V, bool) {
 	at, found := c.index[key]
 	if !found {
-		var none V
-		return none, false
+		var zero V
+		return zero, false
 	}
 	return c.nodes.at(at).value, true
 }
@@ -141,9 +142,9 @@
 	return c.nodes.at(at).value, true
 }
 
-// Put keeps a value of a cost. What is there already gets the new value and counts
-// as used. It says whether the value is kept: it may be the one to give way itself.
-func (c *Cache[K, V]) Put(key K, by Owner, cost int, value V) bool {
+// Put stores a value with a cost. An existing entry is updated and counts
+// as used. It reports whether the value is in the cache afterwards: the new entry may itself be evicted.
+func (c *Cache[K, V]) Put(key K, user Owner, cost int, value V) bool {
 	cost = max(cost, 1)
 	if int64(cost) > c.capacity {
 		c.Remove(key)
@@ -152,12 +153,12 @@
 	at, found := c.index[key]
 	if found {
 		c.updateCost(at, int64(cost))
-		c.touch(at, by)
+		c.touch(at, user)
 		c.nodes.at(at).value = value
 	} else {
 		at = c.nodes.alloc()
 		n := c.nodes.at(at)
-		n.key, n.value, n.cost, n.rank, n.segment, n.owner = key, value, int32(cost), by.rank(), probationary, c.tenantOf(by.Tenant)
+		n.key, n.value, n.cost, n.rank, n.segment, n.owner = key, value, int32(cost), user.rank(), probationary, c.tenantOf(user.Tenant)
 		c.index[key] = at
 		c.link(at)
 	}
@@ -168,29 +169,29 @@
 	return kept
 }
 
-// Remove lets go of a key.
+// Remove deletes a key.
 func (c *Cache[K, V]) Remove(key K) {
 	if at, found := c.index[key]; found {
 		c.removeEntry(at)
 	}
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (c *Cache[K, V]) Len() int { return len(c.index) }
 
-// Used is what all entries cost.
+// Used returns the total cost of all entries.
 func (c *Cache[K, V]) Used() int { return int(c.used) }
 
-// touch makes an entry the latest used of its list. Within a tenant it is counted
-// with the most urgent step that uses it. One that two tenants use stays where it is counted while that
-// tenant is within its share, where nothing is taken from; else it goes to the user that keeps less.
-func (c *Cache[K, V]) touch(at int32, by Owner) {
+// touch moves an entry to the front of its protected list. Within a tenant an entry is accounted
+// to the most urgent rank that uses it. An entry used by two tenants stays with its current owner while that
+// tenant is within its share, since nothing is evicted from it; otherwise it moves to the user if that uses less for its share.
+func (c *Cache[K, V]) touch(at int32, user Owner) {
 	n := c.nodes.at(at)
 	to, rank := n.owner, n.rank
-	if n.owner.name == by.Tenant {
-		rank = min(rank, by.rank())
-	} else if other := c.tenants[by.Tenant]; c.isOverShare(n.owner) && usesLess(other, n.owner) {
-		to, rank = c.tenantOf(by.Tenant), by.rank()
+	if n.owner.name == user.Tenant {
+		rank = min(rank, user.rank())
+	} else if other := c.tenants[user.Tenant]; c.isOverShare(n.owner) && usesLess(other, n.owner) {
+		to, rank = c.tenantOf(user.Tenant), user.rank()
 	}
 	c.unlink(at)
 	n.owner, n.rank, n.segment = to, rank, protected
@@ -203,7 +204,7 @@
 // keepsLess says whether a tenant, or nobody yet, keeps less for its share than another.
 func usesLess(t, than *tenant) bool { return t == nil || t.used*than.share < than.used*t.share }
 
-// tenantOf is the tenant of a name, made where there is none.
+// tenantOf returns the tenant with a name, creating it if necessary.
 func (c *Cache[K, V]) tenantOf(name string) *tenant {
 	t := c.tenants[name]
 	if t == nil {
@@ -273,6 +274,7 @@
 	return most
 }
 
+// rankWeight returns the weight of a rank; more urgent ranks weigh more.
 func rankWeight(rank int) int64 { return int64(Ranks - rank) }
 
 // leastUrgent is the least urgent step that has more than its floor.
@@ -295,6 +297,7 @@
 	c.removeIfEmpty(t)
 }
 
+// removeIfEmpty deletes a tenant that has no entries and no configured share.
 func (c *Cache[K, V]) removeIfEmpty(t *tenant) {
 	if t.entries > 0 || c.shares[t.name] > 0 {
 		return
--- a/internal/kernel/sharedcache/cache_test.go
+++ b/internal/kernel/sharedcache/cache_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// oracleEntry and oracle say by plain search what the cache must do.
+// oracle is a reference implementation of the cache by linear search.
 type oracleEntry struct {
 	key    int
 	tenant string
@@ -100,9 +100,9 @@
 			tenant = name
 		}
 	}
-	// What the letter asks for, whatever the way it is reached: who gives way is above its share.
+	// Independent of the algorithm, entries are only evicted from a tenant above its share.
 	if present[tenant]*shares <= o.capacity*o.share(tenant) {
-		t.Fatalf("%s gives way with %d of %d, and its share is %d of %d", tenant, present[tenant], o.capacity, o.share(tenant), shares)
+		t.Fatalf("eviction from %s, which uses %d of %d and has a share of %d of %d", tenant, present[tenant], o.capacity, o.share(tenant), shares)
 	}
 	byRank, sum := map[bool]map[int]int{false: {}, true: {}}, map[bool]int{}
 	for _, e := range o.entries {
@@ -163,7 +163,7 @@
 		case what < 30:
 			want := o.get(key, by)
 			if got, found := c.Get(key, by); found != want || found && got != key {
-				t.Fatalf("seed %d step %d: use of %d: %d %v, want %v", seed, step, key, got, found, want)
+				t.Fatalf("seed %d step %d: get of %d: %d %v, want %v", seed, step, key, got, found, want)
 			}
 		default:
 			cost := 1 + rnd.IntN(1+capacity/4)
@@ -173,7 +173,7 @@
 			o.put(t, key, by, cost)
 			_, kept := o.entries[key]
 			if got := c.Put(key, by, cost, key); got != kept {
-				t.Fatalf("seed %d step %d: put of %d: kept %v, want %v", seed, step, key, got, kept)
+				t.Fatalf("seed %d step %d: put of %d: in cache %v, want %v", seed, step, key, got, kept)
 			}
 		}
 		compareState(t, c, o, fmt.Sprintf("seed %d step %d", seed, step))
@@ -186,7 +186,7 @@
 	}
 	for key := range o.entries {
 		if _, found := c.Peek(key); !found {
-			t.Fatalf("%s: %d is gone", when, key)
+			t.Fatalf("%s: %d is not in the cache", when, key)
 		}
 	}
 	for _, u := range c.Usages() {
@@ -236,11 +236,11 @@
 	fill(c, 0, 700, Owner{Tenant: "transport"})
 	fill(c, 10_000, 100_000, Owner{Tenant: "archive"})
 	if ours, theirs := usedBy(c, "transport"), usedBy(c, "archive"); ours != 700 || theirs != 300 {
-		t.Errorf("kept %d and %d, want 700 and 300: what is within the share stays, what it leaves idle is lent", ours, theirs)
+		t.Errorf("usage %d and %d, want 700 and 300: entries within the share stay, idle capacity is lent", ours, theirs)
 	}
 	fill(c, 1000, 300, Owner{Tenant: "transport"})
 	if ours, theirs := usedBy(c, "transport"), usedBy(c, "archive"); ours != 750 || theirs != 250 {
-		t.Errorf("kept %d and %d, want 750 and 250", ours, theirs)
+		t.Errorf("usage %d and %d, want 750 and 250", ours, theirs)
 	}
 }
 
@@ -249,39 +249,39 @@
 	c.SetShares(map[string]int{"transport": 99, "archive": 1})
 	fill(c, 0, 500, Owner{Tenant: "archive"})
 	if got := usedBy(c, "archive"); got != 100 {
-		t.Errorf("kept %d of 100 with nobody else there", got)
+		t.Errorf("usage %d of 100 without other tenants", got)
 	}
 }
 
 func TestUrgentEntriesAreKeptLongerWithinTenant(t *testing.T) {
 	c := New[int, int](160, nil)
-	urgent, counter, night := Owner{Tenant: "transport"}, Owner{Tenant: "transport", Rank: 1}, Owner{Tenant: "transport", Rank: 6}
-	use := func(from, n int, by Owner) {
+	urgent, interactive, bulk := Owner{Tenant: "transport"}, Owner{Tenant: "transport", Rank: 1}, Owner{Tenant: "transport", Rank: 6}
+	putTwice := func(from, n int, by Owner) {
 		fill(c, from, n, by)
 		fill(c, from, n, by)
 	}
-	use(0, 50, urgent)
-	use(100, 50, counter)
-	// A bulk run of the night, of which every other entry is used again.
+	putTwice(0, 50, urgent)
+	putTwice(100, 50, interactive)
+	// A bulk run in which every other entry is used again.
 	for i := range 5000 {
-		use(1000+2*i, 1, night)
-		fill(c, 1001+2*i, 1, night)
+		putTwice(1000+2*i, 1, bulk)
+		fill(c, 1001+2*i, 1, bulk)
 	}
 	u := c.Usages()[0]
 	if u.ByRank[0] != 50 || u.ByRank[1] != 50 || u.ByRank[6] != 60 {
-		t.Errorf("kept %v, want 50, 50 and 60 of the night's", u.ByRank)
+		t.Errorf("usage %v, want 50 urgent, 50 interactive and 60 bulk", u.ByRank)
 	}
-	// Ends of urgent prompts that nobody uses again do not push out what the counter uses.
+	// Endings of urgent prompts that are not used again do not evict interactive entries.
 	fill(c, 100_000, 5000, urgent)
 	if u = c.Usages()[0]; u.ByRank[1] != 50 {
-		t.Errorf("kept %v, want 50 of the counter's", u.ByRank)
+		t.Errorf("usage %v, want 50 interactive", u.ByRank)
 	}
-	// Urgent ones that are used may take nearly all.
+	// Urgent entries that are used again may take all but the floors of the other ranks.
 	for i := range 500 {
-		use(200_000+i, 1, urgent)
+		putTwice(200_000+i, 1, urgent)
 	}
 	if u = c.Usages()[0]; u.ByRank[0] < 100 || u.ByRank[1] < 5 || u.ByRank[6] < 5 {
-		t.Errorf("kept %v: the others are not to be left nothing", u.ByRank)
+		t.Errorf("usage %v: the other ranks do not keep their floors", u.ByRank)
 	}
 }
 
@@ -294,11 +294,11 @@
 	}
 	for key := range 10 {
 		if _, found := c.Peek(key); !found {
-			t.Errorf("%d is gone", key)
+			t.Errorf("%d is not in the cache", key)
 		}
 	}
 	if got := usedBy(c, "transport"); got != 10 {
-		t.Errorf("%d of 10 are counted with the tenant that is within its share", got)
+		t.Errorf("%d of 10 entries are accounted to the tenant that is within its share", got)
 	}
 }
 
@@ -309,11 +309,11 @@
 	fill(c, 1000, 100, Owner{Tenant: "b"})
 	c.SetShares(map[string]int{"a": 4, "b": 1})
 	if a, b := usedBy(c, "a"), usedBy(c, "b"); a != 50 || b != 50 {
-		t.Errorf("a change of shares alone left %d and %d", a, b)
+		t.Errorf("usage %d and %d after a change of shares alone, want 50 and 50", a, b)
 	}
 	fill(c, 200, 100, Owner{Tenant: "a"})
 	if a, b := usedBy(c, "a"), usedBy(c, "b"); a != 80 || b != 20 {
-		t.Errorf("kept %d and %d, want 80 and 20", a, b)
+		t.Errorf("usage %d and %d, want 80 and 20", a, b)
 	}
 }
 
@@ -324,7 +324,7 @@
 		c.Remove(i)
 	}
 	if len(c.Usages()) != 0 || c.Len() != 0 || c.Used() != 0 {
-		t.Errorf("%v", c.Usages())
+		t.Errorf("the empty cache still has tenants: %v", c.Usages())
 	}
 }
 
--- a/internal/kernel/sharedcache/list.go
+++ b/internal/kernel/sharedcache/list.go
@@ -8,7 +8,7 @@
 	chunkSize = 1 << 10
 )
 
-// node is one entry, with its neighbours in the list of its owner.
+// node is an entry of the cache and its links in a list of its owner.
 type node[K comparable, V any] struct {
 	key        K
 	value      V
@@ -19,11 +19,11 @@
 	segment    uint8
 }
 
-// slab holds the entries; those that are free are chained by next.
+// slab allocates entries in chunks; free entries are linked by next.
 type slab[K comparable, V any] struct {
 	chunks    [][]node[K, V]
 	allocated int32
-	free      int32 // one more than the first free entry; 0 is none
+	free      int32 // index of the first free entry plus one; 0 means none
 }
 
 func (s *slab[K, V]) at(i int32) *node[K, V] { return &s.chunks[i/chunkSize][i%chunkSize] }
@@ -48,7 +48,7 @@
 	s.free = i + 1
 }
 
-// link puts an entry in front of the list of its owner.
+// link inserts an entry at the front of its list and accounts for its cost.
 func (c *Cache[K, V]) link(at int32) {
 	n := c.nodes.at(at)
 	l := &n.owner.segments[n.segment].ranks[n.rank]
@@ -65,7 +65,7 @@
 	c.addUsage(n, int64(n.cost))
 }
 
-// unlink takes an entry out of the list of its owner.
+// unlink removes an entry from its list and from the accounting.
 func (c *Cache[K, V]) unlink(at int32) {
 	n := c.nodes.at(at)
 	l := &n.owner.segments[n.segment].ranks[n.rank]
@@ -85,34 +85,34 @@
 	c.addUsage(n, -int64(n.cost))
 }
 
-// tenantHeap has the tenant on top that uses most for its share.
+// tenantHeap is a heap of tenants with the highest usage relative to share on top.
 type tenantHeap []*tenant
 
-// Len is how many tenants there are.
+// Len returns the number of tenants.
 func (h tenantHeap) Len() int { return len(h) }
 
-// Less says whether the one tenant gives way before the other; of equals the one
-// whose name comes first.
+// Less reports whether tenant i is evicted from before tenant j: higher usage relative to its share, ties
+// broken by name.
 func (h tenantHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	x, y := a.used*b.share, b.used*a.share
 	return x > y || x == y && a.name < b.name
 }
 
-// Swap is for container/heap.
+// Swap implements heap.Interface.
 func (h tenantHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *tenantHeap) Push(x any) {
 	t := x.(*tenant)
 	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *tenantHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
--- a/internal/kernel/sharedcache/usage.go
+++ b/internal/kernel/sharedcache/usage.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Usage is what one tenant keeps.
+// Usage describes the entries of one tenant.
 type Usage struct {
 	Tenant  string
 	Share   int
 	Entries int
 	Used    int
 	ByRank  [Ranks]int
-	Evicted uint64 // entries that had to give way, so far
+	Evicted uint64 // number of entries evicted so far
 }
 
-// Usages are the tenants that keep something, or that have a share, by name.
+// Usages returns the usage of the tenants known to the cache, sorted by name.
 func (c *Cache[K, V]) Usages() []Usage {
 	out := make([]Usage, 0, len(c.tenants))
 	for _, t := range c.tenants {
