--- a/internal/kernel/setup/build_test.go
+++ b/internal/kernel/setup/build_test.go
@@ -14,10 +14,10 @@
 	"drumstall.example/internal/kernel/source"
 )
 
-// Only dsfleet and dsscale, which are proof, may start processes: one package has the means, and nobody else uses it.
+// Only the test tools dsfleet and dsscale may start processes: one package imports os/exec, and only they import it.
 func TestOnlyTestToolsStartProcesses(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
-	may := map[string][]string{
+	allowed := map[string][]string{
 		`"os/exec"`: {filepath.Join("internal", "sim", "process")},
 		`"drumstall.example/internal/sim/process"`: {filepath.Join("cmd", "dsfleet"), filepath.Join("cmd", "dsscale")},
 	}
@@ -29,7 +29,7 @@
 		}
 		seen++
 		for _, i := range f.Imports {
-			if folders, guarded := may[i.Path.Value]; guarded && !slices.Contains(folders, folder) {
+			if folders, guarded := allowed[i.Path.Value]; guarded && !slices.Contains(folders, folder) {
 				t.Errorf("%s can start processes", path)
 			}
 		}
@@ -40,7 +40,7 @@
 	}
 }
 
-// The programs are linked to the C library, as the machines expect.
+// The programs are linked dynamically to the C library, as the target machines require.
 func TestProgramsLinkTheCLibrary(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds a program")
@@ -52,13 +52,13 @@
 	f, err := elf.Open(bin)
 	if err != nil {
 		if _, is := err.(*elf.FormatError); is {
-			t.Skip("no ELF here")
+			t.Skip("the platform does not use ELF binaries")
 		}
 		t.Fatal(err)
 	}
 	defer f.Close()
 	libs, err := f.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.") }) {
-		t.Errorf("it is linked to %v, %v (CGO_ENABLED=%q)", libs, err, os.Getenv("CGO_ENABLED"))
+		t.Errorf("the program is linked to %v, %v (CGO_ENABLED=%q)", libs, err, os.Getenv("CGO_ENABLED"))
 	}
 }
--- a/internal/kernel/setup/fuzz_test.go
+++ b/internal/kernel/setup/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Whatever a settings file holds: it is read and every setting keeps its rule, or
-// the program ends with code 2 and says why.
+// For any settings file, either all settings are valid, or
+// the exit code is 2 and an error is printed.
 func FuzzSettingsFile(f *testing.F) {
 	f.Add([]byte("name x\nn 5\n"))
 	f.Add([]byte("name x\nnome\nn=5\n# c\nfor 2h # no\n"))
@@ -21,11 +21,11 @@
 		var out, errw bytes.Buffer
 		s, code, done := Read("prog", "", testSettings, []string{"--config", file}, &out, &errw)
 		if done && (code != 2 || errw.Len() == 0) {
-			t.Fatalf("ended with %d and said %q", code, errw.String())
+			t.Fatalf("exit code %d, error output %q", code, errw.String())
 		}
 		for _, r := range testSettings {
 			if rule := r.Check(s[r.Name]); !done && rule != "" {
-				t.Errorf("%s = %q was taken; it %s", r.Name, s[r.Name], rule)
+				t.Errorf("%s = %q was accepted, but %s", r.Name, s[r.Name], rule)
 			}
 		}
 	})
--- a/internal/kernel/setup/settest/settest.go
+++ b/internal/kernel/setup/settest/settest.go
@@ -1,4 +1,4 @@
-// Package settest holds example settings files to a program's own table.
+// Package settest checks example settings files against a program's declared settings, for tests.
 package settest
 
 import (
@@ -9,7 +9,7 @@
 	"drumstall.example/internal/kernel/setup"
 )
 
-// Examples reads each deployment's example file of a program as the program would.
+// CheckExamples reads each deployment's example settings file of a program and fails the test if one is invalid.
 func CheckExamples(t *testing.T, program string, rows []setup.Setting) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", "..", "examples", "*", program+".conf"))
--- a/internal/kernel/setup/setup.go
+++ b/internal/kernel/setup/setup.go
@@ -1,5 +1,5 @@
-// Package setup reads a program's settings from flags and a file by one table,
-// and stops the program before it listens when one is wrong.
+// Package setup reads and validates a program's settings from flags and a settings file,
+// as declared in one table, and runs the program until a signal stops it.
 package setup
 
 import (
@@ -20,18 +20,18 @@
 	"github.com/pkg/errors"
 )
 
-// Row is one setting.
+// Setting declares a setting of a program.
 type Setting struct {
 	Name    string
 	Default string
-	Check   func(string) string // "" when it is good, else the rule it breaks
+	Check   func(string) string // returns "" if the value is valid, otherwise the rule that it violates
 	Doc     string
 }
 
-// Set is settings that were read and checked.
+// Settings maps the names of settings to validated values.
 type Settings map[string]string
 
-// List splits a setting at commas.
+// List splits a setting at commas and drops empty elements.
 func (s Settings) List(name string) []string {
 	var out []string
 	for _, p := range strings.Split(s[name], ",") {
@@ -42,19 +42,19 @@
 	return out
 }
 
-// Int is a setting that was checked to be a whole number.
+// Int returns the value of a setting validated by IntRange.
 func (s Settings) Int(name string) int {
 	n, _ := strconv.Atoi(s[name])
 	return n
 }
 
-// Span is a setting that was checked to be a duration.
+// Duration returns the value of a setting validated by DurationRange.
 func (s Settings) Duration(name string) time.Duration {
 	d, _ := time.ParseDuration(s[name])
 	return d
 }
 
-// Address wants IP:PORT.
+// Address checks for IP:PORT.
 func Address(v string) string {
 	host, port, err := net.SplitHostPort(v)
 	n, perr := strconv.Atoi(port)
@@ -64,7 +64,7 @@
 	return ""
 }
 
-// Addresses wants one to three of them.
+// Addresses checks for one to three comma-separated addresses.
 func Addresses(v string) string {
 	parts := strings.Split(v, ",")
 	if len(parts) > 3 {
@@ -80,7 +80,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Word wants a plain name.
+// Name checks for a name of 1 to 63 letters, digits, '.', '_' or '-'.
 func Name(v string) string {
 	if !namePattern.MatchString(v) {
 		return "must be 1 to 63 letters, digits, '.', '_' or '-'"
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// MaybeWord wants a plain name or nothing.
+// OptionalName checks for a name or an empty value.
 func OptionalName(v string) string {
 	if v == "" {
 		return ""
@@ -96,7 +96,7 @@
 	return Name(v)
 }
 
-// Path wants something.
+// NonEmpty checks for a value that is not empty.
 func NonEmpty(v string) string {
 	if v == "" {
 		return "must be given"
@@ -104,7 +104,7 @@
 	return ""
 }
 
-// Between wants a whole number.
+// IntRange returns a check for a whole number from lo to hi.
 func IntRange(lo, hi int) func(string) string {
 	return func(v string) string {
 		if n, err := strconv.Atoi(v); err != nil || n < lo || n > hi {
@@ -114,7 +114,7 @@
 	}
 }
 
-// Within wants a duration.
+// DurationRange returns a check for a duration from lo to hi.
 func DurationRange(lo, hi time.Duration) func(string) string {
 	return func(v string) string {
 		if d, err := time.ParseDuration(v); err != nil || d < lo || d > hi {
@@ -124,7 +124,7 @@
 	}
 }
 
-// OneOf wants one of some words.
+// OneOf returns a check for one of the given words.
 func OneOf(words ...string) func(string) string {
 	return func(v string) string {
 		for _, w := range words {
@@ -136,7 +136,7 @@
 	}
 }
 
-// Usage writes what a program does and all its settings.
+// Usage writes a program's help text: its description and all its settings.
 func Usage(w io.Writer, program, what string, rows []Setting) {
 	fmt.Fprintf(w, "%s - %s\n\nusage: %s [--config FILE] [settings]\n\nA settings file has a line 'name value' for each setting; flags go before it.\n\nsettings:\n", program, what, program)
 	for _, r := range rows {
@@ -150,7 +150,7 @@
 	}
 }
 
-// Read reads and checks. code is what the program must exit with when done is true.
+// Read reads and validates the settings from flags and the settings file. If done is true, the program must exit with code.
 func Read(program, what string, rows []Setting, args []string, out, errw io.Writer) (s Settings, code int, done bool) {
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
@@ -160,8 +160,8 @@
 		vals[r.Name] = fs.String(r.Name, r.Default, r.Doc)
 	}
 	var faults []string
-	// Why: all faults at once, those of the file too; the parser would stop at the first.
-	all := func(r io.Reader, set func(name, value string) error) error {
+	// Collect all faults of the file; the parser would stop at the first error.
+	collectAll := func(r io.Reader, set func(name, value string) error) error {
 		return ff.PlainParser(r, func(name, value string) error {
 			if err := set(name, value); err != nil {
 				faults = append(faults, fmt.Sprintf("settings file: %v", err))
@@ -171,7 +171,7 @@
 	}
 	args, unknown := splitKnownFlags(fs, args)
 	faults = append(faults, unknown...)
-	err := ff.Parse(fs, args, ff.WithConfigFileFlag("config"), ff.WithConfigFileParser(all))
+	err := ff.Parse(fs, args, ff.WithConfigFileFlag("config"), ff.WithConfigFileParser(collectAll))
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		Usage(out, program, what, rows)
@@ -191,7 +191,7 @@
 		if r.Check == nil {
 			continue
 		}
-		// Why: all faults at once, so that an operator need not start again for each.
+		// Print all faults, so that an operator need not restart the program for each one.
 		if rule := r.Check(s[r.Name]); rule != "" {
 			fmt.Fprintf(errw, "%s: setting %s = %q %s\n", program, r.Name, s[r.Name], rule)
 			code, done = 2, true
@@ -200,8 +200,8 @@
 	return s, code, done
 }
 
-// known parts flags from those that no setting has; of an unknown one its value
-// goes too.
+// splitKnownFlags returns the arguments without unknown flags, and a fault for each unknown flag. The value of an
+// unknown flag is dropped too.
 func splitKnownFlags(fs *flag.FlagSet, args []string) (good, faults []string) {
 	for i := 0; i < len(args); i++ {
 		a := args[i]
@@ -224,7 +224,8 @@
 	return good, faults
 }
 
-// Program is what a daemon's main does: read, start, wait for a signal, stop.
+// RunProgram implements main of a daemon and returns the exit code: it reads the settings, starts the program, waits
+// for a signal and stops the program. sick, if not nil, reports whether the data directory has failed.
 func RunProgram(program, what string, rows []Setting, start func(Settings) (stop func(context.Context) error, sick func() bool, err error)) int {
 	s, code, done := Read(program, what, rows, os.Args[1:], os.Stdout, os.Stderr)
 	if done {
@@ -237,8 +238,8 @@
 	}
 	sig := make(chan os.Signal, 2)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT)
-	look := time.NewTicker(time.Second)
-	defer look.Stop()
+	healthTicker := time.NewTicker(time.Second)
+	defer healthTicker.Stop()
 	sickFor := 0
 	for {
 		select {
@@ -246,8 +247,8 @@
 			ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer cancel()
 			return shutdown(ctx, program, stop, os.Exit)
-		case <-look.C:
-			// Why: a core whose disk failed can never vote again; it ends so that it is seen and replaced.
+		case <-healthTicker.C:
+			// A core whose disk has failed can never vote again; it exits so that the fault is noticed and the core replaced.
 			if sick != nil && sick() {
 				if sickFor++; sickFor >= 10 {
 					fmt.Fprintf(os.Stderr, "%s: the data folder failed\n", program)
@@ -258,17 +259,17 @@
 	}
 }
 
-// stopLimit is how long a planned stop may take.
+// shutdownTimeout is the time limit of a planned stop.
 const shutdownTimeout = time.Minute
 
-// end stops a program and says with which code it ends. A second signal ends
-// ctx, and a minute ends the process, if stop will not finish by itself.
+// shutdown stops a program and returns its exit code. A second signal cancels
+// ctx; if stop has not returned after shutdownTimeout, exit(1) ends the process.
 func shutdown(ctx context.Context, program string, stop func(context.Context) error, exit func(int)) int {
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	// Why: a timer of its own, not the end of ctx: that comes with every stop, and would race the code of a good one.
-	late := time.AfterFunc(shutdownTimeout, func() { exit(1) })
-	defer late.Stop()
+	// A separate timer, not the end of ctx: every stop ends ctx, which would race with the exit code of a successful one.
+	killTimer := time.AfterFunc(shutdownTimeout, func() { exit(1) })
+	defer killTimer.Stop()
 	if err := stop(ctx); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: stopping: %v\n", program, err)
 		return 1
--- a/internal/kernel/setup/setup_test.go
+++ b/internal/kernel/setup/setup_test.go
@@ -31,7 +31,7 @@
 		code int
 		says string
 	}{
-		// Every fault is named, wherever it stands.
+		// Every fault is reported, in the file and in the flags.
 		{"--config " + wrong, 2, "nome"}, {"--config " + wrong, 2, "zeeds"}, {"--config " + wrong, 2, `setting n = "99"`},
 		{"--config " + wrong + " --addr q", 2, `setting addr = "q"`}, {"--what 3 --ever --name x --n 0", 2, "no setting --what"}, {"--what 3 --ever --name x --n 0", 2, "no setting --ever"},
 		{"--what 3 --ever --name x --n 0", 2, `setting n = "0"`}, {"--name", 2, "name"},
@@ -43,7 +43,7 @@
 		var out, errw bytes.Buffer
 		s, code, done := Read("prog", "does things", testSettings, strings.Fields(c.args), &out, &errw)
 		if code != c.code || !strings.Contains(out.String()+errw.String(), c.says) {
-			t.Errorf("%q: code %d, said %q%q", c.args, code, out.String(), errw.String())
+			t.Errorf("%q: exit code %d, output %q%q", c.args, code, out.String(), errw.String())
 		}
 		if c.code == 0 && !done && s["name"] == "" {
 			t.Errorf("%q: no name", c.args)
