--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -120,7 +120,7 @@
 	a.reporting = run.NewActor(a.group, 32, s.Cadence.Report, a.report)
 	a.urgent = run.NewTrigger(a.reporting, a.report)
 	a.group.Every(confirmInterval, a.confirm)
-	load.Watch(a.group, a.log, a.mux.Stats, a.feedMux.Stats, a.post.Stats)
+	load.StartLogging(a.group, a.log, a.mux.Stats, a.feedMux.Stats, a.post.Stats)
 	a.base.Go(a.post.Run)
 	for _, srv := range []*wire.Server{wire.NewServer(ln, a.mux), wire.NewServer(fl, a.feedMux)} {
 		a.servers = append(a.servers, srv)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -100,7 +100,7 @@
 	planner        *plan.Planner
 	reports        *report.Table
 	relay          *relay.Relay
-	lag            *load.Lag
+	lag            *load.LagMonitor
 	views          *plan.StatusCache
 	watch          *inventory.Watch
 	replicas       backend.Client
@@ -200,7 +200,7 @@
 	}
 	c.own = owner.New(owner.Deps{Self: c.self, Group: c.group, Clock: env.Clock, Log: c.log, Caller: c.caller, Acceptor: c.acc,
 		Addr: c.addrOf, Rank: c.voters, Behind: func(v state.Core) { c.set.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, OwnQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnTake: c.onTake})
-	c.lag = load.NewLag(c.group, env.Clock)
+	c.lag = load.NewLagMonitor(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.own, Gossip: c.gossip,
 		Reports: c.reports, Conf: c.effective, Views: c.views.Statuses, Ask: c.consider, AskAll: c.considerAll, Tell: c.tellShared, Busy: c.lag.Busy})
 	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
@@ -226,7 +226,7 @@
 		disk := c.acc.DiskID()
 		c.members.SetSelf(func(n *member.Node) { n.Phase, n.Disk = phase, disk })
 	})
-	load.Watch(c.group, c.log, c.mux.Stats, c.post.Stats)
+	load.StartLogging(c.group, c.log, c.mux.Stats, c.post.Stats)
 	c.base.Go(c.post.Run)
 	for _, srv := range append([]*wire.Server{wire.NewServer(ln, c.mux)}, servers...) {
 		c.servers = append(c.servers, srv)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -76,7 +76,7 @@
 // served is what calls and datagrams have cost this core, by path and kind.
 func (c *Core) served() map[string]servedCalls {
 	out := map[string]servedCalls{}
-	for name, s := range load.Served(c.mux.Stats, c.post.Stats) {
+	for name, s := range load.MergeStats(c.mux.Stats, c.post.Stats) {
 		out[name] = servedCalls{Calls: s.Calls, BytesIn: s.In, BytesOut: s.Out, TookMs: s.Took.Milliseconds()}
 	}
 	return out
--- a/internal/kernel/load/use_test.go
+++ b/internal/kernel/load/cpu_test.go
@@ -8,27 +8,27 @@
 	"drumstall.example/internal/sim/simhost"
 )
 
-func TestTheUseOfTheProcessorIsMeasuredAgainstItsShare(t *testing.T) {
+func TestCPUFractionIsMeasuredAgainstShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var spent time.Duration
-		u := NewUse(simhost.NewClock(), 0.2)
+		u := NewCPUMeter(simhost.NewClock(), 0.2)
 		u.used = func() time.Duration { return spent }
-		u.spent = 0
+		u.usedAtMeasurement = 0
 		for _, c := range []struct{ busyFor, want float64 }{{0, 0}, {0.1, 0.5}, {0.2, 1}, {0.02, 0.1}} {
 			time.Sleep(time.Second)
 			spent += time.Duration(c.busyFor * float64(time.Second))
-			if got := u.Part(); got < c.want-0.01 || got > c.want+0.01 {
+			if got := u.Fraction(); got < c.want-0.01 || got > c.want+0.01 {
 				t.Errorf("%v s of a second: %v, want %v", c.busyFor, got, c.want)
 			}
 			spent += time.Second
-			if got := u.Part(); got < c.want-0.01 || got > c.want+0.01 {
+			if got := u.Fraction(); got < c.want-0.01 || got > c.want+0.01 {
 				t.Errorf("asked again at once: %v", got)
 			}
 			spent -= time.Second
 		}
 		u.share = 0
 		time.Sleep(time.Second)
-		if got := u.Part(); got != 0 {
+		if got := u.Fraction(); got != 0 {
 			t.Errorf("without a share: %v", got)
 		}
 	})
--- a/internal/kernel/load/lag_test.go
+++ b/internal/kernel/load/lag_test.go
@@ -7,20 +7,20 @@
 	"drumstall.example/internal/sim/simhost"
 )
 
-func TestAProcessThatComesLateToItsWorkIsBusy(t *testing.T) {
+func TestLateProcessIsBusy(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		late time.Duration
 		want bool
 	}{
 		{"in time", 2 * time.Millisecond, false},
-		{"late", busyFrom, true},
-		{"woken from sleep", lagOfSleep, false},
+		{"late", busyThreshold, true},
+		{"woken from sleep", suspendThreshold, false},
 	} {
-		l := &Lag{clock: simhost.NewClock()}
+		l := &LagMonitor{clock: simhost.NewClock()}
 		now := l.clock.Since()
 		l.due = now - c.late
-		l.look(now)
+		l.check(now)
 		if got := l.Busy(); got != c.want {
 			t.Errorf("%s: busy %v", c.name, got)
 		}
--- a/internal/kernel/load/load.go
+++ b/internal/kernel/load/load.go
@@ -21,41 +21,41 @@
 
 const (
 	// interval is the time between two lines.
-	interval = 5 * time.Second
+	logInterval = 5 * time.Second
 	// shown is how many paths and kinds a line names, those with the most bytes first.
-	shown = 8
+	maxNames = 8
 	// collecting is the processor time of the garbage collector.
-	collecting = "/cpu/classes/gc/total:cpu-seconds"
+	gcTimeMetric = "/cpu/classes/gc/total:cpu-seconds"
 )
 
 // Source is what the calls at each path, or the datagrams of each kind, have cost so far.
 type Source func() map[string]wire.Stats
 
 // Watch logs every few seconds what was added since the line before, until g stops.
-func Watch(g *run.Group, log *slog.Logger, sources ...Source) {
-	w := &watch{log: log, sources: sources}
-	w.used = used()
-	g.Every(interval, func(context.Context) { w.tell() })
+func StartLogging(g *run.Group, log *slog.Logger, sources ...Source) {
+	w := &reporter{log: log, sources: sources}
+	w.used = processCPUTime()
+	g.Every(logInterval, func(context.Context) { w.report() })
 }
 
-type watch struct {
+type reporter struct {
 	log     *slog.Logger
 	sources []Source
-	served  map[string]wire.Stats
-	used    usage
+	stats   map[string]wire.Stats
+	used    cpuTime
 }
 
 // tell logs what was added since it was last called.
-func (w *watch) tell() {
-	now, before := Served(w.sources...), w.served
-	usedNow, usedBefore := used(), w.used
-	w.served, w.used = now, usedNow
-	w.log.Info("calls served", "forMs", interval.Milliseconds(), "processorMs", (usedNow.all - usedBefore.all).Milliseconds(),
-		"collectorMs", (usedNow.collector - usedBefore.collector).Milliseconds(), "by", most(now, before))
+func (w *reporter) report() {
+	now, before := MergeStats(w.sources...), w.stats
+	usedNow, usedBefore := processCPUTime(), w.used
+	w.stats, w.used = now, usedNow
+	w.log.Info("calls served", "forMs", logInterval.Milliseconds(), "processorMs", (usedNow.all - usedBefore.all).Milliseconds(),
+		"collectorMs", (usedNow.collector - usedBefore.collector).Milliseconds(), "by", formatLargest(now, before))
 }
 
 // Served is what all sources tell.
-func Served(sources ...Source) map[string]wire.Stats {
+func MergeStats(sources ...Source) map[string]wire.Stats {
 	all := map[string]wire.Stats{}
 	for _, source := range sources {
 		maps.Copy(all, source())
@@ -64,23 +64,23 @@
 }
 
 // usage is processor time of this process.
-type usage struct{ all, collector time.Duration }
+type cpuTime struct{ all, collector time.Duration }
 
 // used is the processor time used so far.
-func used() usage {
-	var u usage
+func processCPUTime() cpuTime {
+	var u cpuTime
 	var r unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &r) == nil {
 		u.all = time.Duration(r.Utime.Nano() + r.Stime.Nano())
 	}
-	sample := []metrics.Sample{{Name: collecting}}
+	sample := []metrics.Sample{{Name: gcTimeMetric}}
 	metrics.Read(sample)
 	u.collector = time.Duration(sample[0].Value.Float64() * float64(time.Second))
 	return u
 }
 
 // most names what grew most in bytes between two counts: calls, bytes in and out, time in the handler.
-func most(now, before map[string]wire.Stats) string {
+func formatLargest(now, before map[string]wire.Stats) string {
 	grown := map[string]wire.Stats{}
 	for name, s := range now {
 		if added := s.Since(before[name]); added.Calls > 0 {
@@ -92,7 +92,7 @@
 		return cmp.Or(cmp.Compare(grown[b].Bytes(), grown[a].Bytes()), cmp.Compare(a, b))
 	})
 	var out []string
-	for _, name := range names[:min(len(names), shown)] {
+	for _, name := range names[:min(len(names), maxNames)] {
 		s := grown[name]
 		out = append(out, fmt.Sprintf("%s calls=%d in=%d out=%d tookMs=%d", name, s.Calls, s.In, s.Out, s.Took.Milliseconds()))
 	}
