--- a/internal/kernel/load/cpu.go
+++ b/internal/kernel/load/cpu.go
@@ -6,27 +6,27 @@
 	"drumstall.example/internal/kernel/tick"
 )
 
-// useSpan is the time over which the use of the processor is measured at least.
+// minMeasurePeriod is the minimum time over which CPU use is measured.
 const minMeasurePeriod = 500 * time.Millisecond
 
-// Use measures which part of the processor time that it may use this process does use. One goroutine may ask it.
+// CPUMeter measures the CPU use of this process as a fraction of its CPU share. It is not safe for concurrent use.
 type CPUMeter struct {
 	clock             tick.Clock
-	share             float64 // of one processor; 0 is not known
+	share             float64 // CPU share in processors; 0 means unknown
 	used              func() time.Duration
-	measuredAt        time.Duration // of the last measurement
-	usedAtMeasurement time.Duration // until then
-	fraction          float64       // between the last two
+	measuredAt        time.Duration // time of the last measurement
+	usedAtMeasurement time.Duration // processor time used until then
+	fraction          float64       // result of the last measurement
 }
 
-// NewUse measures against a share of one processor; 0 is not known.
+// NewCPUMeter returns a meter for a CPU share in processors; 0 means unknown.
 func NewCPUMeter(clock tick.Clock, share float64) *CPUMeter {
 	u := &CPUMeter{clock: clock, share: share, used: func() time.Duration { return processCPUTime().all }}
 	u.measuredAt, u.usedAtMeasurement = clock.Since(), u.used()
 	return u
 }
 
-// Part is the part that was used lately, from 0 up; 0 if the share is not known.
+// Fraction returns CPU use divided by the share over the last measurement period, or 0 if the share is unknown.
 func (u *CPUMeter) Fraction() float64 {
 	if u.share <= 0 {
 		return 0
--- a/internal/kernel/load/cpu_test.go
+++ b/internal/kernel/load/cpu_test.go
@@ -18,18 +18,18 @@
 			time.Sleep(time.Second)
 			spent += time.Duration(c.busyFor * float64(time.Second))
 			if got := u.Fraction(); got < c.want-0.01 || got > c.want+0.01 {
-				t.Errorf("%v s of a second: %v, want %v", c.busyFor, got, c.want)
+				t.Errorf("%v s of CPU time in a second: fraction %v, want %v", c.busyFor, got, c.want)
 			}
 			spent += time.Second
 			if got := u.Fraction(); got < c.want-0.01 || got > c.want+0.01 {
-				t.Errorf("asked again at once: %v", got)
+				t.Errorf("a second call within minMeasurePeriod returns %v", got)
 			}
 			spent -= time.Second
 		}
 		u.share = 0
 		time.Sleep(time.Second)
 		if got := u.Fraction(); got != 0 {
-			t.Errorf("without a share: %v", got)
+			t.Errorf("with an unknown share: %v, want 0", got)
 		}
 	})
 }
--- a/internal/kernel/load/lag.go
+++ b/internal/kernel/load/lag.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// lagInterval is the time between two looks at how late this process is.
+	// lagInterval is the time between two measurements of the scheduling delay.
 	lagInterval = 50 * time.Millisecond
-	// busyFrom is the lateness from which a process has no processor time to spare, and busyLasts for how
-	// long that holds after it was last seen.
+	// busyThreshold is the delay from which a process counts as having no processor time to spare, and busyPeriod
+	// is how long it counts as busy after such a delay.
 	busyThreshold = 60 * time.Millisecond
 	busyPeriod    = time.Second
-	// lagOfSleep is a lateness that tells of a machine that stood still, and not of much to do.
+	// suspendThreshold is the delay from which a suspended machine is assumed, rather than load.
 	suspendThreshold = 2 * time.Second
 )
 
-// Lag tells whether a process comes to its work late: what is due waits for what is being done.
+// LagMonitor detects that a process is overloaded by the delay with which periodic work starts.
 type LagMonitor struct {
 	clock     tick.Clock
 	due       time.Duration
-	busyUntil atomic.Int64 // until when the process counts as busy, on its clock
+	busyUntil atomic.Int64 // end of the busy period, on the clock
 }
 
-// NewLag looks until g stops.
+// NewLagMonitor starts a monitor that measures until g stops.
 func NewLagMonitor(g *run.Group, clock tick.Clock) *LagMonitor {
 	l := &LagMonitor{clock: clock, due: clock.Since() + lagInterval}
 	g.Repeat(lagInterval, func(context.Context) { l.check(clock.Since()) })
 	return l
 }
 
-// look notes how late this look comes.
+// check records the delay of this measurement and schedules the next one.
 func (l *LagMonitor) check(now time.Duration) {
 	late := now - l.due
 	l.due = now + lagInterval
@@ -43,5 +43,5 @@
 	}
 }
 
-// Busy says that the process has no processor time to spare.
+// Busy reports whether the process has no processor time to spare.
 func (l *LagMonitor) Busy() bool { return l.clock.Since() < time.Duration(l.busyUntil.Load()) }
--- a/internal/kernel/load/lag_test.go
+++ b/internal/kernel/load/lag_test.go
@@ -13,9 +13,9 @@
 		late time.Duration
 		want bool
 	}{
-		{"in time", 2 * time.Millisecond, false},
+		{"on time", 2 * time.Millisecond, false},
 		{"late", busyThreshold, true},
-		{"woken from sleep", suspendThreshold, false},
+		{"resumed after suspension", suspendThreshold, false},
 	} {
 		l := &LagMonitor{clock: simhost.NewClock()}
 		now := l.clock.Since()
--- a/internal/kernel/load/load.go
+++ b/internal/kernel/load/load.go
@@ -1,4 +1,4 @@
-// Package load logs what a process was busy with: the calls and datagrams it took, by path and
+// Package load measures the load of a process and logs it: the calls and datagrams it received, by path and
 // kind, and the processor time that it and its garbage collector used.
 package load
 
@@ -20,24 +20,25 @@
 )
 
 const (
-	// interval is the time between two lines.
+	// logInterval is the time between two log lines.
 	logInterval = 5 * time.Second
-	// shown is how many paths and kinds a line names, those with the most bytes first.
+	// maxNames is the maximum number of paths and kinds in a log line, those with the most bytes first.
 	maxNames = 8
-	// collecting is the processor time of the garbage collector.
+	// gcTimeMetric is the runtime metric of the garbage collector's processor time.
 	gcTimeMetric = "/cpu/classes/gc/total:cpu-seconds"
 )
 
-// Source is what the calls at each path, or the datagrams of each kind, have cost so far.
+// Source returns the cost so far of calls by path, or of datagrams by kind.
 type Source func() map[string]wire.Stats
 
-// Watch logs every few seconds what was added since the line before, until g stops.
+// StartLogging logs the increase since the previous log line every logInterval, until g stops.
 func StartLogging(g *run.Group, log *slog.Logger, sources ...Source) {
-	w := &reporter{log: log, sources: sources}
-	w.used = processCPUTime()
-	g.Every(logInterval, func(context.Context) { w.report() })
+	r := &reporter{log: log, sources: sources}
+	r.used = processCPUTime()
+	g.Every(logInterval, func(context.Context) { r.report() })
 }
 
+// reporter logs the load of a process and keeps the values at the previous log line.
 type reporter struct {
 	log     *slog.Logger
 	sources []Source
@@ -45,16 +46,16 @@
 	used    cpuTime
 }
 
-// tell logs what was added since it was last called.
-func (w *reporter) report() {
-	now, before := MergeStats(w.sources...), w.stats
-	usedNow, usedBefore := processCPUTime(), w.used
-	w.stats, w.used = now, usedNow
-	w.log.Info("calls served", "forMs", logInterval.Milliseconds(), "processorMs", (usedNow.all - usedBefore.all).Milliseconds(),
+// report logs the increase since its previous call.
+func (r *reporter) report() {
+	now, before := MergeStats(r.sources...), r.stats
+	usedNow, usedBefore := processCPUTime(), r.used
+	r.stats, r.used = now, usedNow
+	r.log.Info("calls served", "forMs", logInterval.Milliseconds(), "processorMs", (usedNow.all - usedBefore.all).Milliseconds(),
 		"collectorMs", (usedNow.collector - usedBefore.collector).Milliseconds(), "by", formatLargest(now, before))
 }
 
-// Served is what all sources tell.
+// MergeStats returns the statistics of all sources in one map.
 func MergeStats(sources ...Source) map[string]wire.Stats {
 	all := map[string]wire.Stats{}
 	for _, source := range sources {
@@ -63,10 +64,10 @@
 	return all
 }
 
-// usage is processor time of this process.
+// cpuTime is the processor time used by this process and by its garbage collector.
 type cpuTime struct{ all, collector time.Duration }
 
-// used is the processor time used so far.
+// processCPUTime returns the processor time used so far.
 func processCPUTime() cpuTime {
 	var u cpuTime
 	var r unix.Rusage
@@ -79,7 +80,8 @@
 	return u
 }
 
-// most names what grew most in bytes between two counts: calls, bytes in and out, time in the handler.
+// formatLargest formats the paths and kinds with the largest increase in bytes between two counts, with their calls,
+// bytes in and out, and time in the handler.
 func formatLargest(now, before map[string]wire.Stats) string {
 	grown := map[string]wire.Stats{}
 	for name, s := range now {
--- a/internal/kernel/load/load_test.go
+++ b/internal/kernel/load/load_test.go
@@ -16,6 +16,6 @@
 	}
 	const want = "ping calls=30 in=6000 out=0 tookMs=1; /a calls=2 in=100 out=20 tookMs=4"
 	if got := formatLargest(now, before); got != want {
-		t.Errorf("%q, not %q", got, want)
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
