--- a/internal/kernel/sharded/map_test.go
+++ b/internal/kernel/sharded/map_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each version is what a plain map would be, whatever the versions after it set and drop.
-func TestAVersionNeverChanges(t *testing.T) {
+func TestVersionIsImmutable(t *testing.T) {
 	type version struct {
 		m    Map[int]
 		want map[string]int
@@ -18,7 +18,7 @@
 		var versions []version
 		now := version{want: map[string]int{}}
 		for step := range 60 {
-			d := NewDraft(now.m)
+			d := NewBuilder(now.m)
 			want := maps.Clone(now.want)
 			changed := false
 			for range rnd.IntN(5) {
@@ -27,7 +27,7 @@
 					_, found := want[key]
 					changed = changed || found
 					delete(want, key)
-					d.Drop(key)
+					d.Delete(key)
 				} else {
 					changed = true
 					want[key] = step
@@ -62,8 +62,8 @@
 	return found
 }
 
-func TestAllCanBeLeftEarly(t *testing.T) {
-	var d Draft[int]
+func TestIterationCanStopEarly(t *testing.T) {
+	var d Builder[int]
 	for i := range 300 {
 		d.Set(fmt.Sprint(i), i)
 	}
@@ -79,9 +79,9 @@
 }
 
 // A change of one key of many costs a small part of what a copy of the whole would.
-func TestAChangeCopiesLittle(t *testing.T) {
+func TestChangeCopiesOnlyOneShard(t *testing.T) {
 	const keys = 10_000
-	var d Draft[int]
+	var d Builder[int]
 	for i := range keys {
 		d.Set(fmt.Sprint("key-", i), i)
 	}
@@ -97,7 +97,7 @@
 	}
 	whole := bytes(func() { maps.Clone(plain)["key-7"] = 1 })
 	part := bytes(func() {
-		next := NewDraft(m)
+		next := NewBuilder(m)
 		next.Set("key-7", 1)
 	})
 	if part*20 > whole {
--- a/internal/route/index.go
+++ b/internal/route/index.go
@@ -51,7 +51,7 @@
 
 // indexDraft is an index under construction; its lists are replaced, never modified in place.
 type indexDraft struct {
-	holders  sharded.Draft[[]string]
+	holders  sharded.Builder[[]string]
 	services []string
 }
 
@@ -80,7 +80,7 @@
 	if left := withoutID(x.holdersOf(item), id); len(left) > 0 {
 		x.holders.Set(item, left)
 	} else {
-		x.holders.Drop(item)
+		x.holders.Delete(item)
 	}
 }
 
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -28,7 +28,7 @@
 	now            time.Duration
 	replicas       copyOnWrite[*Replica]
 	acked          copyOnWrite[state.Stamp]
-	predictions    sharded.Draft[plan.Expectation]
+	predictions    sharded.Builder[plan.Expectation]
 	index          indexDraft
 	confChanged    bool // a newer configuration has been applied
 	readyAtChanged bool // the ready times of loading items must be recomputed
@@ -36,8 +36,8 @@
 
 func newDraft(s *Snapshot, now time.Duration) *draft {
 	return &draft{next: *s, now: now, replicas: copyOnWrite[*Replica]{entries: s.Replicas}, acked: copyOnWrite[state.Stamp]{entries: s.Acked},
-		predictions: sharded.NewDraft(s.Expect),
-		index:       indexDraft{holders: sharded.NewDraft(s.index.holders), services: s.index.services}}
+		predictions: sharded.NewBuilder(s.Expect),
+		index:       indexDraft{holders: sharded.NewBuilder(s.index.holders), services: s.index.services}}
 }
 
 // changed reports whether the draft differs from the previous snapshot.
@@ -241,7 +241,7 @@
 	var prediction plan.Expectation
 	if e.Gone || wire.Unmarshal(e.Value, &prediction) != nil {
 		delete(rt.predictionExpiry.latest, item)
-		d.predictions.Drop(item)
+		d.predictions.Delete(item)
 		return
 	}
 	if rt.predictionExpiry.latest == nil {
@@ -258,7 +258,7 @@
 		old := p.ordered.PopFront()
 		if at, found := p.latest[old.item]; found && at == old.at {
 			delete(p.latest, old.item)
-			d.predictions.Drop(old.item)
+			d.predictions.Delete(old.item)
 		}
 	}
 }
