--- a/internal/kernel/sharded/map.go
+++ b/internal/kernel/sharded/map.go
@@ -1,5 +1,5 @@
-// Package sharded keeps maps that are read without a lock while their next version is
-// made: a version never changes, and the next one copies only the shards in which it differs.
+// Package sharded implements immutable maps that can be read without a lock while the next version is
+// built: the next version copies only the shards in which it differs.
 package sharded
 
 import (
@@ -8,49 +8,49 @@
 	"maps"
 )
 
-// shards is into how many parts the keys of a map fall. Why: a change copies one part and the list of all;
-// with tens of thousands of keys both are small.
+// numShards is the number of shards of a map. A change copies one shard and the array of shards; with tens of
+// thousands of keys both are small.
 const numShards = 64
 
-// seed places keys in shards, the same in every map of the process.
+// hashSeed is the seed of the hash that assigns keys to shards, common to all maps of the process.
 var hashSeed = maphash.MakeSeed()
 
 func shardOf(key string) int { return int(maphash.String(hashSeed, key) % numShards) }
 
 // Map is one version of a map; it never changes. The zero value is empty.
 type Map[V any] struct {
-	shards *[numShards]map[string]V // nil where the map is empty
+	shards *[numShards]map[string]V // nil if the map is empty
 }
 
-// Get is the value of a key, and whether it has one.
+// Get returns the value of a key and whether the key is present.
 func (m Map[V]) Get(key string) (V, bool) {
 	if m.shards == nil {
-		var none V
-		return none, false
+		var zero V
+		return zero, false
 	}
 	v, found := m.shards[shardOf(key)][key]
 	return v, found
 }
 
-// Len is the number of keys.
+// Len returns the number of keys.
 func (m Map[V]) Len() int {
 	n := 0
 	if m.shards != nil {
-		for _, part := range m.shards {
-			n += len(part)
+		for _, shard := range m.shards {
+			n += len(shard)
 		}
 	}
 	return n
 }
 
-// All gives every key with its value, in no order.
+// All iterates over all keys and values in no particular order.
 func (m Map[V]) All() iter.Seq2[string, V] {
 	return func(yield func(string, V) bool) {
 		if m.shards == nil {
 			return
 		}
-		for _, part := range m.shards {
-			for key, v := range part {
+		for _, shard := range m.shards {
+			for key, v := range shard {
 				if !yield(key, v) {
 					return
 				}
@@ -59,49 +59,49 @@
 	}
 }
 
-// Draft is the next version of a map while it is made.
+// Builder builds the next version of a map.
 type Builder[V any] struct {
 	shards     *[numShards]map[string]V
-	copied     [numShards]bool // parts that belong to the draft alone
-	ownsShards bool            // the list of parts does
+	copied     [numShards]bool // shards that were copied and may be modified
+	ownsShards bool            // whether the array of shards was copied and may be modified
 }
 
-// NewDraft begins the version after another.
+// NewBuilder returns a builder that starts with the contents of m.
 func NewBuilder[V any](m Map[V]) Builder[V] { return Builder[V]{shards: m.shards} }
 
-// Get is the value of a key, and whether it has one.
-func (d *Builder[V]) Get(key string) (V, bool) { return Map[V]{d.shards}.Get(key) }
+// Get returns the value of a key and whether the key is present.
+func (b *Builder[V]) Get(key string) (V, bool) { return Map[V]{b.shards}.Get(key) }
 
-// Set gives a key a value.
-func (d *Builder[V]) Set(key string, v V) { d.writableShard(shardOf(key))[key] = v }
+// Set sets the value of a key.
+func (b *Builder[V]) Set(key string, v V) { b.writableShard(shardOf(key))[key] = v }
 
-// Drop takes a key out.
-func (d *Builder[V]) Delete(key string) {
-	if _, found := d.Get(key); found {
-		delete(d.writableShard(shardOf(key)), key)
+// Delete deletes a key if it is present.
+func (b *Builder[V]) Delete(key string) {
+	if _, found := b.Get(key); found {
+		delete(b.writableShard(shardOf(key)), key)
 	}
 }
 
-// Changed says whether a key was set or dropped.
-func (d *Builder[V]) Changed() bool { return d.ownsShards }
+// Changed reports whether a key was set or deleted.
+func (b *Builder[V]) Changed() bool { return b.ownsShards }
 
-// Map is the version that was made. The draft must not be changed after that.
-func (d *Builder[V]) Map() Map[V] { return Map[V]{d.shards} }
+// Map returns the new version. The builder must not be modified afterwards.
+func (b *Builder[V]) Map() Map[V] { return Map[V]{b.shards} }
 
-// part is a part that may be changed.
-func (d *Builder[V]) writableShard(i int) map[string]V {
-	if !d.ownsShards {
-		parts := new([numShards]map[string]V)
-		if d.shards != nil {
-			*parts = *d.shards
+// writableShard returns a shard that may be modified, copying it on first use.
+func (b *Builder[V]) writableShard(i int) map[string]V {
+	if !b.ownsShards {
+		shards := new([numShards]map[string]V)
+		if b.shards != nil {
+			*shards = *b.shards
 		}
-		d.shards, d.ownsShards = parts, true
+		b.shards, b.ownsShards = shards, true
 	}
-	if !d.copied[i] {
-		if d.shards[i] = maps.Clone(d.shards[i]); d.shards[i] == nil {
-			d.shards[i] = map[string]V{}
+	if !b.copied[i] {
+		if b.shards[i] = maps.Clone(b.shards[i]); b.shards[i] == nil {
+			b.shards[i] = map[string]V{}
 		}
-		d.copied[i] = true
+		b.copied[i] = true
 	}
-	return d.shards[i]
+	return b.shards[i]
 }
--- a/internal/kernel/sharded/map_test.go
+++ b/internal/kernel/sharded/map_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each version is what a plain map would be, whatever the versions after it set and drop.
+// Each version equals a plain map with the same changes, regardless of the changes made by later versions.
 func TestVersionIsImmutable(t *testing.T) {
 	type version struct {
 		m    Map[int]
@@ -34,7 +34,7 @@
 					d.Set(key, step)
 				}
 				if got, found := d.Get(key); got != want[key] || found != has(want, key) {
-					t.Fatalf("seed %d step %d: the draft has %d, %v of %s", seed, step, got, found, key)
+					t.Fatalf("seed %d step %d: the builder returns %d, %v for %s", seed, step, got, found, key)
 				}
 			}
 			if d.Changed() != changed {
@@ -50,7 +50,7 @@
 			for key := range 200 {
 				name := fmt.Sprint("k", key)
 				if got, found := v.m.Get(name); got != v.want[name] || found != has(v.want, name) {
-					t.Fatalf("seed %d: version %d has %d, %v of %s", seed, i, got, found, name)
+					t.Fatalf("seed %d: version %d returns %d, %v for %s", seed, i, got, found, name)
 				}
 			}
 		}
@@ -74,11 +74,11 @@
 		}
 	}
 	if seen != 10 {
-		t.Errorf("%d were given", seen)
+		t.Errorf("the iteration yielded %d pairs, want 10", seen)
 	}
 }
 
-// A change of one key of many costs a small part of what a copy of the whole would.
+// A change of one key allocates a small fraction of what a copy of the whole map would.
 func TestChangeCopiesOnlyOneShard(t *testing.T) {
 	const keys = 10_000
 	var d Builder[int]
@@ -96,11 +96,11 @@
 		}).AllocedBytesPerOp()
 	}
 	whole := bytes(func() { maps.Clone(plain)["key-7"] = 1 })
-	part := bytes(func() {
+	change := bytes(func() {
 		next := NewBuilder(m)
 		next.Set("key-7", 1)
 	})
-	if part*20 > whole {
-		t.Errorf("a change copies %d bytes, the whole is %d", part, whole)
+	if change*20 > whole {
+		t.Errorf("a change allocates %d bytes, a copy of the whole map %d", change, whole)
 	}
 }
