--- a/internal/kernel/run/run.go
+++ b/internal/kernel/run/run.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Pass blocks while the group is frozen.
+// WaitWhileFrozen blocks while the group or one of its parents is frozen.
 func (g *Group) WaitWhileFrozen() {
 	if g.parent != nil {
 		g.parent.WaitWhileFrozen()
@@ -143,7 +143,7 @@
 	return a
 }
 
-// Tell hands over a command without waiting; it is dropped when the queue is full.
+// TryEnqueue enqueues a command without blocking. It returns ErrFull and drops the command if the queue is full.
 func (a *Actor) TryEnqueue(f func()) error {
 	select {
 	case a.inbox <- f:
@@ -153,30 +153,30 @@
 	}
 }
 
-// Nudge hands an actor the same command again and again; many before it begins
-// make one run of it.
+// Trigger enqueues a fixed command at an actor. Calls of Fire before the command begins are
+// coalesced into one run.
 type Trigger struct {
 	actor   *Actor
 	f       func()
 	pending atomic.Bool
 }
 
-// NewNudge is for one command of an actor.
-func NewTrigger(d *Actor, f func()) *Trigger { return &Trigger{actor: d, f: f} }
+// NewTrigger returns a trigger that enqueues f at actor.
+func NewTrigger(actor *Actor, f func()) *Trigger { return &Trigger{actor: actor, f: f} }
 
-// Now sees to it that the command begins after this call.
-func (n *Trigger) Fire() {
-	if n.pending.Swap(true) {
+// Fire enqueues the command unless it is already pending. It is dropped if the queue is full.
+func (t *Trigger) Fire() {
+	if t.pending.Swap(true) {
 		return
 	}
-	if n.actor.TryEnqueue(func() { n.pending.Store(false); n.f() }) != nil {
-		n.pending.Store(false)
+	if t.actor.TryEnqueue(func() { t.pending.Store(false); t.f() }) != nil {
+		t.pending.Store(false)
 	}
 }
 
-// Ask hands over a command and waits until it has been worked off. With an
-// error it has not run and never will: one that had begun is waited for, so
-// what it wrote may be read.
+// Do enqueues a command and waits until it has run. If Do returns an error, the command has not run
+// and never will: a command that has begun is waited for, so that its results
+// may be read.
 func (a *Actor) Do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	var begun atomic.Bool
@@ -207,29 +207,29 @@
 	return nil
 }
 
-// AskFor is Ask for commands that may take longer than anyone wants to wait:
-// it goes without the answer when ctx ends, and the command may still run.
-func Call[T any](ctx context.Context, d *Actor, f func() T) (T, error) {
-	answer := make(chan T, 1)
+// Call enqueues a command and returns its result. Unlike Do, it returns as soon as ctx ends, for commands that
+// may take long; the command may still run after that.
+func Call[T any](ctx context.Context, actor *Actor, f func() T) (T, error) {
+	result := make(chan T, 1)
 	var zero T
 	select {
-	case d.inbox <- func() { answer <- f() }:
+	case actor.inbox <- func() { result <- f() }:
 	case <-ctx.Done():
 		return zero, ctx.Err()
-	case <-d.group.ctx.Done():
+	case <-actor.group.ctx.Done():
 		return zero, ErrStopped
 	}
 	select {
-	case a := <-answer:
-		return a, nil
+	case r := <-result:
+		return r, nil
 	case <-ctx.Done():
 		return zero, ctx.Err()
-	case <-d.group.ctx.Done():
+	case <-actor.group.ctx.Done():
 		return zero, ErrStopped
 	}
 }
 
-// Wait lets d pass; false when ctx ends first.
+// Sleep pauses for d and returns true, or returns false as soon as ctx ends.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -266,7 +266,8 @@
 	})
 }
 
-// Fan calls f for 0..n-1 side by side and gives the answers as they come.
+// FanOut calls f for 0..n-1 concurrently and returns a channel with the n results in order of completion.
+// Calls that a stopped group does not start yield the zero value.
 func FanOut[T any](g *Group, n int, f func(ctx context.Context, i int) T) <-chan T {
 	out := make(chan T, n)
 	for i := range n {
--- a/internal/kernel/run/timer.go
+++ b/internal/kernel/run/timer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Alarm hands an actor the same command a while after it is set.
+// Timer enqueues a fixed command at an actor after a delay.
 type Timer struct {
 	actor   *Actor
 	f       func()
@@ -13,41 +13,41 @@
 	timer   *time.Timer
 }
 
-// retryAlarm is when an actor that had no place left for the command is tried again.
+// retryDelay is the time between attempts to enqueue the command at an actor whose queue is full.
 const retryDelay = 20 * time.Millisecond
 
-// NewAlarm is for one command of an actor; it is not set.
-func NewTimer(d *Actor, f func()) *Timer {
-	a := &Timer{actor: d, f: f}
-	a.timer = time.AfterFunc(time.Hour, a.fire)
-	a.timer.Stop()
-	return a
+// NewTimer returns a stopped timer that enqueues f at actor.
+func NewTimer(actor *Actor, f func()) *Timer {
+	t := &Timer{actor: actor, f: f}
+	t.timer = time.AfterFunc(time.Hour, t.fire)
+	t.timer.Stop()
+	return t
 }
 
-// In sets the alarm; one that is set already stays as it is. It can be set again
+// Start starts the timer; a timer that is already pending is left unchanged. It can be started again
 // as soon as its command begins.
-func (a *Timer) Start(d time.Duration) {
-	if !a.pending.Swap(true) {
-		a.schedule(d)
+func (t *Timer) Start(d time.Duration) {
+	if !t.pending.Swap(true) {
+		t.schedule(d)
 	}
 }
 
-// Move sets the alarm, also if it is set already; only its actor may.
-func (a *Timer) Reset(d time.Duration) {
-	a.pending.Store(true)
-	a.schedule(d)
+// Reset starts the timer, or moves it if it is pending. Only the timer's actor may call it.
+func (t *Timer) Reset(d time.Duration) {
+	t.pending.Store(true)
+	t.schedule(d)
 }
 
-// wait has the alarm ring after d. Why: an actor that has stopped never needs the command.
-func (a *Timer) schedule(d time.Duration) {
-	if a.actor.group.ctx.Err() == nil {
-		a.timer.Reset(max(d, 0))
+// schedule arms the timer to fire after d, unless the actor's group has stopped: a stopped actor never runs the command.
+func (t *Timer) schedule(d time.Duration) {
+	if t.actor.group.ctx.Err() == nil {
+		t.timer.Reset(max(d, 0))
 	}
 }
 
-func (a *Timer) fire() {
-	// Why: an actor that has no place left now has one later.
-	if a.actor.TryEnqueue(func() { a.pending.Store(false); a.f() }) != nil {
-		a.schedule(retryDelay)
+// fire enqueues the command, and retries later if the actor's queue is full.
+func (t *Timer) fire() {
+	if t.actor.TryEnqueue(func() { t.pending.Store(false); t.f() }) != nil {
+		t.schedule(retryDelay)
 	}
 }
