--- a/internal/kernel/wire/compat_test.go
+++ b/internal/kernel/wire/compat_test.go
@@ -14,7 +14,7 @@
 	"drumstall.example/internal/kernel/source"
 )
 
-// messages lists every numbered field of every message in a tree of source, as
+// messageFields lists every numbered field of every message in a source tree, as
 // 'package.Type number Field type'.
 func messageFields(t *testing.T, root string) []string {
 	var out []string
--- a/internal/kernel/wire/compress.go
+++ b/internal/kernel/wire/compress.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// gzipCoding names the one content coding that is written and read here.
+	// gzipEncoding is the only content encoding that is supported.
 	gzipEncoding = "gzip"
-	// codedFrom is the size from which a large message is worth compressing.
+	// minCompressSize is the size in bytes from which messages are compressed.
 	minCompressSize = 4 << 10
-	// plainFor is how long a peer that could not read a compressed message gets plain ones.
+	// uncompressedPeriod is how long a peer that rejected a compressed message is sent uncompressed ones.
 	uncompressedPeriod = time.Minute
 )
 
-// errCoding says that a peer does not read compressed messages.
+// errUnsupportedEncoding means that a content encoding is not supported.
 var errUnsupportedEncoding = errors.New("wire: peer does not read compressed messages")
 
 var gzipWriters = sync.Pool{New: func() any {
@@ -70,18 +70,18 @@
 	}
 }
 
-// accepts says whether a caller reads compressed answers.
+// acceptsGzip reports whether a client accepts compressed responses.
 func acceptsGzip(r *http.Request) bool {
 	return strings.Contains(r.Header.Get("Accept-Encoding"), gzipEncoding)
 }
 
-// Large is a message that is encoded and compressed once for many peers.
+// EncodedMessage is a message that is encoded and compressed once, to be sent to many peers.
 type EncodedMessage struct {
 	plain      []byte
 	compressed []byte // nil if the message is smaller than minCompressSize
 }
 
-// Prepare encodes a message for CallLarge.
+// EncodeMessage encodes a message for CallEncoded and HandleEncoded.
 func EncodeMessage(v any) EncodedMessage {
 	m := EncodedMessage{plain: Marshal(v)}
 	if len(m.plain) >= minCompressSize {
@@ -90,8 +90,8 @@
 	return m
 }
 
-// CallLarge sends a prepared message and waits for the answer. A peer of an
-// earlier build, which does not read the coding, gets the message plain.
+// CallEncoded sends an encoded message and waits for the response. A peer of an
+// earlier build, which does not support the encoding, is sent the message uncompressed.
 func CallEncoded[A any](ctx context.Context, c *Client, addr, path string, m EncodedMessage) (A, error) {
 	if m.compressed == nil || c.needsUncompressed(addr) {
 		return call[A](ctx, c, addr, path, m.plain, "")
@@ -104,7 +104,7 @@
 	return call[A](ctx, c, addr, path, m.plain, "")
 }
 
-// wantsPlain says whether a peer could not read a compressed message lately.
+// needsUncompressed reports whether a peer rejected a compressed message within uncompressedPeriod.
 func (c *Client) needsUncompressed(addr string) bool {
 	at, found := c.uncompressedSince.Load(addr)
 	if !found {
@@ -117,8 +117,8 @@
 	return false
 }
 
-// HandleLarge answers calls at path with f, compressed where the answer is large
-// and the caller reads that.
+// HandleCompressed serves calls at path with f. Responses of at least minCompressSize bytes are compressed
+// if the client accepts it.
 func HandleCompressed[Q, A any](m *Mux, path string, f func(context.Context, Q) (A, error)) {
 	handle(m, path, f, func(w http.ResponseWriter, r *http.Request, answer A) int {
 		packed := Marshal(answer)
@@ -130,7 +130,7 @@
 	})
 }
 
-// HandlePrepared answers calls at path with messages that f may have prepared before.
+// HandleEncoded serves calls at path with f, which returns messages that are already encoded.
 func HandleEncoded[Q any](m *Mux, path string, f func(context.Context, Q) (EncodedMessage, error)) {
 	handle(m, path, f, func(w http.ResponseWriter, r *http.Request, answer EncodedMessage) int {
 		if answer.compressed == nil || !acceptsGzip(r) {
--- a/internal/kernel/wire/compress_test.go
+++ b/internal/kernel/wire/compress_test.go
@@ -19,7 +19,7 @@
 
 var largeText = text{Text: strings.Repeat("a line of a configuration\n", 4000)}
 
-// peer serves h and gives its address.
+// serveTestPeer starts a server with h and returns its address.
 func serveTestPeer(t *testing.T, h http.Handler) string {
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
@@ -61,7 +61,7 @@
 	}
 }
 
-// earlier answers as a build does that knows of no coding.
+// withoutEncodings behaves like an earlier build, which ignores content encodings, and counts compressed requests.
 func withoutEncodings(m *Mux, coded *atomic.Int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Content-Encoding") != "" {
--- a/internal/kernel/wire/datagram.go
+++ b/internal/kernel/wire/datagram.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// MaxGram bounds a datagram, so that none is cut up on the way.
+// MaxDatagram is the maximum size of a datagram in bytes, chosen to avoid IP fragmentation.
 const MaxDatagram = 1400
 
+// datagram is the encoded form of a message: protocol version, kind and body.
 // datagram is the encoded form of a message: protocol version, kind and body.
 type datagram struct {
 	Version string `cbor:"1,keyasint"`
@@ -17,7 +18,7 @@
 	Body    []byte `cbor:"3,keyasint"`
 }
 
-// Post sends and takes datagrams by kind.
+// DatagramSocket sends datagrams and dispatches received ones by kind.
 type DatagramSocket struct {
 	conn      net.PacketConn
 	handlers  map[string]datagramHandler
@@ -26,7 +27,7 @@
 	stats     counters
 }
 
-// kind is what is done with datagrams of one kind, and what that has cost.
+// datagramHandler handles the datagrams of one kind and counts their cost.
 type datagramHandler struct {
 	handle func(body []byte)
 	stats  *counter
@@ -35,15 +36,15 @@
 // Sent returns the number of datagrams sent.
 func (p *DatagramSocket) Sent() int64 { return p.sent.Load() }
 
-// Served is what the datagrams of each kind have cost so far.
+// Stats returns the cost of the received datagrams so far, by kind.
 func (p *DatagramSocket) Stats() map[string]Stats { return p.stats.snapshot() }
 
-// NewPost works on an open packet conn. Kinds are named before Run.
+// NewDatagramSocket returns a socket on an open connection. Handlers must be registered before Run.
 func NewDatagramSocket(pc net.PacketConn) *DatagramSocket {
 	return &DatagramSocket{conn: pc, handlers: map[string]datagramHandler{}}
 }
 
-// On names what is done with datagrams of a kind.
+// Handle registers the handler of a kind of datagrams.
 func (p *DatagramSocket) Handle(name string, f func(body []byte)) {
 	p.handlers[name] = datagramHandler{f, p.stats.get(name)}
 }
@@ -64,7 +65,7 @@
 	return err == nil
 }
 
-// Garbled counts datagrams that could not be read or are of another version.
+// Malformed returns the number of datagrams that could not be decoded, or have another protocol version or an unknown kind.
 func (p *DatagramSocket) Malformed() int64 { return p.malformed.Load() }
 
 // Run receives and dispatches datagrams until the connection is closed.
@@ -79,7 +80,7 @@
 	}
 }
 
-// Take works on one datagram, whatever is in it.
+// Dispatch decodes a datagram and calls the handler of its kind, or counts it as malformed.
 func (p *DatagramSocket) Dispatch(b []byte) {
 	var m datagram
 	if err := Unmarshal(b, &m); err != nil || m.Version != ProtocolVersion {
@@ -96,7 +97,7 @@
 	k.stats.add(len(b), 0, time.Since(began))
 }
 
-// Bad counts one body that its kind could not read.
+// CountMalformed counts a datagram whose body its handler could not decode.
 func (p *DatagramSocket) CountMalformed() { p.malformed.Add(1) }
 
 // Close closes the connection, which ends Run.
--- a/internal/kernel/wire/server.go
+++ b/internal/kernel/wire/server.go
@@ -20,6 +20,7 @@
 	conns    map[net.Conn]connState
 }
 
+// connState is the state of a connection and the time at which it was entered.
 // connState is the state of a connection and the time at which it was entered.
 type connState struct {
 	state http.ConnState
@@ -36,6 +37,7 @@
 	return s
 }
 
+// trackConn records the state of a connection; it is the http.Server's ConnState hook.
 // trackConn records the state of a connection; it is the http.Server's ConnState hook.
 func (s *Server) trackConn(c net.Conn, st http.ConnState) {
 	s.mu.Lock()
@@ -47,7 +49,7 @@
 	s.conns[c] = connState{st, time.Now()}
 }
 
-// busy says whether a connection is at work, or was within idle.
+// hasBusyConn reports whether any connection is not idle, or has been idle for less than the given time.
 func (s *Server) hasBusyConn(idle time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/kernel/wire/stats.go
+++ b/internal/kernel/wire/stats.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Served is what calls at one path, or datagrams of one kind, have cost who takes them.
+// Stats is the cost to the receiver of calls at one path, or of datagrams of one kind.
 type Stats struct {
 	Calls int64
 	In    int64 // bytes received
@@ -22,7 +22,7 @@
 // Bytes returns the bytes in both directions.
 func (s Stats) Bytes() int64 { return s.In + s.Out }
 
-// servedCount counts what one path or kind costs.
+// counter accumulates the cost of one path or kind.
 type counter struct{ calls, in, out, took atomic.Int64 }
 
 // add counts a call or datagram.
@@ -33,13 +33,13 @@
 	c.took.Add(int64(took))
 }
 
-// servedCounts are the counts of all paths or kinds.
+// counters holds the counters of all paths or kinds.
 type counters struct {
 	mu     sync.Mutex
 	byName map[string]*counter
 }
 
-// at is the count of a path or kind.
+// get returns the counter of a path or kind, creating it if necessary.
 func (c *counters) get(name string) *counter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 	return c.byName[name]
 }
 
-// now is what all have cost so far.
+// snapshot returns the current values of all counters.
 func (c *counters) snapshot() map[string]Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/kernel/wire/wire.go
+++ b/internal/kernel/wire/wire.go
@@ -15,13 +15,13 @@
 	"github.com/pkg/errors"
 )
 
-// Speaks is the version of the messages this build sends and reads.
+// ProtocolVersion is the version of the messages that this build sends and accepts.
 const ProtocolVersion = "1"
 
 // MaxMessage is the maximum size of a request or response in bytes.
 const MaxMessage = 32 << 20
 
-// Net is the network as a node sees it.
+// Network opens connections and listeners for a node.
 type Network interface {
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
 	Listen(addr string) (net.Listener, error)
@@ -30,7 +30,7 @@
 
 type hostNetwork struct{ dialer net.Dialer }
 
-// Host is the network of this machine.
+// HostNetwork returns the network of this machine.
 func HostNetwork() Network {
 	return &hostNetwork{dialer: net.Dialer{Timeout: 2 * time.Second, KeepAlive: 5 * time.Second}}
 }
@@ -52,7 +52,7 @@
 	ErrNotServed = errors.New("wire: peer does not serve the call")
 )
 
-// Refused is a peer's considered no.
+// Refusal is an error with a code with which a peer rejects a call.
 type Refusal struct {
 	Code   string
 	Detail string
@@ -86,10 +86,10 @@
 	return v
 }
 
-// Pack encodes a message of ours; such values always encode.
+// Marshal encodes a message. It panics if the value cannot be encoded, which does not happen for message types.
 func Marshal(v any) []byte { return must(encMode.Marshal(v)) }
 
-// Unpack decodes a message and turns any error into ErrGarbled.
+// Unmarshal decodes a message; any error is wrapped in ErrMalformed.
 func Unmarshal(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
 		return errors.Wrap(ErrMalformed, err.Error())
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// Caller makes calls to peers.
+// Client calls peers.
 type Client struct {
 	http              *http.Client
 	malformed         atomic.Int64
@@ -106,7 +106,7 @@
 	uncompressedSince sync.Map // address of a peer to the time at which it rejected a compressed message
 }
 
-// NewCaller dials through n.
+// NewClient returns a client that dials through n.
 func NewClient(n Network) *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext: n.Dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: 10 * time.Second,
@@ -120,7 +120,7 @@
 // Sent returns the number of calls made and the bytes of their requests and responses.
 func (c *Client) Sent() (calls, bytes int64) { return c.calls.Load(), c.bytes.Load() }
 
-// Garbled counts answers that could not be read.
+// Malformed returns the number of responses that could not be decoded.
 func (c *Client) Malformed() int64 { return c.malformed.Load() }
 
 // Call sends a request to a peer and waits for its response.
@@ -151,7 +151,7 @@
 	return readResponse[A](c, res, addr+path, coding)
 }
 
-// readAnswer reads what a peer answered to a message in a content coding.
+// readResponse decodes a response. coding is the content encoding of the request.
 func readResponse[A any](c *Client, res *http.Response, at, coding string) (A, error) {
 	var a A
 	sent, err := readBody(res.Body)
@@ -205,10 +205,10 @@
 // ServeHTTP implements http.Handler.
 func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.mux.ServeHTTP(w, r) }
 
-// Garbled counts calls that could not be read.
+// Malformed returns the number of requests that could not be decoded or have another protocol version.
 func (m *Mux) Malformed() int64 { return m.malformed.Load() }
 
-// Served is what the calls at each path have cost so far.
+// Stats returns the cost of the calls so far, by path.
 func (m *Mux) Stats() map[string]Stats { return m.stats.snapshot() }
 
 // Handle serves calls at path with f.
@@ -216,7 +216,7 @@
 	handle(m, path, f, func(w http.ResponseWriter, _ *http.Request, answer A) int { return writeResponse(w, Marshal(answer)) })
 }
 
-// write writes an answer and gives how many bytes went.
+// writeResponse writes a response and returns the number of bytes written.
 func writeResponse(w http.ResponseWriter, answer []byte) int {
 	n, _ := w.Write(answer)
 	return n
@@ -258,7 +258,7 @@
 	})
 }
 
-// readQuestion reads a message into q. It gives how many bytes came and the status of what became of them.
+// readRequest decodes a request into q. It returns the number of bytes received and the HTTP status of the result.
 func readRequest(w http.ResponseWriter, r *http.Request, q any) (bytes, status int) {
 	sent, err := readBody(http.MaxBytesReader(w, r.Body, MaxMessage))
 	if err != nil {
