--- a/internal/kernel/sharedcache/cache.go
+++ b/internal/kernel/sharedcache/cache.go
@@ -23,11 +23,11 @@
 const (
 	// Ranks is the number of ranks within a tenant; rank 0 is the most urgent.
 	Ranks = 12
-	// floorPart of what a tenant uses again stays with a less urgent step that wants it.
-	// Why: urgent entries that nobody uses any more would otherwise leave the others nothing for ever. With
-	// fewer steps than parts one step is always above its floor.
+	// floorDivisor sets the floor of a rank: 1/floorDivisor of the tenant's protected usage, which a less urgent rank keeps.
+	// Without it, urgent entries that are no longer used would displace the other ranks for ever. Since Ranks is less
+	// than floorDivisor, at least one rank is always above its floor.
 	floorDivisor = 16
-	// oncePart of what a tenant keeps may have been used only once.
+	// probationaryDivisor limits probationary entries to 1/probationaryDivisor of the tenant's usage at eviction.
 	probationaryDivisor = 4
 )
 
@@ -110,7 +110,7 @@
 	}
 }
 
-// reshare gives a tenant the share that is set now.
+// updateShare applies the configured share to a tenant. The caller restores the heap order.
 func (c *Cache[K, V]) updateShare(t *tenant) {
 	share := c.shareOf(t.name)
 	if t.entries > 0 {
@@ -131,14 +131,14 @@
 	return c.nodes.at(at).value, true
 }
 
-// Use is the value of a key that a tenant has a use for now.
-func (c *Cache[K, V]) Get(key K, by Owner) (V, bool) {
+// Get returns the value of a key and counts as a use by the given owner.
+func (c *Cache[K, V]) Get(key K, user Owner) (V, bool) {
 	at, found := c.index[key]
 	if !found {
-		var none V
-		return none, false
+		var zero V
+		return zero, false
 	}
-	c.touch(at, by)
+	c.touch(at, user)
 	return c.nodes.at(at).value, true
 }
 
@@ -198,10 +198,10 @@
 	c.link(at)
 }
 
-// isAbove says whether a tenant keeps more than its share of the capacity.
+// isOverShare reports whether a tenant uses more than its share of the capacity.
 func (c *Cache[K, V]) isOverShare(t *tenant) bool { return t.used*c.activeShares > c.capacity*t.share }
 
-// keepsLess says whether a tenant, or nobody yet, keeps less for its share than another.
+// usesLess reports whether tenant t uses less relative to its share than another; a nil tenant uses nothing.
 func usesLess(t, than *tenant) bool { return t == nil || t.used*than.share < than.used*t.share }
 
 // tenantOf returns the tenant with a name, creating it if necessary.
@@ -220,28 +220,28 @@
 	return t
 }
 
-// recharge changes the cost of an entry.
+// updateCost changes the cost of an entry.
 func (c *Cache[K, V]) updateCost(at int32, cost int64) {
 	n := c.nodes.at(at)
-	by := cost - int64(n.cost)
-	if by == 0 {
+	delta := cost - int64(n.cost)
+	if delta == 0 {
 		return
 	}
 	n.cost = int32(cost)
-	c.addUsage(n, by)
+	c.addUsage(n, delta)
 }
 
-// charge adds to what an entry's owner keeps.
-func (c *Cache[K, V]) addUsage(n *node[K, V], by int64) {
+// addUsage adds delta, which may be negative, to all usage counters of an entry's owner and to the total.
+func (c *Cache[K, V]) addUsage(n *node[K, V], delta int64) {
 	t := n.owner
-	c.used += by
-	t.used += by
-	t.segments[n.segment].used += by
-	t.segments[n.segment].ranks[n.rank].used += by
+	c.used += delta
+	t.used += delta
+	t.segments[n.segment].used += delta
+	t.segments[n.segment].ranks[n.rank].used += delta
 	heap.Fix(&c.byUsage, t.heapIndex)
 }
 
-// evict lets one entry go.
+// evict removes one entry of the tenant with the highest usage relative to its share.
 func (c *Cache[K, V]) evict() {
 	t := c.byUsage[0]
 	at := t.victimList().last
@@ -254,7 +254,7 @@
 	}
 }
 
-// victims is the list of a tenant that gives way.
+// victimList returns the list of the tenant from which the next entry is evicted.
 func (t *tenant) victimList() *list {
 	if p := &t.segments[probationary]; p.used*probationaryDivisor > t.used {
 		return &p.ranks[p.heaviestRank()]
@@ -263,7 +263,7 @@
 	return &p.ranks[p.leastUrgentAboveFloor()]
 }
 
-// mostForItsUrgency is the step that has most, a more urgent one being worth more.
+// heaviestRank returns the rank with the highest usage relative to its weight.
 func (p *segment) heaviestRank() int {
 	most := Ranks - 1
 	for rank := Ranks - 2; rank >= 0; rank-- {
@@ -274,10 +274,11 @@
 	return most
 }
 
+// rankWeight returns the weight of a rank; more urgent ranks weigh more.
 // rankWeight returns the weight of a rank; more urgent ranks weigh more.
 func rankWeight(rank int) int64 { return int64(Ranks - rank) }
 
-// leastUrgent is the least urgent step that has more than its floor.
+// leastUrgentAboveFloor returns the least urgent rank whose usage is above its floor, or rank 0.
 func (p *segment) leastUrgentAboveFloor() int {
 	for rank := Ranks - 1; rank > 0; rank-- {
 		if p.ranks[rank].used*floorDivisor > p.used {
@@ -287,7 +288,7 @@
 	return 0
 }
 
-// drop takes an entry out; a tenant that keeps nothing more is forgotten.
+// removeEntry deletes an entry, and its tenant if that has no entries and no configured share.
 func (c *Cache[K, V]) removeEntry(at int32) {
 	n := c.nodes.at(at)
 	t := n.owner
@@ -297,6 +298,7 @@
 	c.removeIfEmpty(t)
 }
 
+// removeIfEmpty deletes a tenant that has no entries and no configured share.
 // removeIfEmpty deletes a tenant that has no entries and no configured share.
 func (c *Cache[K, V]) removeIfEmpty(t *tenant) {
 	if t.entries > 0 || c.shares[t.name] > 0 {
--- a/internal/kernel/sharedcache/cache_test.go
+++ b/internal/kernel/sharedcache/cache_test.go
@@ -132,7 +132,7 @@
 	delete(o.entries, victim.key)
 }
 
-// play lets a cache and the oracle do the same and compares them.
+// compareWithOracle applies the same random operations to a cache and the oracle and compares them after each.
 func compareWithOracle(t *testing.T, seed uint64, steps int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	capacity := 1 + rnd.IntN(60)
@@ -324,7 +324,7 @@
 		c.Remove(i)
 	}
 	if len(c.Usages()) != 0 || c.Len() != 0 || c.Used() != 0 {
-		t.Errorf("the empty cache still has tenants: %v", c.Usages())
+		t.Errorf("%v", c.Usages())
 	}
 }
 
--- a/internal/kernel/sharedcache/list.go
+++ b/internal/kernel/sharedcache/list.go
@@ -1,9 +1,9 @@
 package sharedcache
 
 const (
-	// none is no entry.
+	// noEntry marks the end of a list.
 	noEntry int32 = -1
-	// chunk is how many entries are made at a time. Why: one slice that grows would be copied whole in the
+	// chunkSize is the number of entries allocated at a time. A single growing slice would be copied whole in the
 	// middle of a request.
 	chunkSize = 1 << 10
 )
@@ -28,7 +28,7 @@
 
 func (s *slab[K, V]) at(i int32) *node[K, V] { return &s.chunks[i/chunkSize][i%chunkSize] }
 
-// take is an entry to be filled.
+// alloc returns the index of an unused entry.
 func (s *slab[K, V]) alloc() int32 {
 	if s.free > 0 {
 		i := s.free - 1
@@ -42,7 +42,7 @@
 	return s.allocated - 1
 }
 
-// give frees an entry.
+// release clears an entry and adds it to the free list.
 func (s *slab[K, V]) release(i int32) {
 	*s.at(i) = node[K, V]{next: s.free - 1}
 	s.free = i + 1
