--- a/internal/kernel/setup/setup.go
+++ b/internal/kernel/setup/setup.go
@@ -1,5 +1,6 @@
 // Package setup reads and validates a program's settings from flags and a settings file,
-// as declared in one table, and runs the program until a signal stops it.
+// as declared in one table, and runs the program until a signal stops it. A program with an invalid
+// setting exits before it listens.
 package setup
 
 import (
