--- a/internal/core/preference.go
+++ b/internal/core/preference.go
@@ -36,9 +36,9 @@
 	for slot := range keys {
 		keys[slot] = []byte{byte(slot)}
 	}
-	first := share.Spread(keys, names)
+	first := share.Assign(keys, names)
 	for slot := range p.ranked {
-		ranked := share.Ranked(keys[slot], names)
+		ranked := share.RankNames(keys[slot], names)
 		at := slices.Index(ranked, first[slot])
 		if at > 0 {
 			ranked = slices.Insert(slices.Delete(ranked, at, at+1), 0, first[slot])
--- a/internal/kernel/share/spread_test.go
+++ b/internal/kernel/share/assign_test.go
@@ -6,27 +6,27 @@
 	"testing"
 )
 
-func keys(n int) (out [][]byte) {
+func testKeys(n int) (out [][]byte) {
 	for i := range n {
 		out = append(out, []byte{byte(i)})
 	}
 	return out
 }
 
-func names(n int) (out []string) {
+func testNames(n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("core-%d", i+1))
 	}
 	return out
 }
 
-func TestNoNameHasMoreThanOneKeyMoreThanAnother(t *testing.T) {
+func TestAssignIsBalanced(t *testing.T) {
 	for n := 1; n <= 20; n++ {
 		has := map[string]int{}
-		for _, name := range Spread(keys(16), names(n)) {
+		for _, name := range Assign(testKeys(16), testNames(n)) {
 			has[name]++
 		}
-		for _, name := range names(n) {
+		for _, name := range testNames(n) {
 			if count := has[name]; count < 16/n || count > 16/n+1 {
 				t.Errorf("%d names: %q has %d keys of 16", n, name, count)
 			}
@@ -37,18 +37,18 @@
 	}
 }
 
-func TestEverybodySpreadsAlikeWhateverTheOrderOfNames(t *testing.T) {
-	forward := names(7)
+func TestAssignIgnoresOrderOfNames(t *testing.T) {
+	forward := testNames(7)
 	backward := slices.Clone(forward)
 	slices.Reverse(backward)
-	if a, b := Spread(keys(16), forward), Spread(keys(16), backward); !slices.Equal(a, b) {
+	if a, b := Assign(testKeys(16), forward), Assign(testKeys(16), backward); !slices.Equal(a, b) {
 		t.Errorf("%v and %v", a, b)
 	}
 }
 
-func TestMostKeysStayWhenANameGoes(t *testing.T) {
-	before := Spread(keys(16), names(7))
-	after := Spread(keys(16), names(7)[:6])
+func TestMostKeysStayWhenNameIsRemoved(t *testing.T) {
+	before := Assign(testKeys(16), testNames(7))
+	after := Assign(testKeys(16), testNames(7)[:6])
 	moved := 0
 	for i := range before {
 		if before[i] != "core-7" && before[i] != after[i] {
@@ -60,8 +60,8 @@
 	}
 }
 
-func TestWithoutNamesNoKeyHasOne(t *testing.T) {
-	if got := Spread(keys(2), nil); !slices.Equal(got, []string{"", ""}) {
+func TestAssignWithoutNames(t *testing.T) {
+	if got := Assign(testKeys(2), nil); !slices.Equal(got, []string{"", ""}) {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/kernel/share/share.go
+++ b/internal/kernel/share/share.go
@@ -7,7 +7,7 @@
 
 // Draw is a name's draw for a key; the highest wins. It must never change:
 // versions that run side by side would each prefer another owner.
-func Draw(key []byte, name string) uint64 {
+func Score(key []byte, name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(key)
 	_, _ = h.Write([]byte(name))
--- a/internal/kernel/share/share_test.go
+++ b/internal/kernel/share/share_test.go
@@ -8,12 +8,12 @@
 
 // Each of a few names wins about as many keys, and one that goes away takes
 // nothing from the others.
-func TestSharesAreEvenAndSteady(t *testing.T) {
+func TestKeysAreEvenAndStable(t *testing.T) {
 	names := []string{"core-1", "core-2", "core-3", "core-4"}
 	best := func(key []byte, names []string) string {
 		won := names[0]
 		for _, n := range names[1:] {
-			if Draw(key, n) > Draw(key, won) {
+			if Score(key, n) > Score(key, won) {
 				won = n
 			}
 		}
@@ -37,7 +37,7 @@
 }
 
 // These were drawn by the first version.
-func TestEveryVersionDrawsAlike(t *testing.T) {
+func TestScoresNeverChange(t *testing.T) {
 	for _, c := range []struct {
 		key  []byte
 		name string
@@ -45,7 +45,7 @@
 	}{
 		{[]byte{0}, "core-1", 10247325157770294544}, {[]byte{63}, "core-2", 12497834671986180680}, {binary.LittleEndian.AppendUint64(nil, 1<<40), "m-01", 2323318010438709861},
 	} {
-		if got := Draw(c.key, c.name); got != c.want {
+		if got := Score(c.key, c.name); got != c.want {
 			t.Errorf("%x %s: %d, was %d", c.key, c.name, got, c.want)
 		}
 	}
--- a/internal/member/fanout/fanout.go
+++ b/internal/member/fanout/fanout.go
@@ -68,7 +68,7 @@
 	key := []byte(agent.Name)
 	best, bestNear, bestDraw := "", false, uint64(0)
 	for _, core := range tellers {
-		near, draw := core.Zone == agent.Zone, share.Draw(key, core.Name)
+		near, draw := core.Zone == agent.Zone, share.Score(key, core.Name)
 		if best == "" || near && !bestNear || near == bestNear && draw > bestDraw {
 			best, bestNear, bestDraw = core.Name, near, draw
 		}
--- a/internal/place/report/relay/messages.go
+++ b/internal/place/report/relay/messages.go
@@ -49,4 +49,4 @@
 }
 
 // Key stands for a core's name in answers to agents; it must never change.
-func Key(core string) uint32 { return uint32(share.Draw([]byte("relay"), core)) }
+func Key(core string) uint32 { return uint32(share.Score([]byte("relay"), core)) }
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -132,7 +132,7 @@
 	warm, home := rt.prefixes.warmFractions(t.Prompt), binary.LittleEndian.AppendUint64(nil, t.Prompt.homeDigest())
 	out := ranked[:0]
 	for _, f := range ranked {
-		f.WarmShare, f.Home = warm[f.Name], float64(share.Draw(home, f.Name)>>11)/(1<<53)
+		f.WarmShare, f.Home = warm[f.Name], float64(share.Score(home, f.Name)>>11)/(1<<53)
 		if r := s.Replicas[f.Name]; r.Told {
 			uncached := t.Prompt.uncachedTokens(f.WarmShare)
 			if rt.prefillBacklogged(r, uncached, t.Route.GapTarget, now) {
--- a/internal/route/steer.go
+++ b/internal/route/steer.go
@@ -191,7 +191,7 @@
 
 // rankedFor returns replicas in the order in which a tenant's bulk uses them; it is the same at every proxy.
 func rankedFor(tenant string, ids []string) []string {
-	return share.Ranked([]byte(tenant), ids)
+	return share.RankNames([]byte(tenant), ids)
 }
 
 // clampCount limits part of n to leave at least one on either side.
--- a/internal/sim/capacity/slots_test.go
+++ b/internal/sim/capacity/slots_test.go
@@ -46,16 +46,16 @@
 // byDraws prefers the core with the highest draw for each slot.
 func byDraws(keys [][]byte, names []string) (out []string) {
 	for _, key := range keys {
-		out = append(out, share.Ranked(key, names)[0])
+		out = append(out, share.RankNames(key, names)[0])
 	}
 	return out
 }
 
 func draws() {
 	sharesOf("by draws", state.SlotCount, byDraws)
-	sharesOf("spread", state.SlotCount, share.Spread)
+	sharesOf("spread", state.SlotCount, share.Assign)
 	sharesOf("by draws", 256, byDraws)
-	sharesOf("spread", 256, share.Spread)
+	sharesOf("spread", 256, share.Assign)
 }
 
 // largest tells up to how many items in use one slot's table can still be answered in one message.
