--- a/internal/kernel/share/assign.go
+++ b/internal/kernel/share/assign.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Spread gives each key one of some names, so that no name has more than one key more than another. A key goes to the
-// name with the highest draw that has room left. Why: with few keys, draws alone leave one name with several times as
-// many as another, and some with none.
+// Assign returns a name for each key, such that the numbers of keys per name differ by at most one. A key is assigned to
+// the name with the highest score that has capacity left. With few keys, scores alone would give one name several times
+// as many keys as another, and some names none.
 func Assign(keys [][]byte, names []string) []string {
 	out := make([]string, len(keys))
 	if len(names) == 0 {
 		return out
 	}
-	least, larger := len(keys)/len(names), len(keys)%len(names) // so many names have one more than the least
-	has := make(map[string]int, len(names))
+	least, larger := len(keys)/len(names), len(keys)%len(names) // larger is the number of names that get least+1 keys
+	assigned := make(map[string]int, len(names))
 	for i, key := range keys {
 		for _, name := range RankNames(key, names) {
-			if has[name] > least || has[name] == least && larger == 0 {
+			if assigned[name] > least || assigned[name] == least && larger == 0 {
 				continue
 			}
-			if has[name] == least {
+			if assigned[name] == least {
 				larger--
 			}
-			has[name]++
+			assigned[name]++
 			out[i] = name
 			break
 		}
@@ -31,13 +31,13 @@
 	return out
 }
 
-// Ranked is the names by their draws for a key, the highest first.
+// RankNames returns the names sorted by descending score for a key, ties by name.
 func RankNames(key []byte, names []string) []string {
-	draws := make(map[string]uint64, len(names))
+	scores := make(map[string]uint64, len(names))
 	for _, name := range names {
-		draws[name] = Score(key, name)
+		scores[name] = Score(key, name)
 	}
 	out := slices.Clone(names)
-	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(draws[b], draws[a]), cmp.Compare(a, b)) })
+	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(scores[b], scores[a]), cmp.Compare(a, b)) })
 	return out
 }
--- a/internal/kernel/share/assign_test.go
+++ b/internal/kernel/share/assign_test.go
@@ -22,17 +22,17 @@
 
 func TestAssignIsBalanced(t *testing.T) {
 	for n := 1; n <= 20; n++ {
-		has := map[string]int{}
+		counts := map[string]int{}
 		for _, name := range Assign(testKeys(16), testNames(n)) {
-			has[name]++
+			counts[name]++
 		}
 		for _, name := range testNames(n) {
-			if count := has[name]; count < 16/n || count > 16/n+1 {
+			if count := counts[name]; count < 16/n || count > 16/n+1 {
 				t.Errorf("%d names: %q has %d keys of 16", n, name, count)
 			}
 		}
-		if has[""] > 0 {
-			t.Errorf("%d names: %d keys have none", n, has[""])
+		if counts[""] > 0 {
+			t.Errorf("%d names: %d keys are not assigned", n, counts[""])
 		}
 	}
 }
@@ -42,7 +42,7 @@
 	backward := slices.Clone(forward)
 	slices.Reverse(backward)
 	if a, b := Assign(testKeys(16), forward), Assign(testKeys(16), backward); !slices.Equal(a, b) {
-		t.Errorf("%v and %v", a, b)
+		t.Errorf("assignments differ: %v and %v", a, b)
 	}
 }
 
@@ -56,7 +56,7 @@
 		}
 	}
 	if moved > 4 {
-		t.Errorf("%d keys of names that stay have moved", moved)
+		t.Errorf("%d keys of the remaining names have moved", moved)
 	}
 }
 
--- a/internal/kernel/share/share_test.go
+++ b/internal/kernel/share/share_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// Each of a few names wins about as many keys, and one that goes away takes
-// nothing from the others.
+// A few names get about the same number of keys each, and the removal of a name does not
+// move keys of the others.
 func TestKeysAreEvenAndStable(t *testing.T) {
 	names := []string{"core-1", "core-2", "core-3", "core-4"}
 	best := func(key []byte, names []string) string {
-		won := names[0]
+		winner := names[0]
 		for _, n := range names[1:] {
-			if Score(key, n) > Score(key, won) {
-				won = n
+			if Score(key, n) > Score(key, winner) {
+				winner = n
 			}
 		}
-		return won
+		return winner
 	}
 	const keys = 4000
 	wins := map[string]int{}
@@ -26,17 +26,17 @@
 		all := best(key, names)
 		wins[all]++
 		if all != "core-4" && best(key, names[:3]) != all {
-			t.Fatalf("key %x moved from %s for a name that had nothing of it", key, all)
+			t.Fatalf("key %x moved from %s when another name was removed", key, all)
 		}
 	}
 	for _, n := range names {
 		if wins[n] < keys/len(names)*8/10 || wins[n] > keys/len(names)*12/10 {
-			t.Errorf("uneven: %s", fmt.Sprint(wins))
+			t.Errorf("keys are distributed unevenly: %s", fmt.Sprint(wins))
 		}
 	}
 }
 
-// These were drawn by the first version.
+// The scores are those of the first version.
 func TestScoresNeverChange(t *testing.T) {
 	for _, c := range []struct {
 		key  []byte
@@ -46,7 +46,7 @@
 		{[]byte{0}, "core-1", 10247325157770294544}, {[]byte{63}, "core-2", 12497834671986180680}, {binary.LittleEndian.AppendUint64(nil, 1<<40), "m-01", 2323318010438709861},
 	} {
 		if got := Score(c.key, c.name); got != c.want {
-			t.Errorf("%x %s: %d, was %d", c.key, c.name, got, c.want)
+			t.Errorf("score of key %x and name %s: %d, want %d", c.key, c.name, got, c.want)
 		}
 	}
 }
