--- a/internal/kernel/heap/heap_test.go
+++ b/internal/kernel/heap/heap_test.go
@@ -9,9 +9,9 @@
 
 const mib = 1 << 20
 
-var pace = Pace{Percent: 50, Most: 100, Least: 2 * mib}
+var testPolicy = Policy{Percent: 50, MaxPercent: 100, MinGrowth: 2 * mib}
 
-func TestASmallHeapMayGrowByMore(t *testing.T) {
+func TestSmallHeapMayGrowByMore(t *testing.T) {
 	for _, c := range []struct {
 		live uint64
 		want int
@@ -23,19 +23,19 @@
 		{4 * mib, 50},
 		{40 * mib, 50},
 	} {
-		if got := pace.percent(c.live, false); got != c.want {
+		if got := testPolicy.percent(c.live, false); got != c.want {
 			t.Errorf("%d bytes live: %d %%, not %d", c.live, got, c.want)
 		}
 	}
 }
 
 // kept is what is live in a test beside the test itself.
-var kept []byte
+var liveBytes []byte
 
 // settles says whether collections settle on a percentage while so many bytes are kept.
-func settles(bytes, percent int) bool {
-	kept = make([]byte, bytes)
-	defer func() { kept = nil }()
+func settlesAt(bytes, percent int) bool {
+	liveBytes = make([]byte, bytes)
+	defer func() { liveBytes = nil }()
 	// Why: the finalizer runs on a goroutine of its own, some time after the collection.
 	for range 100 {
 		runtime.GC()
@@ -49,38 +49,38 @@
 	return false
 }
 
-func TestABusyProcessCollectsLessOften(t *testing.T) {
-	defer debug.SetGCPercent(debug.SetGCPercent(pace.Percent))
-	spare := Pace{Percent: 50, Most: 100, Busy: 400}
+func TestBusyProcessCollectsLessOften(t *testing.T) {
+	defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
+	spare := Policy{Percent: 50, MaxPercent: 100, BusyPercent: 400}
 	var busy atomic.Bool
-	Keep(spare).WhenBusy(busy.Load)
-	if !settles(40*mib, spare.Percent) {
+	StartTuning(spare).SetBusyFunc(busy.Load)
+	if !settlesAt(40*mib, spare.Percent) {
 		t.Errorf("a process with time to spare is not held to %d %%", spare.Percent)
 	}
 	busy.Store(true)
-	if !settles(40*mib, spare.Busy) {
-		t.Errorf("a busy process is not given %d %%", spare.Busy)
+	if !settlesAt(40*mib, spare.BusyPercent) {
+		t.Errorf("a busy process is not given %d %%", spare.BusyPercent)
 	}
 	busy.Store(false)
-	if !settles(40*mib, spare.Percent) {
+	if !settlesAt(40*mib, spare.Percent) {
 		t.Errorf("a process that is busy no more is not held to %d %%", spare.Percent)
 	}
-	if got := pace.percent(40*mib, true); got != pace.Percent {
+	if got := testPolicy.percent(40*mib, true); got != testPolicy.Percent {
 		t.Errorf("%d %% while busy, where nothing is said of it", got)
 	}
 }
 
-func TestAProcessIsHeldToItsPace(t *testing.T) {
-	defer debug.SetGCPercent(debug.SetGCPercent(pace.Percent))
-	Keep(pace)
-	if !settles(mib/2, pace.Most) {
-		t.Errorf("a small heap is not given %d %%", pace.Most)
+func TestPercentageFollowsLiveHeap(t *testing.T) {
+	defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
+	StartTuning(testPolicy)
+	if !settlesAt(mib/2, testPolicy.MaxPercent) {
+		t.Errorf("a small heap is not given %d %%", testPolicy.MaxPercent)
 	}
-	if !settles(40*mib, pace.Percent) {
-		t.Errorf("a large heap is not held to %d %%", pace.Percent)
+	if !settlesAt(40*mib, testPolicy.Percent) {
+		t.Errorf("a large heap is not held to %d %%", testPolicy.Percent)
 	}
-	if !settles(mib/2, pace.Most) {
-		t.Errorf("a heap that is small again is not given %d %%", pace.Most)
+	if !settlesAt(mib/2, testPolicy.MaxPercent) {
+		t.Errorf("a heap that is small again is not given %d %%", testPolicy.MaxPercent)
 	}
 }
 
@@ -95,25 +95,25 @@
 		runtime.KeepAlive(live)
 	}
 	b.Run("percentage alone", func(b *testing.B) {
-		defer debug.SetGCPercent(debug.SetGCPercent(pace.Percent))
+		defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
 		run(b)
 	})
 	b.Run("paced", func(b *testing.B) {
-		defer debug.SetGCPercent(debug.SetGCPercent(pace.Percent))
-		Keep(pace)
+		defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
+		StartTuning(testPolicy)
 		run(b)
 	})
 }
 
-func TestALimitHoldsForPartOfTheMemory(t *testing.T) {
+func TestMemoryLimitIsPartOfMemory(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(before)
-	Below(0)
+	SetMemoryLimit(0)
 	if got := debug.SetMemoryLimit(-1); got != before {
 		t.Errorf("without a limit: %d bytes", got)
 	}
-	Below(280 * mib)
-	if got, want := debug.SetMemoryLimit(-1), int64(280*mib/100*belowParts); got != want {
+	SetMemoryLimit(280 * mib)
+	if got, want := debug.SetMemoryLimit(-1), int64(280*mib/100*limitPercent); got != want {
 		t.Errorf("%d bytes, not %d", got, want)
 	}
 }
