--- a/internal/kernel/heap/heap.go
+++ b/internal/kernel/heap/heap.go
@@ -1,5 +1,5 @@
-// Package heap says how far the heap of a process may grow between two collections.
-// The programs call it once, at their start.
+// Package heap tunes the garbage collector of a process: how far the heap may grow between two collections.
+// Programs call it once, at start.
 package heap
 
 import (
@@ -9,18 +9,19 @@
 	"sync/atomic"
 )
 
+// liveHeapMetric is the runtime metric of the bytes that were live at the last collection.
 const liveHeapMetric = "/gc/heap/live:bytes"
 
-// Pace is how far the heap may grow above what was live at the last collection.
+// Policy sets how far the heap may grow above what was live at the last collection.
 type Policy struct {
-	Percent     int    // of what was live, for a large heap
-	MaxPercent  int    // the percentage that is never exceeded
-	MinGrowth   uint64 // bytes that a small heap may grow by, if Most allows it
-	BusyPercent int    // the percentage while the process has no processor time to spare; 0 is as at other times
+	Percent     int    // GC percentage of a large heap
+	MaxPercent  int    // upper limit of the percentage of a small heap
+	MinGrowth   uint64 // bytes by which a small heap may grow, limited by MaxPercent
+	BusyPercent int    // percentage while the process has no processor time to spare; 0 means the same as otherwise
 }
 
-// percent is the collector's percentage while so many bytes are live. Why: memory is cheaper than the time of a process
-// that has none to spare.
+// percent returns the GC percentage for a number of live bytes. A busy process may get a higher one, since memory is
+// cheaper than processor time when none is to spare.
 func (p Policy) percent(live uint64, busy bool) int {
 	if busy && p.BusyPercent > 0 {
 		return p.BusyPercent
@@ -28,68 +29,69 @@
 	if live == 0 {
 		return p.MaxPercent
 	}
-	// Why: no more than Most, since the collector multiplies a least size of its own by the percentage.
+	// Limited to MaxPercent, since the collector multiplies its own minimum heap size by the percentage.
 	return max(p.Percent, int(min(p.MinGrowth*100/live, uint64(p.MaxPercent))))
 }
 
-// Keep holds the process to a pace from now on.
+// StartTuning applies a policy from now on.
 func StartTuning(p Policy) *Tuner {
-	k := &Tuner{policy: p, sample: [1]metrics.Sample{{Name: liveHeapMetric}}}
-	k.adjust()
-	k.adjustAfterNextGC()
-	return k
+	t := &Tuner{policy: p, sample: [1]metrics.Sample{{Name: liveHeapMetric}}}
+	t.adjust()
+	t.adjustAfterNextGC()
+	return t
 }
 
-// WhenBusy tells the keeper how to know that the process has no processor time to spare.
-func (k *Tuner) SetBusyFunc(busy func() bool) { k.busy.Store(&busy) }
+// SetBusyFunc sets the function that reports whether the process has no processor time to spare.
+func (t *Tuner) SetBusyFunc(busy func() bool) { t.busy.Store(&busy) }
 
-// isBusy says whether the process has no processor time to spare, as far as is known.
-func (k *Tuner) isBusy() bool {
-	busy := k.busy.Load()
+// isBusy reports whether the process has no processor time to spare; false without a busy function.
+func (t *Tuner) isBusy() bool {
+	busy := t.busy.Load()
 	return busy != nil && (*busy)()
 }
 
-// belowParts of 100 of what a process may use are in use when it collects as often as it must. The rest is for what
-// the runtime does not count, and for what comes faster than it is collected.
+// limitPercent is the part of the memory available to a process, in percent, that is set as the runtime's memory limit.
+// The rest is for memory that the runtime does not count, and for allocations faster than the collection.
 const limitPercent = 70
 
-// Below has a process that may use so many bytes collect more often when it comes near them; 0 is no limit.
+// SetMemoryLimit makes a process that may use the given number of bytes collect more often when it approaches them; 0 means
+// no limit.
 func SetMemoryLimit(bytes int) {
 	if bytes > 0 {
 		debug.SetMemoryLimit(int64(bytes) / 100 * limitPercent)
 	}
 }
 
-// Keeper sets the percentage anew after collections that left another part live, or that found the process busy.
+// Tuner adjusts the GC percentage after each collection to the live heap and to whether the process is busy.
 type Tuner struct {
 	policy  Policy
 	busy    atomic.Pointer[func() bool]
-	current int // the percentage in force
+	current int // current GC percentage
 	sample  [1]metrics.Sample
 }
 
-// collected is an object that nothing refers to, so that each collection finalizes it.
+// gcSentinel is an unreferenced object, so that the next collection runs its finalizer.
 type gcSentinel struct{ tuner *Tuner }
 
-// follow has the percentage looked at after the next collection.
-func (k *Tuner) adjustAfterNextGC() {
-	runtime.SetFinalizer(&gcSentinel{k}, func(c *gcSentinel) {
-		c.tuner.adjust()
-		c.tuner.adjustAfterNextGC()
+// adjustAfterNextGC adjusts the percentage after the next collection and every later one.
+func (t *Tuner) adjustAfterNextGC() {
+	runtime.SetFinalizer(&gcSentinel{t}, func(s *gcSentinel) {
+		s.tuner.adjust()
+		s.tuner.adjustAfterNextGC()
 	})
 }
 
-// changesBy is the part by which the percentage must differ to be set anew. Why: setting
-// it stops the program for a moment.
+// minChangePercent is the minimum relative change of the percentage for which it is set, since setting
+// it briefly stops the program.
 const minChangePercent = 10 // of 100
 
-// adjust sets the percentage by what is live now.
-func (k *Tuner) adjust() {
-	metrics.Read(k.sample[:])
-	want := k.policy.percent(k.sample[0].Value.Uint64(), k.isBusy())
-	if off := max(want-k.current, k.current-want); off*100 < minChangePercent*k.current {
+// adjust sets the GC percentage for the current live heap.
+func (t *Tuner) adjust() {
+	metrics.Read(t.sample[:])
+	want := t.policy.percent(t.sample[0].Value.Uint64(), t.isBusy())
+	if diff := max(want-t.current, t.current-want); diff*100 < minChangePercent*t.current {
 		return
 	}
-	k.current = want
+	t.current = want
 	debug.SetGCPercent(want)
 }
--- a/internal/kernel/heap/heap_test.go
+++ b/internal/kernel/heap/heap_test.go
@@ -17,26 +17,26 @@
 		want int
 	}{
 		{0, 100},
-		{mib / 2, 100}, // no more than the most
+		{mib / 2, 100}, // limited to MaxPercent
 		{2 * mib, 100},
 		{5 * mib / 2, 80},
 		{4 * mib, 50},
 		{40 * mib, 50},
 	} {
 		if got := testPolicy.percent(c.live, false); got != c.want {
-			t.Errorf("%d bytes live: %d %%, not %d", c.live, got, c.want)
+			t.Errorf("%d bytes live: %d %%, want %d", c.live, got, c.want)
 		}
 	}
 }
 
-// kept is what is live in a test beside the test itself.
+// liveBytes is the memory that a test keeps live.
 var liveBytes []byte
 
-// settles says whether collections settle on a percentage while so many bytes are kept.
+// settlesAt reports whether the GC percentage settles at a value while the given number of bytes is live.
 func settlesAt(bytes, percent int) bool {
 	liveBytes = make([]byte, bytes)
 	defer func() { liveBytes = nil }()
-	// Why: the finalizer runs on a goroutine of its own, some time after the collection.
+	// The finalizer runs on a separate goroutine, some time after the collection.
 	for range 100 {
 		runtime.GC()
 		runtime.Gosched()
@@ -55,18 +55,18 @@
 	var busy atomic.Bool
 	StartTuning(spare).SetBusyFunc(busy.Load)
 	if !settlesAt(40*mib, spare.Percent) {
-		t.Errorf("a process with time to spare is not held to %d %%", spare.Percent)
+		t.Errorf("the percentage of a process that is not busy is not %d %%", spare.Percent)
 	}
 	busy.Store(true)
 	if !settlesAt(40*mib, spare.BusyPercent) {
-		t.Errorf("a busy process is not given %d %%", spare.BusyPercent)
+		t.Errorf("the percentage of a busy process is not %d %%", spare.BusyPercent)
 	}
 	busy.Store(false)
 	if !settlesAt(40*mib, spare.Percent) {
-		t.Errorf("a process that is busy no more is not held to %d %%", spare.Percent)
+		t.Errorf("the percentage of a process that is no longer busy is not %d %%", spare.Percent)
 	}
 	if got := testPolicy.percent(40*mib, true); got != testPolicy.Percent {
-		t.Errorf("%d %% while busy, where nothing is said of it", got)
+		t.Errorf("%d %% while busy, without a BusyPercent", got)
 	}
 }
 
@@ -74,18 +74,18 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
 	StartTuning(testPolicy)
 	if !settlesAt(mib/2, testPolicy.MaxPercent) {
-		t.Errorf("a small heap is not given %d %%", testPolicy.MaxPercent)
+		t.Errorf("the percentage of a small heap is not %d %%", testPolicy.MaxPercent)
 	}
 	if !settlesAt(40*mib, testPolicy.Percent) {
-		t.Errorf("a large heap is not held to %d %%", testPolicy.Percent)
+		t.Errorf("the percentage of a large heap is not %d %%", testPolicy.Percent)
 	}
 	if !settlesAt(mib/2, testPolicy.MaxPercent) {
-		t.Errorf("a heap that is small again is not given %d %%", testPolicy.MaxPercent)
+		t.Errorf("the percentage of a heap that is small again is not %d %%", testPolicy.MaxPercent)
 	}
 }
 
-// BenchmarkSmallHeap allocates as an agent does, 2 MB of small objects live, with the
-// collector as it was and as it is now.
+// BenchmarkSmallHeap allocates like an agent, with 2 MB of small objects live, with a fixed
+// percentage and with a tuned one.
 func BenchmarkSmallHeap(b *testing.B) {
 	run := func(b *testing.B) {
 		live := make([]*[64]byte, 2*mib/64)
@@ -110,10 +110,10 @@
 	defer debug.SetMemoryLimit(before)
 	SetMemoryLimit(0)
 	if got := debug.SetMemoryLimit(-1); got != before {
-		t.Errorf("without a limit: %d bytes", got)
+		t.Errorf("SetMemoryLimit(0) changed the limit to %d bytes", got)
 	}
 	SetMemoryLimit(280 * mib)
 	if got, want := debug.SetMemoryLimit(-1), int64(280*mib/100*limitPercent); got != want {
-		t.Errorf("%d bytes, not %d", got, want)
+		t.Errorf("limit of %d bytes, want %d", got, want)
 	}
 }
