--- a/internal/kernel/ring/lines_test.go
+++ b/internal/kernel/ring/lines_test.go
@@ -60,7 +60,7 @@
 }
 
 // linesOf lists the log lines that the programs write.
-func linesOf(t *testing.T, folders ...string) []string {
+func logLines(t *testing.T, folders ...string) []string {
 	var out []string
 	for _, folder := range folders {
 		err := source.Files(folder, 0, func(_ string, file *ast.File) error {
@@ -85,7 +85,7 @@
 var pageRow = regexp.MustCompile("(?m)^\\| (debug|info|warn|error) \\| `([^`]*)` \\|([^|]*)\\|")
 
 // The page of log lines names every line that the programs write, with its level and keys, and no other.
-func TestThePageNamesEveryLogLine(t *testing.T) {
+func TestLogPageListsEveryLogLine(t *testing.T) {
 	const root = "../../../"
 	page, err := os.ReadFile(root + "docs/logs.md")
 	if err != nil {
@@ -95,7 +95,7 @@
 	for _, row := range pageRow.FindAllStringSubmatch(string(page), -1) {
 		told = append(told, row[1]+" | "+row[2]+" | "+strings.Join(strings.Fields(strings.ReplaceAll(row[3], "`", "")), " "))
 	}
-	written := linesOf(t, root+"internal", root+"platform", root+"cmd")
+	written := logLines(t, root+"internal", root+"platform", root+"cmd")
 	if len(written) < 30 {
 		t.Fatalf("only %d lines found", len(written))
 	}
--- a/internal/kernel/ring/ring.go
+++ b/internal/kernel/ring/ring.go
@@ -14,30 +14,30 @@
 
 // Ring is a slog handler whose lines stay in memory until an error is logged.
 type Ring struct {
-	shared *shared
+	shared *buffer
 	text   slog.Handler
 }
 
-type shared struct {
-	mu    sync.Mutex
-	lines deque.Deque[string]
-	buf   bytes.Buffer
-	max   int
-	out   io.Writer
-	shown int // lines not yet written out
-	loud  bool
+type buffer struct {
+	mu        sync.Mutex
+	lines     deque.Deque[string]
+	buf       bytes.Buffer
+	max       int
+	out       io.Writer
+	unwritten int // lines not yet written out
+	immediate bool
 }
 
 // New keeps max lines and writes them to out when a line of error level comes.
 func New(out io.Writer, max int) *Ring {
-	s := &shared{max: max, out: out}
+	s := &buffer{max: max, out: out}
 	return &Ring{shared: s, text: slog.NewTextHandler(&s.buf, &slog.HandlerOptions{Level: slog.LevelDebug})}
 }
 
 // NewLoud keeps max lines and writes each to out at once.
-func NewLoud(out io.Writer, max int) *Ring {
+func NewImmediate(out io.Writer, max int) *Ring {
 	r := New(out, max)
-	r.shared.loud = true
+	r.shared.immediate = true
 	return r
 }
 
@@ -57,20 +57,20 @@
 		return err
 	}
 	s.lines.PushBack(s.buf.String())
-	s.shown++
+	s.unwritten++
 	if s.lines.Len() > s.max {
 		s.lines.PopFront()
 	}
-	if rec.Level < slog.LevelError && !s.loud {
+	if rec.Level < slog.LevelError && !s.immediate {
 		return nil
 	}
 	// Why: what led up to an error explains it; lines already shown are not shown twice.
-	for i := max(0, s.lines.Len()-s.shown); i < s.lines.Len(); i++ {
+	for i := max(0, s.lines.Len()-s.unwritten); i < s.lines.Len(); i++ {
 		if _, err := io.WriteString(s.out, s.lines.At(i)); err != nil {
 			return err
 		}
 	}
-	s.shown = 0
+	s.unwritten = 0
 	return nil
 }
 
