--- a/internal/kernel/ring/lines_test.go
+++ b/internal/kernel/ring/lines_test.go
@@ -13,11 +13,11 @@
 	"drumstall.example/internal/kernel/source"
 )
 
-// levels are the methods of a logger that write a line.
+// levels maps the methods of a logger that write a line to their levels.
 var levels = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warn", "Error": "error"}
 
-// logCall is the level, the message and the keys of a call that writes a log line. A message
-// that is put together is known by what it begins with.
+// logCall returns the level, the message and the keys of a call that writes a log line. A concatenated message
+// is identified by its first literal.
 func logCall(call *ast.CallExpr) (row string, ok bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || levels[method.Sel.Name] == "" || len(call.Args) == 0 || !isLogger(method.X) {
@@ -39,7 +39,7 @@
 	return strings.Join([]string{levels[method.Sel.Name], strings.TrimSpace(message), strings.Join(keys, " ")}, " | "), true
 }
 
-// isLogger says whether an expression is a logger by its name.
+// isLogger reports whether the name of an expression is that of a logger.
 func isLogger(e ast.Expr) bool {
 	switch e := e.(type) {
 	case *ast.SelectorExpr:
@@ -59,7 +59,7 @@
 	return s, err == nil
 }
 
-// linesOf lists the log lines that the programs write.
+// logLines lists the log calls in the source of the programs.
 func logLines(t *testing.T, folders ...string) []string {
 	var out []string
 	for _, folder := range folders {
@@ -84,29 +84,29 @@
 
 var pageRow = regexp.MustCompile("(?m)^\\| (debug|info|warn|error) \\| `([^`]*)` \\|([^|]*)\\|")
 
-// The page of log lines names every line that the programs write, with its level and keys, and no other.
+// The documentation page lists every log line in the source, with its level and keys, and no other.
 func TestLogPageListsEveryLogLine(t *testing.T) {
 	const root = "../../../"
 	page, err := os.ReadFile(root + "docs/logs.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []string
+	var documented []string
 	for _, row := range pageRow.FindAllStringSubmatch(string(page), -1) {
-		told = append(told, row[1]+" | "+row[2]+" | "+strings.Join(strings.Fields(strings.ReplaceAll(row[3], "`", "")), " "))
+		documented = append(documented, row[1]+" | "+row[2]+" | "+strings.Join(strings.Fields(strings.ReplaceAll(row[3], "`", "")), " "))
 	}
 	written := logLines(t, root+"internal", root+"platform", root+"cmd")
 	if len(written) < 30 {
 		t.Fatalf("only %d lines found", len(written))
 	}
 	for _, line := range written {
-		if !slices.Contains(told, line) {
-			t.Errorf("not on the page: %s", line)
+		if !slices.Contains(documented, line) {
+			t.Errorf("missing on the page: %s", line)
 		}
 	}
-	for _, line := range told {
+	for _, line := range documented {
 		if !slices.Contains(written, line) {
-			t.Errorf("on the page, but not written: %s", line)
+			t.Errorf("on the page, but not in the source: %s", line)
 		}
 	}
 }
--- a/internal/kernel/ring/ring.go
+++ b/internal/kernel/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring keeps the latest log lines in memory and writes them out when
-// something goes wrong.
+// Package ring implements a log handler that keeps the latest lines in a ring buffer and writes them out when
+// an error is logged.
 package ring
 
 import (
@@ -12,12 +12,13 @@
 	"github.com/gammazero/deque"
 )
 
-// Ring is a slog handler whose lines stay in memory until an error is logged.
+// Ring is a slog.Handler that buffers lines in memory until an error is logged.
 type Ring struct {
 	shared *buffer
 	text   slog.Handler
 }
 
+// buffer holds the lines; it is shared by a Ring and the handlers derived from it.
 type buffer struct {
 	mu        sync.Mutex
 	lines     deque.Deque[string]
@@ -28,26 +29,26 @@
 	immediate bool
 }
 
-// New keeps max lines and writes them to out when a line of error level comes.
+// New returns a Ring that keeps max lines and writes them to out when a line of error level is logged.
 func New(out io.Writer, max int) *Ring {
 	s := &buffer{max: max, out: out}
 	return &Ring{shared: s, text: slog.NewTextHandler(&s.buf, &slog.HandlerOptions{Level: slog.LevelDebug})}
 }
 
-// NewLoud keeps max lines and writes each to out at once.
+// NewImmediate returns a Ring that keeps max lines and writes each line to out at once.
 func NewImmediate(out io.Writer, max int) *Ring {
 	r := New(out, max)
 	r.shared.immediate = true
 	return r
 }
 
-// Logger is a slog logger on the ring.
+// Logger returns a logger that writes to the ring.
 func (r *Ring) Logger() *slog.Logger { return slog.New(r) }
 
-// Enabled takes every level: the ring is cheap and only errors are shown.
+// Enabled returns true for every level: buffering is cheap, and lines are written out only with errors.
 func (r *Ring) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle keeps the line, and writes out the ring when the line is an error.
+// Handle buffers a line, and writes out the buffered lines if it is of error level.
 func (r *Ring) Handle(ctx context.Context, rec slog.Record) error {
 	s := r.shared
 	s.mu.Lock()
@@ -64,7 +65,7 @@
 	if rec.Level < slog.LevelError && !s.immediate {
 		return nil
 	}
-	// Why: what led up to an error explains it; lines already shown are not shown twice.
+	// The lines before an error help to explain it; lines that were already written are not written again.
 	for i := max(0, s.lines.Len()-s.unwritten); i < s.lines.Len(); i++ {
 		if _, err := io.WriteString(s.out, s.lines.At(i)); err != nil {
 			return err
@@ -74,17 +75,17 @@
 	return nil
 }
 
-// WithAttrs and WithGroup share the same lines.
+// WithAttrs returns a handler with additional attributes and the same buffer.
 func (r *Ring) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &Ring{shared: r.shared, text: r.text.WithAttrs(attrs)}
 }
 
-// WithGroup names a group for the attributes that follow.
+// WithGroup returns a handler with a group for the following attributes and the same buffer.
 func (r *Ring) WithGroup(name string) slog.Handler {
 	return &Ring{shared: r.shared, text: r.text.WithGroup(name)}
 }
 
-// Lines is a copy of what is kept.
+// Lines returns a copy of the buffered lines.
 func (r *Ring) Lines() []string {
 	r.shared.mu.Lock()
 	defer r.shared.mu.Unlock()
