--- a/cmd/dsctl/config.go
+++ b/cmd/dsctl/config.go
@@ -147,7 +147,7 @@
 func (c *ctl) diff(ctx context.Context, file []byte) error {
 	k, err := conf.ReadWhole(c.contentType, file)
 	if err != nil {
-		var f conf.Faults
+		var f conf.ValidationErrors
 		if errors.As(err, &f) {
 			return coded{1, errors.New(strings.Join(f, "\n"))}
 		}
--- a/cmd/dsctl/runbooks.go
+++ b/cmd/dsctl/runbooks.go
@@ -15,7 +15,7 @@
 )
 
 // bookMaker makes a runbook out for the case that the arguments name.
-type bookMaker func(ctx context.Context, h runbook.HTTP, args []string) (runbook.Book, error)
+type bookMaker func(ctx context.Context, h runbook.HTTP, args []string) (runbook.Procedure, error)
 
 // runbooks are the executable pages for operators.
 func (c *ctl) runbooks() *ffcli.Command {
@@ -23,13 +23,13 @@
 		Name: "runbook", ShortUsage: "dsctl [settings] runbook COMMAND", ShortHelp: "carry out a runbook: check, show each step, safe to run again",
 		FlagSet: c.flags("runbook"), Exec: unknown,
 		Subcommands: []*ffcli.Command{
-			c.book("replace-core", "NAME", "give a lost core machine's place to an empty one", ofOne("NAME of a core machine", func(_ runbook.HTTP, name string) runbook.Book {
+			c.book("replace-core", "NAME", "give a lost core machine's place to an empty one", ofOne("NAME of a core machine", func(_ runbook.HTTP, name string) runbook.Procedure {
 				return runbook.ReplaceCore(name)
 			}), nil),
-			c.book("drain-zone", "ZONE", "take a zone's replicas out of use", ofOne("ZONE", func(h runbook.HTTP, zone string) runbook.Book {
+			c.book("drain-zone", "ZONE", "take a zone's replicas out of use", ofOne("ZONE", func(h runbook.HTTP, zone string) runbook.Procedure {
 				return runbook.DrainZone(h, zone)
 			}), nil),
-			c.book("undrain-zone", "ZONE", "bring a zone back into use", ofOne("ZONE", func(h runbook.HTTP, zone string) runbook.Book {
+			c.book("undrain-zone", "ZONE", "bring a zone back into use", ofOne("ZONE", func(h runbook.HTTP, zone string) runbook.Procedure {
 				return runbook.UndrainZone(h, zone)
 			}), nil),
 			c.book("roll", "BUILD", "follow a roll-out of a build, one process at a time", roll, nil),
@@ -70,19 +70,19 @@
 }
 
 // ofOne makes a runbook out for one word.
-func ofOne(what string, build func(h runbook.HTTP, word string) runbook.Book) bookMaker {
-	return func(_ context.Context, h runbook.HTTP, args []string) (runbook.Book, error) {
+func ofOne(what string, build func(h runbook.HTTP, word string) runbook.Procedure) bookMaker {
+	return func(_ context.Context, h runbook.HTTP, args []string) (runbook.Procedure, error) {
 		if err := one(args, what); err != nil {
-			return runbook.Book{}, err
+			return runbook.Procedure{}, err
 		}
 		return build(h, args[0]), nil
 	}
 }
 
 // roll makes the runbook out for the processes that run now.
-func roll(ctx context.Context, h runbook.HTTP, args []string) (runbook.Book, error) {
+func roll(ctx context.Context, h runbook.HTTP, args []string) (runbook.Procedure, error) {
 	if err := one(args, "BUILD"); err != nil {
-		return runbook.Book{}, err
+		return runbook.Procedure{}, err
 	}
 	s, err := h.Status(ctx)
 	return runbook.Roll(s, args[0]), err
@@ -91,10 +91,10 @@
 func (c *ctl) takeOver() *ffcli.Command {
 	var selector string
 	var count int
-	build := func(_ context.Context, _ runbook.HTTP, args []string) (runbook.Book, error) {
+	build := func(_ context.Context, _ runbook.HTTP, args []string) (runbook.Procedure, error) {
 		sel, err := labels.Parse(selector)
 		if err != nil || selector == "" || count < 1 || len(args) > 0 {
-			return runbook.Book{}, usage("want --selector with a label selector and --count of at least 1")
+			return runbook.Procedure{}, usage("want --selector with a label selector and --count of at least 1")
 		}
 		return runbook.TakeOver(func(l map[string]string) bool { return sel.Matches(labels.Set(l)) }, selector, count), nil
 	}
@@ -106,9 +106,9 @@
 
 func (c *ctl) rescue() *ffcli.Command {
 	var lost, survivor string
-	build := func(_ context.Context, h runbook.HTTP, args []string) (runbook.Book, error) {
+	build := func(_ context.Context, h runbook.HTTP, args []string) (runbook.Procedure, error) {
 		if setup.Address(survivor) != "" || lost == "" || len(args) > 0 {
-			return runbook.Book{}, usage("want --survivor with the operator address of the surviving core, and --lost with the other members' names")
+			return runbook.Procedure{}, usage("want --survivor with the operator address of the surviving core, and --lost with the other members' names")
 		}
 		return runbook.Rescue(h, survivor, (setup.Settings{"l": lost}).List("l")), nil
 	}
@@ -120,12 +120,12 @@
 
 func (c *ctl) dayEnd() *ffcli.Command {
 	var sent string
-	build := func(_ context.Context, h runbook.HTTP, _ []string) (runbook.Book, error) {
+	build := func(_ context.Context, h runbook.HTTP, _ []string) (runbook.Procedure, error) {
 		var b []byte
 		if sent != "" {
 			var err error
 			if b, err = os.ReadFile(sent); err != nil {
-				return runbook.Book{}, usage("%v", err)
+				return runbook.Procedure{}, usage("%v", err)
 			}
 		}
 		return runbook.DayEnd(h, b), nil
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -145,7 +145,7 @@
 
 // dispatch assigns replicas to waiters until no more can be assigned.
 func (ac *Controller) dispatch() {
-	limit := int64(ac.routes.Current().Conf.Limits.Attempts)
+	limit := int64(ac.routes.Current().Conf.Limits.MaxInFlight)
 	for progress := true; progress; {
 		progress = false
 		for _, c := range ac.queue.Order() {
@@ -155,17 +155,17 @@
 				full = ac.attempts.Load()-ac.urgentAttempts.Load() >= limit-limit/urgentReserveDivisor || full
 			}
 			// A tenant whose requests are all urgent must leave the other tenants' part of the reserve free.
-			reserved := int64(float64(limit/urgentReserveDivisor) * ac.queue.OthersFraction(c.Of))
-			if full || reserved > 0 && c.Of.Inflight.Load() >= limit-reserved {
+			reserved := int64(float64(limit/urgentReserveDivisor) * ac.queue.OthersFraction(c.Tenant))
+			if full || reserved > 0 && c.Tenant.Inflight.Load() >= limit-reserved {
 				continue
 			}
 			c.EachLane(func(l *queue.Lane) (bool, bool) {
 				head := l.Waiters.Front()
 				r, held, _ := ac.routes.Choose(head.Target)
 				if held > 0 {
-					l.Empty = time.Time{}
-				} else if l.Empty.IsZero() {
-					l.Empty = ac.now()
+					l.NoHolderSince = time.Time{}
+				} else if l.NoHolderSince.IsZero() {
+					l.NoHolderSince = ac.now()
 				}
 				if r == nil {
 					return false, false
@@ -189,7 +189,7 @@
 }
 
 func (ac *Controller) assign(w *queue.Waiter, r *route.Replica, c *queue.Class) {
-	urgent, tenant := c.Conf.Urgent, c.Of
+	urgent, tenant := c.Conf.Urgent, c.Tenant
 	ac.attempts.Add(1)
 	tenant.Inflight.Add(1)
 	if urgent {
@@ -197,7 +197,7 @@
 	}
 	attempt := ac.routes.StartAttempt(w.Target, r)
 	var once atomic.Bool
-	w.Answer <- queue.Answer{Replica: r, Begun: func() { attempt.FirstChunk(); ac.dispatchSoon.Fire() }, Done: func() {
+	w.Answer <- queue.Answer{Replica: r, OnFirstChunk: func() { attempt.FirstChunk(); ac.dispatchSoon.Fire() }, Done: func() {
 		if once.Swap(true) {
 			return
 		}
@@ -241,20 +241,20 @@
 	now := ac.now()
 	for _, c := range ac.queue.Order() {
 		c.EachLane(func(l *queue.Lane) (bool, bool) {
-			if l.Empty.IsZero() {
+			if l.NoHolderSince.IsZero() {
 				return false, false
 			}
 			if _, held, _ := ac.routes.Choose(l.Waiters.Front().Target); held > 0 {
-				l.Empty = time.Time{}
+				l.NoHolderSince = time.Time{}
 				return false, false
 			}
-			prediction, predicted := s.Expect.Get(l.Key)
-			at, loading := s.Coming[l.Key]
+			prediction, predicted := s.Expectations.Get(l.Key)
+			at, loading := s.LoadingReadyAt[l.Key]
 			ready := now.Add(at - ac.routes.MonotonicNow())
 			// The timeout counts from the last sign of progress. A load that has just ended is no longer listed as loading
 			// while the replica is not known to hold the item yet; its waiters must not be rejected in between.
 			if loading || predicted && !prediction.Refused {
-				l.Empty = now
+				l.NoHolderSince = now
 			}
 			for i := range l.Waiters.Len() {
 				w := l.Waiters.At(i)
@@ -265,7 +265,7 @@
 				case loading:
 				case predicted && prediction.Refused:
 					refuse(w, queue.Answer{Explanation: prediction.Reason, RetryS: max(1, prediction.RetryAfterS)})
-				case now.Sub(later(w.EnqueuedAt, l.Empty)) > ac.noHolderTimeout:
+				case now.Sub(later(w.EnqueuedAt, l.NoHolderSince)) > ac.noHolderTimeout:
 					refuse(w, queue.Answer{Explanation: "no replica holds it and no controller answers", RetryS: 2})
 				}
 			}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -28,7 +28,7 @@
 		router := route.NewRouter(route.Deps{Group: group, Gossip: table, Clock: simhost.NewClock(), Zone: func() string { return "z" },
 			SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
 		ac := New(group, router, time.Second, func() {})
-		table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: conf.Kept{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}.Pack()})
+		table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: conf.Stored{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}.Pack()})
 		synctest.Wait()
 		f(ac, table)
 	})
--- a/internal/admission/tenant_test.go
+++ b/internal/admission/tenant_test.go
@@ -36,7 +36,7 @@
 				objects["tenants/ours"], objects["tenants/other"] = []byte(c.doc), []byte(c.doc)
 				objects["classes/plates"], objects["classes/bulk"] = []byte(`{"urgent":true,"tenant":"ours"}`), []byte(`{"urgent":true,"tenant":"other"}`)
 			}
-			table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 2}, Value: conf.Kept{Serial: 2, Objects: objects}.Pack()})
+			table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 2}, Value: conf.Stored{Serial: 2, Objects: objects}.Pack()})
 			table.Put(gossip.Entry{Key: order.Key("r"), Stamp: state.Stamp{Epoch: 1, Version: 1},
 				Value: wire.Marshal(order.Status{Listed: inventory.Listed{ID: "r", Model: true}, Slots: 1000, Items: map[string]string{"m": backend.Loaded}})})
 			synctest.Wait()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -26,12 +26,12 @@
 )
 
 const (
-	limit    = time.Second
-	maxPeers = 16
+	callTimeout = time.Second
+	maxPeers    = 16
 	// maxHold bounds how long a proxy may have its answer held back.
 	maxHold = 500 * time.Millisecond
 	// lingerGap is how long a stopping agent must not have been asked by its proxy before it goes.
-	lingerGap = time.Second
+	proxyIdleTime = time.Second
 )
 
 // Settings of an agent.
@@ -49,35 +49,35 @@
 
 // Agent is a running dsagent.
 type Agent struct {
-	s         Settings
-	env       core.Env
-	log       *slog.Logger
-	boot      string
-	group     *run.Group
-	base      *run.Group
-	gossip    *gossip.Table
-	spread    *gossip.Spreader
-	members   *member.Table
-	watch     *inventory.Watch
-	caller    *wire.Client
-	mux       *wire.Mux
-	feedMux   *wire.Mux
-	post      *wire.DatagramSocket
-	servers   []*wire.Server
-	confirmed atomic.Bool
-	confirms  confirmation
-	touch     *touch.Keeper
-	latest    atomic.Pointer[dated]
-	fed       atomic.Pointer[report.Report] // the last report that came with an exchange
-	reports   reports
-	reporting *run.Actor    // of the reports
-	order     atomic.Uint64 // of reports
-	asked     atomic.Int64  // when the proxy asked last, on our clock
-	urgent    *run.Trigger
+	s            Settings
+	env          core.Env
+	log          *slog.Logger
+	boot         string
+	group        *run.Group
+	base         *run.Group
+	gossip       *gossip.Table
+	spread       *gossip.Disseminator
+	members      *member.Table
+	watch        *inventory.Watcher
+	caller       *wire.Client
+	mux          *wire.Mux
+	feedMux      *wire.Mux
+	post         *wire.DatagramSocket
+	servers      []*wire.Server
+	confirmed    atomic.Bool
+	confirmation confirmation
+	touch        *touch.Tracker
+	latest       atomic.Pointer[receivedReport]
+	feedReport   atomic.Pointer[report.Report] // the last report that came with an exchange
+	reports      coreReports
+	reportActor  *run.Actor    // of the reports
+	reportSeq    atomic.Uint64 // of reports
+	lastExchange atomic.Int64  // when the proxy asked last, on our clock
+	urgentNudge  *run.Trigger
 }
 
 // dated is a report of the proxy, when it came, and which it was of all that did.
-type dated struct {
+type receivedReport struct {
 	r     report.Report
 	at    time.Duration
 	order uint64
@@ -85,7 +85,7 @@
 
 // Start begins to take part.
 func Start(s Settings, env core.Env) (*Agent, error) {
-	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), base: run.NewGroup(context.Background()),
+	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBootID(), base: run.NewGroup(context.Background()),
 		gossip: gossip.NewTable(), caller: wire.NewClient(env.Net), mux: wire.NewMux(), feedMux: wire.NewMux()}
 	a.group = a.base.Child()
 	a.s.Bounds, a.s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
@@ -93,8 +93,8 @@
 	if s.Lister == nil {
 		s.Lister = inventory.NewLister(env.Net, s.Platform, a.log)
 	}
-	a.watch = inventory.NewWatch(s.Lister, env.Clock, a.log, a.gossip)
-	a.touch = touch.New(env.Clock, func() time.Duration { return a.watch.HeardFor() })
+	a.watch = inventory.NewWatcher(s.Lister, env.Clock, a.log, a.gossip)
+	a.touch = touch.New(env.Clock, func() time.Duration { return a.watch.SinceContact() })
 	ln, err := env.Net.Listen(s.Addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "agent: peers' address")
@@ -109,16 +109,16 @@
 		_, _ = ln.Close(), pc.Close()
 		return nil, errors.Wrap(err, "agent: feed address")
 	}
-	a.gossip.OnNew(a.onGossip)
+	a.gossip.OnUpdate(a.onGossip)
 	a.post = wire.NewDatagramSocket(pc)
 	self := member.Node{Name: s.Name, Role: member.RoleAgent, Zone: s.Zone, Addr: s.Addr, Boot: a.boot, Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), Build: env.BuildName()}
 	a.members = member.New(a.group, env.Clock, a.log, a.post, a.caller, a.mux, self, s.Seeds, a.touch)
-	a.spread = gossip.NewSpreader(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
-	a.watch.Start(a.group, s.Cadence.List, a.asksPlatform)
+	a.spread = gossip.NewDisseminator(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
+	a.watch.Start(a.group, s.Cadence.List, a.pollsPlatform)
 	wire.Handle(a.feedMux, feed.Path, a.exchange)
-	wire.Handle(a.feedMux, feed.UrgentPath, a.takeUrgent)
-	a.reporting = run.NewActor(a.group, 32, s.Cadence.Report, a.report)
-	a.urgent = run.NewTrigger(a.reporting, a.report)
+	wire.Handle(a.feedMux, feed.UrgentPath, a.handleUrgent)
+	a.reportActor = run.NewActor(a.group, 32, s.Cadence.Report, a.report)
+	a.urgentNudge = run.NewTrigger(a.reportActor, a.report)
 	a.group.Every(confirmInterval, a.confirm)
 	load.StartLogging(a.group, a.log, a.mux.Stats, a.feedMux.Stats, a.post.Stats)
 	a.base.Go(a.post.Run)
@@ -130,8 +130,8 @@
 }
 
 // asksPlatform says whether this agent asks for the list itself.
-func (a *Agent) asksPlatform() bool {
-	return a.s.Cadence.ListSpare == 0 || a.touch.For() > a.s.Cadence.ListSpare
+func (a *Agent) pollsPlatform() bool {
+	return a.s.Cadence.ListSpare == 0 || a.touch.SinceContact() > a.s.Cadence.ListSpare
 }
 
 // gossipTree is whom this agent tells its news in a large fleet.
@@ -140,12 +140,12 @@
 }
 
 // Reseed names other seeds.
-func (a *Agent) Reseed(seeds []string) { a.members.Reseed(seeds) }
+func (a *Agent) Reseed(seeds []string) { a.members.SetSeeds(seeds) }
 
 // Stop leaves on purpose.
 func (a *Agent) Stop(ctx context.Context) error {
 	// Why: a proxy that is stopped with us still needs to hear what is in force while it finishes.
-	for a.env.Clock.Since()-time.Duration(a.asked.Load()) < lingerGap && run.Sleep(ctx, lingerGap/10) {
+	for a.env.Clock.Since()-time.Duration(a.lastExchange.Load()) < proxyIdleTime && run.Sleep(ctx, proxyIdleTime/10) {
 	}
 	a.members.Leave(ctx)
 	for _, s := range a.servers {
@@ -187,76 +187,76 @@
 }
 
 // takeUrgent passes a report on at once.
-func (a *Agent) takeUrgent(_ context.Context, r report.Report) (feed.Taken, error) {
-	a.keepReport(r)
-	a.urgent.Fire()
-	return feed.Taken{}, nil
+func (a *Agent) handleUrgent(_ context.Context, r report.Report) (feed.UrgentReply, error) {
+	a.storeReport(r)
+	a.urgentNudge.Fire()
+	return feed.UrgentReply{}, nil
 }
 
-func (a *Agent) keepReport(r report.Report) {
+func (a *Agent) storeReport(r report.Report) {
 	r.Agent, r.Zone = a.s.Name, a.s.Zone
-	a.latest.Store(&dated{r, a.env.Clock.Since(), a.order.Add(1)})
+	a.latest.Store(&receivedReport{r, a.env.Clock.Since(), a.reportSeq.Add(1)})
 }
 
 // exchange answers the proxy.
-func (a *Agent) exchange(ctx context.Context, up feed.Up) (feed.Down, error) {
-	a.asked.Store(int64(a.env.Clock.Since()))
+func (a *Agent) exchange(ctx context.Context, up feed.Request) (feed.Reply, error) {
+	a.lastExchange.Store(int64(a.env.Clock.Since()))
 	for _, e := range up.Entries {
 		a.gossip.Put(e)
 	}
 	if len(up.Peers) > 0 {
-		a.members.Meet(up.Peers[:min(len(up.Peers), maxPeers)])
+		a.members.SetPreviousPeers(up.Peers[:min(len(up.Peers), maxPeers)])
 	}
 	// Why: a surviving proxy has in force what this machine had; with that here, nothing goes back.
 	if up.Confirmed && !up.Conf.Newer(a.gossip.StampOf(conf.Key)) {
 		a.confirmed.Store(true)
 	}
 	if !up.NoReport {
-		a.takeFed(up.Report)
+		a.mergeFeedReport(up.Report)
 	}
 	if up.AgentBoot == a.boot {
 		a.awaitGossip(ctx, up)
 	}
-	d := feed.Down{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), HeardMs: min(a.touch.For().Milliseconds()+1, 1<<40),
+	d := feed.Reply{AgentBoot: a.boot, Confirmed: a.confirmed.Load(), Conf: a.gossip.StampOf(conf.Key), SinceContactMs: min(a.touch.SinceContact().Milliseconds()+1, 1<<40),
 		Edges: len(a.members.Live(member.RoleAgent)), Agent: a.s.Name, Zone: a.s.Zone}
-	if fed := a.fed.Load(); fed != nil && fed.Boot == up.Boot {
-		d.Holds = fed.Version
+	if fed := a.feedReport.Load(); fed != nil && fed.Boot == up.Boot {
+		d.ReportVersion = fed.Version
 	}
 	peers := a.members.Peers()
 	d.Peers = peers[:min(len(peers), maxPeers)]
 	cursor := up.Cursor
 	if up.AgentBoot != a.boot {
-		cursor, d.WantAll = 0, true
+		cursor, d.SendAll = 0, true
 	}
-	d.Entries, d.Cursor, _ = a.gossip.After(cursor)
+	d.Entries, d.Cursor, _ = a.gossip.Since(cursor)
 	return d, nil
 }
 
 // takeFed takes a report that came with an exchange, whole or as the difference
 // from the one before. What it cannot be laid on is asked for again by what the answer
 // says is held.
-func (a *Agent) takeFed(r report.Report) {
+func (a *Agent) mergeFeedReport(r report.Report) {
 	r.Agent = a.s.Name
 	var base report.Report
-	if fed := a.fed.Load(); fed != nil {
+	if fed := a.feedReport.Load(); fed != nil {
 		base = *fed
 	}
-	whole, ok := r.On(base)
+	whole, ok := r.ApplyTo(base)
 	if !ok {
-		a.fed.Store(nil)
+		a.feedReport.Store(nil)
 		return
 	}
-	a.fed.Store(&whole)
-	a.keepReport(whole)
+	a.feedReport.Store(&whole)
+	a.storeReport(whole)
 }
 
 // awaitGossip holds an answer back until there is something to tell.
-func (a *Agent) awaitGossip(ctx context.Context, up feed.Up) {
-	hold := min(time.Duration(up.HoldMs)*time.Millisecond, maxHold)
+func (a *Agent) awaitGossip(ctx context.Context, up feed.Request) {
+	hold := min(time.Duration(up.MaxWaitMs)*time.Millisecond, maxHold)
 	if hold <= 0 {
 		return
 	}
-	fresh, _, changed := a.gossip.After(up.Cursor)
+	fresh, _, changed := a.gossip.Since(up.Cursor)
 	if len(fresh) == 0 {
 		run.WaitOn(ctx, changed, hold)
 	}
--- a/internal/agent/confirm.go
+++ b/internal/agent/confirm.go
@@ -20,9 +20,9 @@
 	// confirmPause is how long a question that brought nothing is rested from; it doubles with every
 	// confirmTries of them, up to confirmPauseMost. Why: at a start cores are ready within some hundred ms, and
 	// after a loss of power all agents ask for seconds while the cores return.
-	confirmPause     = 100 * time.Millisecond
-	confirmPauseMost = 400 * time.Millisecond
-	confirmTries     = 6
+	confirmPause        = 100 * time.Millisecond
+	confirmPauseMax     = 400 * time.Millisecond
+	confirmTriesPerStep = 6
 	// fetchGap is the time between two pulls of the document that was named.
 	fetchGap = 500 * time.Millisecond
 )
@@ -31,11 +31,11 @@
 // its configuration is no older than any that was ever in force on this machine. It is used by
 // one goroutine.
 type confirmation struct {
-	told   bool        // a core has said since the start which is the newest
-	newest state.Stamp // that one
-	by     member.Node // the core that said so
-	tries  int         // questions that brought nothing
-	next   time.Duration
+	known    bool        // a core has said since the start which is the newest
+	newest   state.Stamp // that one
+	core     member.Node // the core that said so
+	failures int         // questions that brought nothing
+	next     time.Duration
 }
 
 // confirm makes sure that the configuration here is no older than any that
@@ -45,56 +45,56 @@
 	if a.confirmed.Load() {
 		return
 	}
-	c := &a.confirms
-	if c.told && !c.newest.Newer(a.gossip.StampOf(conf.Key)) {
+	c := &a.confirmation
+	if c.known && !c.newest.Newer(a.gossip.StampOf(conf.Key)) {
 		a.confirmed.Store(true)
-		a.log.Info("configuration confirmed", "by", c.by.Name)
+		a.log.Info("configuration confirmed", "by", c.core.Name)
 		return
 	}
 	now := a.env.Clock.Since()
 	switch {
 	case now < c.next:
-	case c.told:
-		a.spread.Fetch(c.by.Addr, conf.Key, c.newest)
+	case c.known:
+		a.spread.Fetch(c.core.Addr, conf.Key, c.newest)
 		c.next = now + fetchGap
 	default:
-		a.askNewest(ctx)
+		a.queryNewest(ctx)
 	}
 }
 
 // askNewest asks one core which configuration is the newest, another one each time.
-func (a *Agent) askNewest(ctx context.Context) {
-	c := &a.confirms
+func (a *Agent) queryNewest(ctx context.Context) {
+	c := &a.confirmation
 	cores := nearestFirst(a.members.Self(), a.members.Live(member.RoleCore))
 	if len(cores) == 0 {
 		return
 	}
-	asked := cores[c.tries%len(cores)]
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	asked := cores[c.failures%len(cores)]
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	got, err := wire.Call[core.NewestQuery, core.Newest](ctx, a.caller, asked.Addr, core.ConfirmPath, core.NewestQuery{StampOnly: true})
 	if err != nil {
 		a.log.Info("configuration not confirmed", "by", asked.Name, "error", err)
-		c.next = a.env.Clock.Since() + pauseAfter(c.tries)
-		c.tries++
+		c.next = a.env.Clock.Since() + pauseAfter(c.failures)
+		c.failures++
 		return
 	}
-	c.told, c.newest, c.by = true, got.Entry.Stamp, asked
+	c.known, c.newest, c.core = true, got.Entry.Stamp, asked
 	// Why: a core of an earlier version answers with the document.
-	if got.Found && !got.Entry.Head {
+	if got.Found && !got.Entry.ValueOmitted {
 		a.gossip.Put(got.Entry)
 	}
 }
 
 // pauseAfter is how long nobody is asked after so many questions that brought nothing.
 func pauseAfter(tries int) time.Duration {
-	pause := min(confirmPause<<min(tries/confirmTries, 8), confirmPauseMost)
+	pause := min(confirmPause<<min(tries/confirmTriesPerStep, 8), confirmPauseMax)
 	return pause/2 + rand.N(pause)
 }
 
 // nearestFirst is some cores in a turn that begins with the one that tells this agent its news.
 func nearestFirst(self member.Node, cores []member.Node) []member.Node {
-	first := fanout.CoreOf(self, cores)
+	first := fanout.AssignedCore(self, cores)
 	at := max(0, slices.IndexFunc(cores, func(n member.Node) bool { return n.Name == first }))
 	return slices.Concat(cores[at:], cores[:at])
 }
--- a/internal/agent/fed_test.go
+++ b/internal/agent/fed_test.go
@@ -14,7 +14,7 @@
 
 // Whatever a proxy sends, whole reports or differences from what it was told that the
 // agent holds, the agent has the newest whole report, or says that it holds none.
-func TestDifferencesFromTheProxyMakeTheWholeReport(t *testing.T) {
+func TestFeedReportDiffsRebuildFullReport(t *testing.T) {
 	for seed := range uint64(100) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		a := &Agent{s: Settings{Name: "e", Zone: "z"}, env: core.Env{Clock: tick.Machine()}}
@@ -26,17 +26,17 @@
 			now.Demand["m"+strconv.Itoa(rnd.IntN(5))]++
 			sent := now
 			if base.Version != 0 {
-				sent = now.Since(base)
+				sent = now.DeltaFrom(base)
 			}
 			switch rnd.IntN(10) {
 			case 0: // another agent in its place
-				a.fed.Store(nil)
+				a.feedReport.Store(nil)
 			case 1: // lost on the way
 				base = report.Report{}
 				continue
 			}
-			a.takeFed(sent)
-			held := a.fed.Load()
+			a.mergeFeedReport(sent)
+			held := a.feedReport.Load()
 			if sent.Base != 0 && held == nil {
 				base = report.Report{}
 				continue
@@ -51,13 +51,13 @@
 	}
 }
 
-func TestADifferenceFromAnotherLifeOfTheProxyIsNotTaken(t *testing.T) {
+func TestDiffFromAnotherProxyBootIsRejected(t *testing.T) {
 	a := &Agent{s: Settings{Name: "e"}, env: core.Env{Clock: tick.Machine()}}
 	first := report.Report{Boot: "b", Version: 1, Demand: map[string]uint64{"m": 7}}
-	a.takeFed(first)
+	a.mergeFeedReport(first)
 	other := report.Report{Boot: "c", Version: 2}
-	a.takeFed(other.Since(report.Report{Boot: "c", Version: 1}))
-	if a.fed.Load() != nil || a.latest.Load().r.Version != 1 {
+	a.mergeFeedReport(other.DeltaFrom(report.Report{Boot: "c", Version: 1}))
+	if a.feedReport.Load() != nil || a.latest.Load().r.Version != 1 {
 		t.Errorf("held %+v", a.latest.Load().r)
 	}
 }
--- a/internal/agent/relays_test.go
+++ b/internal/agent/relays_test.go
@@ -35,12 +35,12 @@
 
 // In a small fleet every core is told at once; in a large one a core of the own zone passes
 // reports on, another while that one is not alive or has not answered.
-func TestWhichCorePassesReportsOn(t *testing.T) {
-	var r relays
-	if got := r.choose(self, fleet(gossip.AllTold), 0); got != "" {
+func TestRelayCoreSelection(t *testing.T) {
+	var r relayState
+	if got := r.choose(self, fleet(gossip.MaxDirectPeers), 0); got != "" {
 		t.Errorf("%q in a small fleet", got)
 	}
-	large := fleet(gossip.AllTold + 1)
+	large := fleet(gossip.MaxDirectPeers + 1)
 	if got := r.choose(self, large, 0); got != "core-1" {
 		t.Errorf("%q, want the one of the own zone", got)
 	}
@@ -49,11 +49,11 @@
 	if second != "core-2" && second != "core-3" {
 		t.Errorf("%q while core-1 does not answer", second)
 	}
-	if got := r.choose(self, large, time.Second+avoidedFor); got != "core-1" {
+	if got := r.choose(self, large, time.Second+avoidDuration); got != "core-1" {
 		t.Errorf("%q when core-1 may be asked again", got)
 	}
 	large[0].State = member.Suspect
-	if got := r.choose(self, large, time.Second+avoidedFor); got != second {
+	if got := r.choose(self, large, time.Second+avoidDuration); got != second {
 		t.Errorf("%q while core-1 is suspected", got)
 	}
 	for i := range 3 {
@@ -65,10 +65,10 @@
 }
 
 // Only cores that are vouched for are not told from here, and only by the core that passes on now.
-func TestCoresThatNobodyVouchesForAreTold(t *testing.T) {
-	large := fleet(gossip.AllTold + 1)
+func TestUncoveredCoresGetDirectReports(t *testing.T) {
+	large := fleet(gossip.MaxDirectPeers + 1)
 	cores := large[:3]
-	var r relays
+	var r relayState
 	check := func(when, got, want string) {
 		t.Helper()
 		if got != want {
@@ -81,47 +81,47 @@
 	core := r.choose(self, large, now)
 	first, others = r.split(cores, core)
 	check("at first", names(first)+"|"+names(others), "1|23")
-	check("before the core can have vouched", names(r.unvouched(others, now+relayGrace-1)), "")
+	check("before the core can have vouched", names(r.uncovered(others, now+relayGrace-1)), "")
 	now += relayGrace
-	check("when none is vouched for", names(r.unvouched(others, now)), "23")
-	r.vouched = []uint32{relay.Key("core-2"), relay.Key("core-3")}
-	check("when all are", names(r.unvouched(others, now+directGap)), "")
-	r.vouched = r.vouched[:1]
-	check("when core-3 is not, a moment later", names(r.unvouched(others, now+directGap-1)), "")
-	check("and when it is due", names(r.unvouched(others, now+directGap)), "3")
-	now += 2 * directGap
+	check("when none is vouched for", names(r.uncovered(others, now)), "23")
+	r.covered = []uint32{relay.CoreKey("core-2"), relay.CoreKey("core-3")}
+	check("when all are", names(r.uncovered(others, now+directInterval)), "")
+	r.covered = r.covered[:1]
+	check("when core-3 is not, a moment later", names(r.uncovered(others, now+directInterval-1)), "")
+	check("and when it is due", names(r.uncovered(others, now+directInterval)), "3")
+	now += 2 * directInterval
 	r.avoid(core, now)
 	check("when the core did not answer", names(r.due(others, now)), "23")
-	check("when the next does not either", names(r.due(cores, now+directGap/2)), "1")
-	now += directGap
-	r.saidBusy("core-2", now)
+	check("when the next does not either", names(r.due(cores, now+directInterval/2)), "1")
+	now += directInterval
+	r.markBusy("core-2", now)
 	check("when core-2 has no time to spare", names(r.due(others, now)), "3")
 }
 
 // A core that answers slowly is given longer before another is asked in its place, up to a limit.
-func TestASlowCoreIsGivenLonger(t *testing.T) {
-	var r relays
+func TestRelayTimeoutFollowsLatency(t *testing.T) {
+	var r relayState
 	check := func(when string, want time.Duration) {
 		t.Helper()
-		if got := r.within(); got != want {
+		if got := r.timeout(); got != want {
 			t.Errorf("%s: %v, not %v", when, got, want)
 		}
 	}
-	check("at first", relayLimit)
-	r.answeredIn(5 * time.Millisecond)
-	check("when it is quick", relayLimit)
+	check("at first", relayMinTimeout)
+	r.recordLatency(5 * time.Millisecond)
+	check("when it is quick", relayMinTimeout)
 	r.avoid("core-1", 0)
-	check("after one that did not answer", 2*relayLimit)
+	check("after one that did not answer", 2*relayMinTimeout)
 	r.avoid("core-2", 0)
-	check("after two", limit)
+	check("after two", callTimeout)
 	for range 20 {
-		r.answeredIn(5 * time.Millisecond)
+		r.recordLatency(5 * time.Millisecond)
 	}
-	check("when they are quick again", relayLimit)
+	check("when they are quick again", relayMinTimeout)
 	for range 20 {
-		r.answeredIn(150 * time.Millisecond)
+		r.recordLatency(150 * time.Millisecond)
 	}
-	if got := r.within(); got < 590*time.Millisecond || got > 600*time.Millisecond {
+	if got := r.timeout(); got < 590*time.Millisecond || got > 600*time.Millisecond {
 		t.Errorf("while answers take 150 ms: %v", got)
 	}
 }
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -35,12 +35,12 @@
 
 // Failure is the result of an attempt without a response to relay.
 type Failure struct {
-	Outcome Outcome
-	Refused bool // no connection could be established
-	Said    bool // the replica itself rejected the request without running it
-	Missing bool // it was rejected because the replica does not hold the requested item
-	Reason  string
-	Load    Load
+	Outcome      Outcome
+	NotConnected bool // no connection could be established
+	Rejected     bool // the replica itself rejected the request without running it
+	ItemMissing  bool // it was rejected because the replica does not hold the requested item
+	Reason       string
+	Load         Load
 }
 
 func (f *Failure) Error() string { return "attempt: " + string(f.Outcome) + ": " + f.Reason }
@@ -63,14 +63,14 @@
 
 // Decision is the interpretation of the head of a response.
 type Decision struct {
-	Outcome Outcome
-	Relay   bool // the response is to be relayed
-	Said    bool // the replica itself rejected the request without running it
-	Missing bool // it was rejected because the replica does not hold the requested item
-	Failed  bool // the response reports a failure of the replica itself
-	Reason  string
-	Load    Load
-	Header  http.Header // headers to be relayed
+	Outcome       Outcome
+	Relay         bool // the response is to be relayed
+	Rejected      bool // the replica itself rejected the request without running it
+	ItemMissing   bool // it was rejected because the replica does not hold the requested item
+	ReplicaFailed bool // the response reports a failure of the replica itself
+	Reason        string
+	Load          Load
+	Header        http.Header // headers to be relayed
 }
 
 // Sender sends requests to replicas.
@@ -107,39 +107,39 @@
 
 // Request is a request to one replica, with the limits of the attempt.
 type Request struct {
-	ReplicaID   string
-	Addr        string
-	Item        conf.Item
-	Ticket      string // the caller's own ID for the request
-	ContentType string
-	Method      string
-	Path        string // with the query, exactly as sent by the caller
-	Host        string
-	Header      http.Header
-	Body        []byte
-	Number      int    // 1 for the first attempt
-	Rank        int    // 0 is the most urgent
-	Tenant      string // owner of the request; "" if no tenants are configured
-	Share       int    // weight of the tenant
-	Identity    Identity
-	Urgency     int           // urgency level within the tenant; 0 is the most urgent
-	TimeLeft    time.Duration // how long the caller will still wait
-	LastEvent   string        // ID of the event after which a stream resumes
-	Whole       bool          // the response is read to its end before it is relayed
-	Stall       time.Duration // longest silence within the response; 0 means the sender's default
-	FirstBy     time.Time     // deadline for the first byte of the response
-	Until       time.Time     // when a response that has started is cut off; zero means never
+	ReplicaID         string
+	Addr              string
+	Item              conf.Item
+	RequestID         string // the caller's own ID for the request
+	ContentType       string
+	Method            string
+	Path              string // with the query, exactly as sent by the caller
+	Host              string
+	Header            http.Header
+	Body              []byte
+	Number            int    // 1 for the first attempt
+	Rank              int    // 0 is the most urgent
+	Tenant            string // owner of the request; "" if no tenants are configured
+	Share             int    // weight of the tenant
+	Identity          Identity
+	Urgency           int           // urgency level within the tenant; 0 is the most urgent
+	TimeLeft          time.Duration // how long the caller will still wait
+	LastEventID       string        // ID of the event after which a stream resumes
+	Buffered          bool          // the response is read to its end before it is relayed
+	StallTimeout      time.Duration // longest silence within the response; 0 means the sender's default
+	FirstByteDeadline time.Time     // deadline for the first byte of the response
+	Cutoff            time.Time     // when a response that has started is cut off; zero means never
 	// Alive reports whether the replica has recently sent data on any request. While it has, a silence
 	// before FirstAtLast or within the response is tolerated; nil tolerates none.
-	Alive       func() bool
-	FirstAtLast time.Time
+	Alive         func() bool
+	AliveDeadline time.Time
 	// Only reports whether no other replica could respond. While that is so, a silence before
 	// OnlyUntil is tolerated; nil tolerates none.
-	Only      func() bool
-	OnlyUntil time.Time
+	OnlyReplica         func() bool
+	OnlyReplicaDeadline time.Time
 	// GoneOn is called when a response that has started is silent for too long. It reports whether another replica
 	// has started to resume it; until then the silence is tolerated. Nil ends the response at once.
-	GoneOn   func() bool
+	FailOver func() bool
 	OnData   func()      // called whenever data arrives
 	CanRetry bool        // another attempt may be made after a failure
 	Sendable func() bool // called right before the first byte is sent
@@ -259,7 +259,7 @@
 		timer.stop()
 		cancel()
 		if gate.withdraw() {
-			return nil, &Failure{Outcome: NotRun, Refused: !errors.Is(err, errWithdrawn) && !errors.Is(err, context.Canceled), Reason: err.Error()}
+			return nil, &Failure{Outcome: NotRun, NotConnected: !errors.Is(err, errWithdrawn) && !errors.Is(err, context.Canceled), Reason: err.Error()}
 		}
 		return nil, &Failure{Outcome: Unknown, Reason: err.Error()}
 	}
@@ -272,9 +272,9 @@
 		return nil, &f
 	}
 	if !d.Relay {
-		return fail(Failure{Outcome: d.Outcome, Said: d.Said, Missing: d.Missing, Reason: d.Reason})
+		return fail(Failure{Outcome: d.Outcome, Rejected: d.Rejected, ItemMissing: d.ItemMissing, Reason: d.Reason})
 	}
-	if d.Failed && q.CanRetry {
+	if d.ReplicaFailed && q.CanRetry {
 		return fail(Failure{Outcome: Unknown, Reason: d.Reason})
 	}
 	// A response that ends with its connection looks the same whether complete or truncated.
@@ -282,11 +282,11 @@
 		return fail(Failure{Outcome: Ran, Reason: "the response has neither a length nor a chunked encoding"})
 	}
 	r := &Reply{Status: res.StatusCode, Header: d.Header, ContentType: res.Header.Get("Content-Type"), Length: res.ContentLength, Load: d.Load,
-		raw: res.Body, cancel: cancel, cutoff: q.Until, stallTimeout: s.stallTimeout, alive: q.Alive, failOver: q.GoneOn, onData: q.OnData}
-	if q.Stall > 0 {
-		r.stallTimeout = q.Stall
+		raw: res.Body, cancel: cancel, cutoff: q.Cutoff, stallTimeout: s.stallTimeout, alive: q.Alive, failOver: q.FailOver, onData: q.OnData}
+	if q.StallTimeout > 0 {
+		r.stallTimeout = q.StallTimeout
 	}
-	if err := r.awaitFirstByte(res.Body, q.Whole); err != nil {
+	if err := r.awaitFirstByte(res.Body, q.Buffered); err != nil {
 		return fail(Failure{Outcome: Unknown, Reason: "the response failed before it could be relayed: " + err.Error()})
 	}
 	if !timer.stop() {
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -65,7 +65,7 @@
 		b := newTestReplica(t, g, fab, respond)
 		s := NewSender(fab.Host("10.0.0.2"), Native{}, time.Second)
 		f(b, func(sendable bool, within time.Duration) (*Reply, *Failure) {
-			return s.Send(t.Context(), Request{Addr: "10.0.0.1:90", Body: []byte("{}"), Number: 1, FirstBy: time.Now().Add(within), Sendable: func() bool { return sendable }})
+			return s.Send(t.Context(), Request{Addr: "10.0.0.1:90", Body: []byte("{}"), Number: 1, FirstByteDeadline: time.Now().Add(within), Sendable: func() bool { return sendable }})
 		})
 		s.Close()
 		_ = b.ln.Close()
@@ -119,7 +119,7 @@
 		_ = b.ln.Close()
 		_, failure := send(true, time.Second)
 		expectOutcome(t, failure, NotRun)
-		if !failure.Refused {
+		if !failure.NotConnected {
 			t.Error("the failure does not report a refused connection")
 		}
 	})
@@ -157,8 +157,8 @@
 			s := NewSender(fab.Host("10.0.0.2"), Native{}, time.Second)
 			began := time.Now()
 			reply, failure := s.Send(t.Context(), Request{Addr: "10.0.0.1:90", Body: []byte("{}"), Number: 1, Sendable: func() bool { return true },
-				FirstBy: began.Add(300 * time.Millisecond), OnlyUntil: began.Add(time.Second),
-				Only: func() bool { return time.Since(began) < c.onlyFor }})
+				FirstByteDeadline: began.Add(300 * time.Millisecond), OnlyReplicaDeadline: began.Add(time.Second),
+				OnlyReplica: func() bool { return time.Since(began) < c.onlyFor }})
 			if (failure == nil) != c.responds {
 				t.Errorf("%s: got %v", name, failure)
 			}
--- a/internal/attempt/firstbytetimer.go
+++ b/internal/attempt/firstbytetimer.go
@@ -20,7 +20,7 @@
 	t := &firstByteTimer{request: q, cancel: cancel}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.timer = time.AfterFunc(time.Until(q.FirstBy), t.onDeadline)
+	t.timer = time.AfterFunc(time.Until(q.FirstByteDeadline), t.onDeadline)
 	return t
 }
 
@@ -52,8 +52,8 @@
 
 // toleratesSilence reports whether to wait for the first byte beyond FirstBy.
 func (q Request) toleratesSilence(now time.Time) bool {
-	if q.Alive != nil && now.Before(q.FirstAtLast) && q.Alive() {
+	if q.Alive != nil && now.Before(q.AliveDeadline) && q.Alive() {
 		return true
 	}
-	return q.Only != nil && now.Before(q.OnlyUntil) && q.Only()
+	return q.OnlyReplica != nil && now.Before(q.OnlyReplicaDeadline) && q.OnlyReplica()
 }
--- a/internal/attempt/firstbytetimer_test.go
+++ b/internal/attempt/firstbytetimer_test.go
@@ -32,7 +32,7 @@
 				return alive
 			}
 			reply, failure := s.Send(context.Background(), Request{Addr: "10.0.0.1:90", Body: []byte("{}"), Number: 1, Sendable: func() bool { return true },
-				FirstBy: time.Now().Add(100 * time.Millisecond), FirstAtLast: time.Now().Add(500 * time.Millisecond), Alive: slowAlive})
+				FirstByteDeadline: time.Now().Add(100 * time.Millisecond), AliveDeadline: time.Now().Add(500 * time.Millisecond), Alive: slowAlive})
 			if failure != nil {
 				t.Fatalf("alive %v: %v", alive, failure)
 			}
--- a/internal/attempt/native.go
+++ b/internal/attempt/native.go
@@ -32,8 +32,8 @@
 	req.ContentLength = int64(len(q.Body))
 	req.Header.Set("Content-Type", q.ContentType)
 	req.Header.Set(backend.HeaderAttempt, strconv.Itoa(q.Number))
-	if q.Ticket != "" {
-		req.Header.Set(backend.HeaderRequestID, q.Ticket)
+	if q.RequestID != "" {
+		req.Header.Set(backend.HeaderRequestID, q.RequestID)
 	}
 	if q.Identity.Tenant != "" {
 		req.Header.Set(backend.HeaderTenant, q.Identity.Tenant)
@@ -51,7 +51,7 @@
 	why := "replica answered status " + strconv.Itoa(res.StatusCode)
 	switch {
 	case res.Header.Get(backend.HeaderOutcome) == backend.NotRun && res.StatusCode >= http.StatusBadRequest:
-		return Decision{Outcome: NotRun, Said: true, Reason: why + ", not run"}
+		return Decision{Outcome: NotRun, Rejected: true, Reason: why + ", not run"}
 	case res.StatusCode != http.StatusOK:
 		return Decision{Outcome: Ran, Reason: why}
 	}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -79,13 +79,13 @@
 
 // Order is a command to a replica to load or unload an item.
 type Order struct {
-	ID         string
-	Verb       string
-	Item       conf.Item
-	SizeMib    int
-	Epoch      uint64
-	Controller string // name and boot ID of the core
-	Holder     string // name of the core
+	ID          string
+	Verb        string
+	Item        conf.Item
+	SizeMib     int
+	Epoch       uint64
+	Controller  string // name and boot ID of the core
+	LeaseHolder string // name of the core
 }
 
 // Client requests reports from replicas and sends them orders.
@@ -115,22 +115,22 @@
 type Traits struct {
 	// WaitsForRuns means that an unload waits for running requests, and that
 	// requests for an item being loaded or unloaded are rejected as not run.
-	WaitsForRuns bool
+	DrainsBeforeUnload bool
 	// KnowsByName means that a replica identifies a controller by its name alone: after a restart
 	// it is still the same controller.
-	KnowsByName bool
+	IdentifiesControllerByName bool
 	// ReportLag is how old a report may be when the replica returns it.
 	ReportLag time.Duration
 	// ServicesReport means that replicas without models provide reports too.
 	ServicesReport bool
 	// TellsBusy means that a report shows whether an order is being executed.
-	TellsBusy bool
+	ReportsBusy bool
 	// OneOrder means that a replica refuses an order while it executes another.
-	OneOrder bool
+	RejectsConcurrentOrders bool
 	// KeepsOnDisk means that a replica keeps models it has held on its own disk.
-	KeepsOnDisk bool
+	CachesModelsOnDisk bool
 	// AdaptersUnpaced means that loads of adapters are exempt from the rate limiter of the weight store.
-	AdaptersUnpaced bool
+	AdapterLoadsUnlimited bool
 }
 
 // Native is the client of the native API.
@@ -191,7 +191,7 @@
 	}
 	isState := func(state string) bool { return state == Loading || state == Loaded || state == Unloading }
 	for _, m := range r.Models {
-		if m == nil || !conf.Plain(m.Name) || !isState(m.State) || m.SizeMib < 0 || m.Inflight < 0 {
+		if m == nil || !conf.ValidName(m.Name) || !isState(m.State) || m.SizeMib < 0 || m.Inflight < 0 {
 			return invalid("invalid entry for a model")
 		}
 		item := conf.Item{Model: m.Name}
@@ -200,7 +200,7 @@
 		}
 		v.Items[item] = ItemStatus{State: m.State, SizeMib: m.SizeMib, Inflight: m.Inflight}
 		for _, a := range m.Adapters {
-			if a == nil || !conf.Plain(a.Name) || !isState(a.State) || a.Inflight < 0 {
+			if a == nil || !conf.ValidName(a.Name) || !isState(a.State) || a.Inflight < 0 {
 				return invalid("invalid entry for an adapter")
 			}
 			v.Items[conf.Item{Model: m.Name, Adapter: a.Name}] = ItemStatus{State: a.State, Inflight: a.Inflight}
--- a/internal/conf/claims.go
+++ b/internal/conf/claims.go
@@ -7,7 +7,7 @@
 )
 
 // Wanted is an item that a claim wants a number of copies of in a group.
-type Wanted struct {
+type RequiredCopies struct {
 	Claim  string
 	Item   Item
 	Group  labels.Selector
@@ -15,18 +15,18 @@
 }
 
 // Claimed lists the copies that claims want kept.
-func (e Effective) Claimed() []Wanted {
-	var out []Wanted
+func (e Effective) RequiredCopies() []RequiredCopies {
+	var out []RequiredCopies
 	for _, name := range sorted(e.Claims) {
 		c := e.Claims[name]
 		if c.MinCopies == 0 {
 			continue
 		}
 		for _, m := range c.Models {
-			out = append(out, Wanted{name, Item{Model: m}, e.Groups[c.Group], c.MinCopies})
+			out = append(out, RequiredCopies{name, Item{Model: m}, e.Groups[c.Group], c.MinCopies})
 		}
 		for _, a := range c.Adapters {
-			out = append(out, Wanted{name, ParseItem(a), e.Groups[c.Group], c.MinCopies})
+			out = append(out, RequiredCopies{name, ParseItem(a), e.Groups[c.Group], c.MinCopies})
 		}
 	}
 	return out
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var k Kept
+		var k Stored
 		switch d.Cmd {
 		case "whole":
 			k, err = ReadWhole("application/json", []byte(d.Input))
@@ -23,7 +23,7 @@
 			k, err = ReadPartial(base, "application/json", []byte(d.Input))
 		case "objects":
 			k, err = ReadPartial(base, "application/yaml", []byte(d.Input))
-			for at, doc := range k.Sent {
+			for at, doc := range k.Originals {
 				if !bytes.Contains([]byte(d.Input), bytes.TrimSpace(doc)) {
 					t.Errorf("%s is not kept as sent", at)
 				}
@@ -31,7 +31,7 @@
 		default:
 			d.Fatalf(t, "no command %s", d.Cmd)
 		}
-		if f, ok := err.(Faults); ok {
+		if f, ok := err.(ValidationErrors); ok {
 			return strings.Join(f, "\n")
 		}
 		if !bytes.Equal(k.Submission, []byte(d.Input)) {
@@ -51,13 +51,13 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		k, err := ReadWhole("", b)
 		if err == nil {
-			if _, err := Effect(k); err != nil {
+			if _, err := Compile(k); err != nil {
 				t.Fatalf("kept a configuration that has no effect: %v", err)
 			}
 		}
 		_, _ = ReadPartial(k, "", b)
 		if o, err := ReadWhole("application/yaml", b); err == nil {
-			if _, err := Effect(o); err != nil {
+			if _, err := Compile(o); err != nil {
 				t.Fatalf("kept objects that have no effect: %v", err)
 			}
 		}
--- a/internal/conf/effect.go
+++ b/internal/conf/effect.go
@@ -11,12 +11,12 @@
 
 // Effect checks all objects together and makes them ready for use. An error is
 // Faults with everything wrong in them.
-func Effect(k Kept) (Effective, error) {
+func Compile(k Stored) (Effective, error) {
 	if k.Format != "" {
-		return effectFormat(k)
+		return compileFormat(k)
 	}
-	e := bare()
-	var faults Faults
+	e := newEffective()
+	var faults ValidationErrors
 	limits := json.RawMessage(`{}`)
 	for _, at := range sorted(k.Objects) {
 		kind, name, _ := strings.Cut(at, "/")
@@ -28,18 +28,18 @@
 			limits = raw
 			continue
 		}
-		f, bad := fields(kind, name, raw)
+		f, bad := parseFields(kind, name, raw)
 		faults = append(faults, bad...)
 		if len(bad) > 0 {
 			continue
 		}
-		faults = append(faults, e.put(kind, name, f)...)
+		faults = append(faults, e.addObject(kind, name, f)...)
 	}
 	var bad []string
 	e.Limits, bad = readLimits(limits)
 	faults = append(faults, bad...)
-	faults = append(faults, e.complete()...)
-	faults = append(faults, e.references()...)
+	faults = append(faults, e.buildIndexes()...)
+	faults = append(faults, e.checkReferences()...)
 	if len(faults) > 0 {
 		return Effective{}, faults
 	}
@@ -47,7 +47,7 @@
 }
 
 // put takes one object; f are its settings, of the types that Table gives them.
-func (e Effective) put(kind, name string, f map[string]any) Faults {
+func (e Effective) addObject(kind, name string, f map[string]any) ValidationErrors {
 	switch kind {
 	case "models":
 		m, faults := readModel(name, f)
@@ -76,26 +76,26 @@
 		return faults
 	case "weights":
 		e.Weights[name] = f["weight"].(float64)
-		if _, known := Judges[name]; !known {
-			return Faults{fmt.Sprintf("weights/%s: no such judge; there are %s", name, strings.Join(sorted(Judges), ", "))}
+		if _, known := DefaultWeights[name]; !known {
+			return ValidationErrors{fmt.Sprintf("weights/%s: no such judge; there are %s", name, strings.Join(sorted(DefaultWeights), ", "))}
 		}
 	}
 	return nil
 }
 
 // effectFormat reads a configuration that is written in a registered format.
-func effectFormat(k Kept) (Effective, error) {
+func compileFormat(k Stored) (Effective, error) {
 	f, found := formats[k.Format]
 	if !found {
-		return Effective{}, Faults{"this program does not read configurations written as " + k.Format}
+		return Effective{}, ValidationErrors{"this program does not read configurations written as " + k.Format}
 	}
-	e := bare()
+	e := newEffective()
 	e.Limits, _ = readLimits(json.RawMessage(`{}`))
 	e, err := f.Read(e, k.Submission)
 	if err != nil {
-		return Effective{}, asFaults(err)
+		return Effective{}, toValidationErrors(err)
 	}
-	if faults := append(e.complete(), e.references()...); len(faults) > 0 {
+	if faults := append(e.buildIndexes(), e.checkReferences()...); len(faults) > 0 {
 		return Effective{}, faults
 	}
 	return e, nil
@@ -109,14 +109,14 @@
 	return t
 }
 
-func readModel(name string, f map[string]any) (Model, Faults) {
+func readModel(name string, f map[string]any) (Model, ValidationErrors) {
 	m := Model{
-		SizeMib: f["sizeMib"].(int), LoadFor: ms(f["loadMs"]), ServeFor: ms(f["serveMs"]), Adapters: map[string]bool{},
+		SizeMib: f["sizeMib"].(int), ExpectedLoadTime: milliseconds(f["loadMs"]), ExpectedServeTime: milliseconds(f["serveMs"]), Adapters: map[string]bool{},
 		AdapterMib: f["adapterMib"].(int), Service: f["service"].(string),
 	}
-	var faults Faults
+	var faults ValidationErrors
 	for _, a := range f["adapters"].([]string) {
-		if !Plain(a) || m.Adapters[a] {
+		if !ValidName(a) || m.Adapters[a] {
 			faults = append(faults, fmt.Sprintf("models/%s.adapters: %q is no good name or stands twice", name, a))
 		}
 		m.Adapters[a] = true
@@ -124,24 +124,24 @@
 	return m, faults
 }
 
-func readRoute(name string, f map[string]any) (Route, Faults) {
+func readRoute(name string, f map[string]any) (Route, ValidationErrors) {
 	s, _ := labels.Parse(f["selector"].(string))
 	split, err := parseSplit(f["split"].([]string))
-	var faults Faults
+	var faults ValidationErrors
 	if err != nil {
-		faults = Faults{fmt.Sprintf("routes/%s.split: %v", name, err)}
+		faults = ValidationErrors{fmt.Sprintf("routes/%s.split: %v", name, err)}
 	}
 	return Route{
 		Name: name, Kind: f["kind"].(string), Selector: s, Class: f["class"].(string),
-		Deadline: ms(f["deadlineMs"]), Repeatable: f["repeatable"].(bool), MaxBody: int64(f["maxBodyBytes"].(int)), Public: f["public"].(bool),
+		Deadline: milliseconds(f["deadlineMs"]), Repeatable: f["repeatable"].(bool), MaxBody: int64(f["maxBodyBytes"].(int)), Public: f["public"].(bool),
 		Host: f["host"].(string), Prefix: f["pathPrefix"].(string), Split: split, Streaming: f["streaming"].(bool),
-		Resumable: f["resumable"].(bool), Attempts: f["attempts"].(int), Target: ms(f["targetMs"]), GapTarget: ms(f["gapTargetMs"]),
+		Resumable: f["resumable"].(bool), Attempts: f["attempts"].(int), Target: milliseconds(f["targetMs"]), GapTarget: milliseconds(f["gapTargetMs"]),
 	}, faults
 }
 
 func readService(name string, f map[string]any) Service {
-	s := Service{Selector: OfService(name), MaxConnections: f["maxConnections"].(int), Slots: f["slots"].(int), CapacityMib: f["capacityMib"].(int),
-		AdapterPlaces: f["adapterPlaces"].(int), CacheTokens: f["cacheTokens"].(int), CacheByShare: f["cacheByShare"].(bool), LoadsPerSecond: f["loadsPerSecond"].(float64)}
+	s := Service{Selector: ServiceSelector(name), MaxConnections: f["maxConnections"].(int), MaxInFlight: f["slots"].(int), CapacityMib: f["capacityMib"].(int),
+		MaxAdapters: f["adapterPlaces"].(int), CacheTokens: f["cacheTokens"].(int), CacheByShare: f["cacheByShare"].(bool), LoadsPerSecond: f["loadsPerSecond"].(float64)}
 	if own := f["selector"].(string); own != "" {
 		s.Selector, _ = labels.Parse(own)
 	}
@@ -149,26 +149,26 @@
 }
 
 func readLimits(raw json.RawMessage) (Limits, []string) {
-	f, bad := fields("limits", limitsName, raw)
+	f, bad := parseFields("limits", limitsName, raw)
 	if len(bad) > 0 {
 		return Limits{}, bad
 	}
 	return Limits{
-		PaceLoads: f["paceLoads"].(int), RetryAllowance: f["retryAllowance"].(int), Attempts: f["shots"].(int),
+		PaceLoads: f["paceLoads"].(int), RetryAllowance: f["retryAllowance"].(int), MaxInFlight: f["shots"].(int),
 		Csf: f["csf"].(float64), DayWeights: f["dayWeights"].([]float64),
-		Unit: ms(f["unitMs"]), Epoch: f["epochUnits"].(int), WarmupMinutes: f["warmupMinutes"].(int), HorizonMinutes: f["horizonMinutes"].(int),
-		PassEvery:   time.Duration(f["passMinutes"].(int)) * time.Minute,
-		PassSlack:   float64(f["passSlack"].(int)) / 100,
-		RequireKeys: f["requireKeys"].(bool),
+		Unit: milliseconds(f["unitMs"]), EpochUnits: f["epochUnits"].(int), WarmupMinutes: f["warmupMinutes"].(int), HorizonMinutes: f["horizonMinutes"].(int),
+		CsfBypassInterval:  time.Duration(f["passMinutes"].(int)) * time.Minute,
+		CsfBypassPaceShare: float64(f["passSlack"].(int)) / 100,
+		RequireKeys:        f["requireKeys"].(bool),
 	}, nil
 }
 
 // ms is a setting in milliseconds.
-func ms(v any) time.Duration { return time.Duration(v.(int)) * time.Millisecond }
+func milliseconds(v any) time.Duration { return time.Duration(v.(int)) * time.Millisecond }
 
 // references tells what names something that is not there.
-func (e Effective) references() Faults {
-	var faults Faults
+func (e Effective) checkReferences() ValidationErrors {
+	var faults ValidationErrors
 	for _, name := range sorted(e.Claims) {
 		c := e.Claims[name]
 		if _, found := e.Groups[c.Group]; !found {
@@ -186,7 +186,7 @@
 			}
 		}
 	}
-	faults = append(faults, e.tenantReferences()...)
+	faults = append(faults, e.checkTenantReferences()...)
 	for _, name := range sorted(e.Routes) {
 		if _, found := e.Classes[e.Routes[name].Class]; !found {
 			faults = append(faults, fmt.Sprintf("routes/%s.class: no class %q", name, e.Routes[name].Class))
--- a/internal/conf/format.go
+++ b/internal/conf/format.go
@@ -31,103 +31,103 @@
 
 // Change is a configuration that an operator sends.
 type Change struct {
-	Manner      string
+	Mode        string
 	ContentType string
 	Body        []byte
 	IfMatch     *uint64 // the version it is made on top of; nil is any
 }
 
 // taken is one change that was kept, so that it is known when it is sent again.
-type taken struct {
+type recentChange struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Sum     uint64 `cbor:"2,keyasint"`
 }
 
 // maxTaken is how many kept changes are remembered.
-const maxTaken = 512
+const maxRecentChanges = 512
 
 // Applied is what became of a change.
-type Applied struct {
-	Kept Kept
+type ApplyResult struct {
+	Stored Stored
 	// Effective is what Kept means, where that had to be read to check it; else nil.
 	Effective *Effective
-	Again     bool // it had been kept before; nothing changes
+	Duplicate bool // it had been kept before; nothing changes
 	Stale     bool // it was made on top of another version than the current one
 }
 
 // Apply lays a change over what is kept. Faults refuse it whole.
-func (k Kept) Apply(c Change) (Applied, error) {
+func (k Stored) Apply(c Change) (ApplyResult, error) {
 	if f, found := formats[c.ContentType]; found {
 		return k.applyFormat(f, c)
 	}
 	if c.IfMatch != nil && *c.IfMatch != k.Serial {
-		return Applied{Stale: true}, nil
+		return ApplyResult{Stale: true}, nil
 	}
-	var next Kept
+	var next Stored
 	var err error
 	switch {
-	case c.Manner == Whole:
+	case c.Mode == Whole:
 		next, err = ReadWhole(c.ContentType, c.Body)
 	case k.Format != "":
-		err = Faults{"the configuration in force is written as " + k.Format + "; it can only be replaced whole"}
+		err = ValidationErrors{"the configuration in force is written as " + k.Format + "; it can only be replaced whole"}
 	default:
 		next, err = ReadPartial(k, c.ContentType, c.Body)
 	}
 	if err != nil {
-		return Applied{}, err
+		return ApplyResult{}, err
 	}
 	next.Serial = k.Serial + 1
 	next.Version = next.Serial
-	return Applied{Kept: next}, nil
+	return ApplyResult{Stored: next}, nil
 }
 
-func (k Kept) applyFormat(f Format, c Change) (Applied, error) {
-	sum := c.sum()
-	for _, t := range k.Taken {
+func (k Stored) applyFormat(f Format, c Change) (ApplyResult, error) {
+	sum := c.identity()
+	for _, t := range k.Recent {
 		if t.Sum == sum {
-			return Applied{Again: true}, nil
+			return ApplyResult{Duplicate: true}, nil
 		}
 	}
 	if c.IfMatch != nil && *c.IfMatch != k.Version {
-		return Applied{Stale: true}, nil
+		return ApplyResult{Stale: true}, nil
 	}
-	document, err := k.document(f, c)
+	document, err := k.resultingDocument(f, c)
 	if err != nil {
-		return Applied{}, asFaults(err)
+		return ApplyResult{}, toValidationErrors(err)
 	}
 	version, err := f.Version(document)
 	if err != nil {
-		return Applied{}, asFaults(err)
+		return ApplyResult{}, toValidationErrors(err)
 	}
 	if version <= k.Version {
-		return Applied{}, Faults{fmt.Sprintf("version %d is not above the current %d", version, k.Version)}
+		return ApplyResult{}, ValidationErrors{fmt.Sprintf("version %d is not above the current %d", version, k.Version)}
 	}
-	next := Kept{Manner: c.Manner, ContentType: f.ContentType(), Format: f.ContentType(), Submission: document,
+	next := Stored{Mode: c.Mode, ContentType: f.ContentType(), Format: f.ContentType(), Submission: document,
 		Serial: k.Serial + 1, Version: version}
-	next.Taken = append(next.Taken, k.Taken[max(0, len(k.Taken)-maxTaken+1):]...)
-	next.Taken = append(next.Taken, taken{Version: version, Sum: sum})
-	effective, err := Effect(next)
+	next.Recent = append(next.Recent, k.Recent[max(0, len(k.Recent)-maxRecentChanges+1):]...)
+	next.Recent = append(next.Recent, recentChange{Version: version, Sum: sum})
+	effective, err := Compile(next)
 	if err != nil {
-		return Applied{}, asFaults(err)
+		return ApplyResult{}, toValidationErrors(err)
 	}
-	return Applied{Kept: next, Effective: &effective}, nil
+	return ApplyResult{Stored: next, Effective: &effective}, nil
 }
 
 // document is the whole document that a change leads to.
-func (k Kept) document(f Format, c Change) ([]byte, error) {
-	if c.Manner != Partial {
+func (k Stored) resultingDocument(f Format, c Change) ([]byte, error) {
+	if c.Mode != Partial {
 		return c.Body, f.Check(c.Body)
 	}
 	if k.Format != f.ContentType() {
-		return nil, Faults{"there is no configuration in this format to change"}
+		return nil, ValidationErrors{"there is no configuration in this format to change"}
 	}
 	return f.Merge(k.Submission, c.Body)
 }
 
 // sum tells a change that is sent again from another.
-func (c Change) sum() uint64 {
+func (c Change) identity() uint64 {
 	h := sha256.New()
-	h.Write([]byte(c.Manner))
+	h.Write([]byte(c.Mode))
 	if c.IfMatch != nil {
 		h.Write(binary.LittleEndian.AppendUint64(nil, *c.IfMatch))
 	}
@@ -136,24 +136,24 @@
 }
 
 // Sum is the digest that an acknowledgement carries.
-func (c Change) Sum() string {
+func (c Change) BodyDigest() string {
 	sum := sha256.Sum256(c.Body)
 	return hex.EncodeToString(sum[:])
 }
 
-func asFaults(err error) error {
-	var faults Faults
+func toValidationErrors(err error) error {
+	var faults ValidationErrors
 	if errors.As(err, &faults) {
 		return faults
 	}
-	return Faults{err.Error()}
+	return ValidationErrors{err.Error()}
 }
 
 // CheckJSON refuses what is not one whole JSON value without doubled keys.
 func CheckJSON(b []byte) error {
 	var any struct{}
-	if err := decode(b, &any); err != nil {
-		return Faults{err.Error()}
+	if err := decodeStrict(b, &any); err != nil {
+		return ValidationErrors{err.Error()}
 	}
 	return nil
 }
--- a/internal/conf/item.go
+++ b/internal/conf/item.go
@@ -23,7 +23,7 @@
 func (i Item) Covers(o Item) bool { return i == o || i.Adapter == "" && i.Model == o.Model }
 
 // Plain says whether a name can stand in keys and items.
-func Plain(name string) bool { return name != "" && !strings.ContainsAny(name, "/+ ") }
+func ValidName(name string) bool { return name != "" && !strings.ContainsAny(name, "/+ ") }
 
 // ParseItem reads what String wrote.
 func ParseItem(s string) Item {
--- a/internal/conf/model.go
+++ b/internal/conf/model.go
@@ -8,10 +8,10 @@
 
 // Model is one model of the catalogue.
 type Model struct {
-	SizeMib  int // memory a replica needs for it
-	Adapters map[string]bool
-	LoadFor  time.Duration // expected, until observed
-	ServeFor time.Duration // expected, until observed
+	SizeMib           int // memory a replica needs for it
+	Adapters          map[string]bool
+	ExpectedLoadTime  time.Duration // expected, until observed
+	ExpectedServeTime time.Duration // expected, until observed
 	// AdapterMib is the memory that one adapter takes, besides its place.
 	AdapterMib int
 	Service    string // whose replicas may hold it; "" is any
@@ -59,17 +59,17 @@
 type Limits struct {
 	PaceLoads      int       // loads the weight store bears in any 5 s
 	RetryAllowance int       // retries to a service on top of a fifth of its traffic in any 10 s
-	Attempts       int       // requests one proxy runs side by side
+	MaxInFlight    int       // requests one proxy runs side by side
 	Csf            float64   // cache stability factor of the paper
 	DayWeights     []float64 // of the past seven days, yesterday first
 	// Unit is what demand is counted by, and Epoch how many units make the paper's day.
-	Unit           time.Duration
-	Epoch          int
-	WarmupMinutes  int
-	HorizonMinutes int
-	PassEvery      time.Duration
-	PassSlack      float64 // share of the store's pace
-	RequireKeys    bool    // requests on routes that are not public must bear a tenant's key
+	Unit               time.Duration
+	EpochUnits         int
+	WarmupMinutes      int
+	HorizonMinutes     int
+	CsfBypassInterval  time.Duration
+	CsfBypassPaceShare float64 // share of the store's pace
+	RequireKeys        bool    // requests on routes that are not public must bear a tenant's key
 }
 
 // Effective is a configuration ready for use; it is never changed once made.
@@ -86,23 +86,23 @@
 	Weights  map[string]float64
 	Limits   Limits
 
-	prefixes map[string]map[string]string // host: path prefix: route
-	hosts    map[string]bool              // services that hold models
-	shares   map[string]int               // of all tenants
-	keys     map[digest]string            // tenant of each key
+	routesByPrefix map[string]map[string]string // host: path prefix: route
+	modelServices  map[string]bool              // services that hold models
+	shares         map[string]int               // of all tenants
+	tenantByKey    map[keyHash]string           // tenant of each key
 }
 
 // Empty is what is in force before the first configuration.
 func Empty() Effective {
-	e, _ := Effect(Kept{})
+	e, _ := Compile(Stored{})
 	return e
 }
 
 // bare is a configuration without any object.
-func bare() Effective {
+func newEffective() Effective {
 	e := Effective{Models: map[string]Model{}, Groups: map[string]labels.Selector{}, Claims: map[string]Claim{}, Drains: map[string]labels.Selector{},
 		Classes: map[string]Class{}, Tenants: map[string]Tenant{}, Routes: map[string]Route{}, Services: map[string]Service{}, Weights: map[string]float64{}}
-	for j, w := range Judges {
+	for j, w := range DefaultWeights {
 		e.Weights[j] = w
 	}
 	return e
--- a/internal/conf/objects.go
+++ b/internal/conf/objects.go
@@ -34,14 +34,14 @@
 }
 
 // isObjects says whether a submission of this type is Kubernetes-style objects.
-func isObjects(contentType string) bool {
+func isObjectYAML(contentType string) bool {
 	t, _, err := mime.ParseMediaType(contentType)
 	return err == nil && (t == "application/yaml" || t == "application/x-yaml" || t == "text/yaml")
 }
 
 // layObjects reads a stream of YAML documents, one object each.
-func (k Kept) layObjects(body []byte) Faults {
-	var faults Faults
+func (k Stored) setObjectDocuments(body []byte) ValidationErrors {
+	var faults ValidationErrors
 	docs := yamlutil.NewYAMLReader(bufio.NewReader(bytes.NewReader(body)))
 	seen := map[string]bool{}
 	for n := 1; ; n++ {
@@ -70,13 +70,13 @@
 			continue
 		}
 		seen[at] = true
-		if more := k.lay(sent{kind: {o.Metadata.Name: o.Spec}}); len(more) > 0 {
+		if more := k.setObjects(objectsByKind{kind: {o.Metadata.Name: o.Spec}}); len(more) > 0 {
 			for _, f := range more {
 				bad("%s", f)
 			}
 			continue
 		}
-		k.Sent[at] = doc
+		k.Originals[at] = doc
 	}
 }
 
--- a/internal/conf/read.go
+++ b/internal/conf/read.go
@@ -10,63 +10,63 @@
 )
 
 // sent is a configuration as operators write it: kind, name, object.
-type sent map[string]map[string]json.RawMessage
+type objectsByKind map[string]map[string]json.RawMessage
 
 // partial is a change of some objects as operators write it.
-type partial struct {
-	Replace sent                `json:"replace"`
+type partialChange struct {
+	Replace objectsByKind       `json:"replace"`
 	Remove  map[string][]string `json:"remove"`
 }
 
 // ReadWhole takes a whole configuration: it replaces everything before it. An
 // error is Faults with everything wrong in it.
-func ReadWhole(contentType string, body []byte) (Kept, error) {
-	k := submitted(Whole, contentType, body)
-	if isObjects(contentType) {
-		return k, k.check(k.layObjects(body))
+func ReadWhole(contentType string, body []byte) (Stored, error) {
+	k := newStored(Whole, contentType, body)
+	if isObjectYAML(contentType) {
+		return k, k.check(k.setObjectDocuments(body))
 	}
-	var s sent
-	if err := decode(body, &s); err != nil {
-		return Kept{}, Faults{err.Error()}
+	var s objectsByKind
+	if err := decodeStrict(body, &s); err != nil {
+		return Stored{}, ValidationErrors{err.Error()}
 	}
-	return k, k.check(k.lay(s))
+	return k, k.check(k.setObjects(s))
 }
 
 // ReadPartial lays a partial configuration over what is there, which stays as it
 // is. An error is Faults with everything wrong in it.
-func ReadPartial(old Kept, contentType string, body []byte) (Kept, error) {
-	k := submitted(Partial, contentType, body)
+func ReadPartial(old Stored, contentType string, body []byte) (Stored, error) {
+	k := newStored(Partial, contentType, body)
 	maps.Copy(k.Objects, old.Objects)
-	maps.Copy(k.Sent, old.Sent)
-	if isObjects(contentType) {
-		return k, k.check(k.layObjects(body))
+	maps.Copy(k.Originals, old.Originals)
+	if isObjectYAML(contentType) {
+		return k, k.check(k.setObjectDocuments(body))
 	}
-	var p partial
+	var p partialChange
 	var top map[string]json.RawMessage
-	if err := decode(body, &top); err != nil {
-		return Kept{}, Faults{err.Error()}
+	if err := decodeStrict(body, &top); err != nil {
+		return Stored{}, ValidationErrors{err.Error()}
 	}
-	var faults Faults
+	var faults ValidationErrors
 	for name := range top {
 		if name != "replace" && name != "remove" {
 			faults = append(faults, fmt.Sprintf("%s: no such part; a partial configuration has replace and remove", name))
 		}
 	}
 	if err := json.Unmarshal(body, &p); err != nil {
-		return Kept{}, append(faults, err.Error())
+		return Stored{}, append(faults, err.Error())
 	}
-	faults = append(faults, k.remove(p)...)
-	return k, k.check(append(faults, k.lay(p.Replace)...))
+	faults = append(faults, k.removeObjects(p)...)
+	return k, k.check(append(faults, k.setObjects(p.Replace)...))
 }
 
 // submitted is a submission without any object yet.
-func submitted(manner, contentType string, body []byte) Kept {
-	return Kept{Manner: manner, ContentType: contentType, Submission: body, Objects: map[string][]byte{}, Sent: map[string][]byte{}}
+func newStored(manner, contentType string, body []byte) Stored {
+	return Stored{Mode: manner, ContentType: contentType, Submission: body, Objects: map[string][]byte{}, Originals: map[string][]byte{}}
 }
 
 // remove takes away the objects that p names.
-func (k Kept) remove(p partial) Faults {
-	var faults Faults
+func (k Stored) removeObjects(p partialChange) ValidationErrors {
+	var faults ValidationErrors
 	for _, kind := range sorted(p.Remove) {
 		for _, name := range p.Remove[kind] {
 			at := kind + "/" + name
@@ -77,16 +77,16 @@
 				faults = append(faults, at+": both replaced and removed")
 			}
 			delete(k.Objects, at)
-			delete(k.Sent, at)
+			delete(k.Originals, at)
 		}
 	}
 	return faults
 }
 
 // check tells all faults at once: those found so far and those of the whole.
-func (k Kept) check(faults Faults) error {
-	_, err := Effect(k)
-	var more Faults
+func (k Stored) check(faults ValidationErrors) error {
+	_, err := Compile(k)
+	var more ValidationErrors
 	if errors.As(err, &more) {
 		faults = append(faults, more...)
 	}
@@ -97,8 +97,8 @@
 }
 
 // lay puts the objects of s in place of those of the same names.
-func (k Kept) lay(s sent) Faults {
-	var faults Faults
+func (k Stored) setObjects(s objectsByKind) ValidationErrors {
+	var faults ValidationErrors
 	known := map[string]bool{}
 	for _, kind := range kinds() {
 		known[kind] = true
@@ -109,12 +109,12 @@
 			continue
 		}
 		for _, name := range sorted(s[kind]) {
-			if !Plain(name) || len(name) > 128 {
+			if !ValidName(name) || len(name) > 128 {
 				faults = append(faults, fmt.Sprintf("%s/%s: a name has 1 to 128 characters and no '/', '+' or blank", kind, name))
 				continue
 			}
 			k.Objects[kind+"/"+name] = s[kind][name]
-			delete(k.Sent, kind+"/"+name)
+			delete(k.Originals, kind+"/"+name)
 		}
 	}
 	return faults
--- a/internal/conf/service.go
+++ b/internal/conf/service.go
@@ -14,9 +14,9 @@
 type Service struct {
 	Selector       labels.Selector // its replicas
 	MaxConnections int             // that one replica takes from all callers together; 0 is unknown
-	Slots          int             // requests one replica runs side by side; 0 leaves it to the replica's report
+	MaxInFlight    int             // requests one replica runs side by side; 0 leaves it to the replica's report
 	CapacityMib    int             // memory of one replica for models and adapters; 0 leaves it to the report
-	AdapterPlaces  int             // adapters one replica may hold; 0 leaves it to the report
+	MaxAdapters    int             // adapters one replica may hold; 0 leaves it to the report
 	CacheTokens    int             // prompt and output tokens one replica keeps
 	LoadsPerSecond float64         // starts that the weight store of its models bears; 0 is limits.paceLoads
 	CacheByShare   bool            // its replicas divide their cache between tenants themselves
@@ -32,7 +32,7 @@
 const ServiceLabel = "service"
 
 // OfService selects the replicas that are labelled with a service's name.
-func OfService(name string) labels.Selector {
+func ServiceSelector(name string) labels.Selector {
 	return labels.SelectorFromSet(labels.Set{ServiceLabel: name})
 }
 
@@ -42,7 +42,7 @@
 	for _, text := range texts {
 		name, weight, found := strings.Cut(text, "=")
 		n, err := strconv.Atoi(weight)
-		if !found || err != nil || n < 0 || !Plain(name) {
+		if !found || err != nil || n < 0 || !ValidName(name) {
 			return nil, fmt.Errorf("%q is not SERVICE=WEIGHT", text)
 		}
 		out = append(out, Share{Service: name, Weight: n})
@@ -51,7 +51,7 @@
 }
 
 // Pick is the service a request goes to, for a draw from 0 up to 1.
-func (r Route) Pick(draw float64) string {
+func (r Route) PickService(draw float64) string {
 	total := 0
 	for _, s := range r.Split {
 		total += s.Weight
@@ -70,11 +70,11 @@
 	if len(r.Split) == 0 {
 		return r
 	}
-	name := r.Pick(draw)
+	name := r.PickService(draw)
 	r.Service = name
 	r.Selector = e.Services[name].Selector
 	r.Kind = "service"
-	if e.hosts[name] {
+	if e.modelServices[name] {
 		r.Kind = "model"
 	}
 	return r
@@ -85,7 +85,7 @@
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
-	prefixes := e.prefixes[strings.ToLower(host)]
+	prefixes := e.routesByPrefix[strings.ToLower(host)]
 	for at := strings.LastIndexByte(path, '/'); at >= 0; at = strings.LastIndexByte(path[:at], '/') {
 		if name, found := prefixes[path[:at+1]]; found {
 			return e.Routes[name], true
@@ -95,12 +95,12 @@
 }
 
 // complete checks services and prefixes and builds what requests are looked up by.
-func (e *Effective) complete() Faults {
-	keys, faults := e.sumKeys()
-	e.keys = keys
-	e.prefixes = map[string]map[string]string{}
-	e.hosts = map[string]bool{}
-	e.shares = e.sumShares()
+func (e *Effective) buildIndexes() ValidationErrors {
+	keys, faults := e.indexKeys()
+	e.tenantByKey = keys
+	e.routesByPrefix = map[string]map[string]string{}
+	e.modelServices = map[string]bool{}
+	e.shares = e.computeShares()
 	for _, name := range sorted(e.Models) {
 		m := e.Models[name]
 		if m.Service == "" {
@@ -109,16 +109,16 @@
 		if _, found := e.Services[m.Service]; !found {
 			faults = append(faults, fmt.Sprintf("models/%s.service: no service %q", name, m.Service))
 		}
-		e.hosts[m.Service] = true
+		e.modelServices[m.Service] = true
 	}
 	for _, name := range sorted(e.Routes) {
-		faults = append(faults, e.completeRoute(name)...)
+		faults = append(faults, e.indexRoute(name)...)
 	}
 	return faults
 }
 
-func (e *Effective) completeRoute(name string) Faults {
-	var faults Faults
+func (e *Effective) indexRoute(name string) ValidationErrors {
+	var faults ValidationErrors
 	r := e.Routes[name]
 	at := "routes/" + name
 	weights := 0
@@ -144,13 +144,13 @@
 		faults = append(faults, fmt.Sprintf("%s.pathPrefix: %q does not begin and end with a slash", at, r.Prefix))
 	}
 	host := strings.ToLower(r.Host)
-	if e.prefixes[host] == nil {
-		e.prefixes[host] = map[string]string{}
+	if e.routesByPrefix[host] == nil {
+		e.routesByPrefix[host] = map[string]string{}
 	}
-	if other, taken := e.prefixes[host][r.Prefix]; taken {
+	if other, taken := e.routesByPrefix[host][r.Prefix]; taken {
 		faults = append(faults, fmt.Sprintf("%s: host and pathPrefix are those of routes/%s", at, other))
 	}
-	e.prefixes[host][r.Prefix] = name
+	e.routesByPrefix[host][r.Prefix] = name
 	return faults
 }
 
@@ -171,7 +171,7 @@
 		return s, true
 	}
 	for _, name := range sorted(e.Services) {
-		if s := e.Services[name]; e.hosts[name] && s.Selector.Matches(labels.Set(labelled)) {
+		if s := e.Services[name]; e.modelServices[name] && s.Selector.Matches(labels.Set(labelled)) {
 			return s, true
 		}
 	}
@@ -179,7 +179,7 @@
 }
 
 // Within says whether a deadline of the caller's own shortens the route's.
-func (r Route) Within(own time.Duration) time.Duration {
+func (r Route) EffectiveDeadline(own time.Duration) time.Duration {
 	if own > 0 && own < r.Deadline {
 		return own
 	}
--- a/internal/conf/service_test.go
+++ b/internal/conf/service_test.go
@@ -8,7 +8,7 @@
 )
 
 // shop is a configuration whose routes are matched by host and path.
-const shop = `{
+const matchingConfig = `{
 	"classes": {"desk": {}},
 	"models": {"m": {"sizeMib": 10, "service": "thinkers"}},
 	"services": {"web": {"maxConnections": 8}, "thinkers": {"selector": "pool=gpu", "slots": 4}, "spare": {}},
@@ -21,21 +21,21 @@
 	}
 }`
 
-func effect(t *testing.T, text string) Effective {
+func compileJSON(t *testing.T, text string) Effective {
 	t.Helper()
 	k, err := ReadWhole("application/json", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := Effect(k)
+	e, err := Compile(k)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return e
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
-	e := effect(t, shop)
+func TestMatchPicksLongestPrefixOfHost(t *testing.T) {
+	e := compileJSON(t, matchingConfig)
 	for _, c := range []struct{ host, path, want string }{
 		{"shop.example", "/", "all"},
 		{"shop.example:8080", "/x", "all"},
@@ -59,8 +59,8 @@
 	}
 }
 
-func TestASplitReachesEachServiceInProportion(t *testing.T) {
-	e := effect(t, shop)
+func TestSplitIsProportional(t *testing.T) {
+	e := compileJSON(t, matchingConfig)
 	counts := map[string]int{}
 	const draws = 4000
 	for i := range draws {
@@ -70,13 +70,13 @@
 	if len(counts) != 2 || counts["web service"] != draws*3/4 || counts["thinkers model"] != draws/4 {
 		t.Errorf("got %v", counts)
 	}
-	if got := e.Routes["deep"].Pick(0.9999999999999999); got != "thinkers" {
+	if got := e.Routes["deep"].PickService(0.9999999999999999); got != "thinkers" {
 		t.Errorf("the highest draw leads to %q", got)
 	}
 }
 
-func TestResolveNarrowsToTheServicesReplicas(t *testing.T) {
-	e := effect(t, shop)
+func TestResolveSelectsReplicasOfService(t *testing.T) {
+	e := compileJSON(t, matchingConfig)
 	if got := e.Resolve(e.Routes["all"], 0.5); got.Selector.String() != "service=web" || got.Kind != "service" {
 		t.Errorf("got %s %s", got.Kind, got.Selector)
 	}
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestFaultsOfRoutesAreAllTold(t *testing.T) {
+func TestAllRouteErrorsAreReported(t *testing.T) {
 	_, err := ReadWhole("application/json", []byte(`{
 		"classes": {"desk": {}},
 		"models": {"m": {"sizeMib": 10, "service": "gone"}},
@@ -119,13 +119,13 @@
 	}
 }
 
-func TestADeadlineOfNothingIsAFault(t *testing.T) {
-	e := bare()
+func TestNonPositiveDeadlineIsInvalid(t *testing.T) {
+	e := newEffective()
 	for name, d := range map[string]time.Duration{"zero": 0, "below": -time.Second, "good": time.Second} {
 		e.Routes[name] = Route{Name: name, Deadline: d}
 	}
 	want := "[routes/below.deadlineMs: must be above 0 routes/zero.deadlineMs: must be above 0]"
-	if got := fmt.Sprint([]string(e.complete())); got != want {
+	if got := fmt.Sprint([]string(e.buildIndexes())); got != want {
 		t.Errorf("got %s", got)
 	}
 	if _, err := ReadWhole("", []byte(`{"classes":{"c":{}},"routes":{"r":{"kind":"service","class":"c","deadlineMs":0}}}`)); err == nil {
@@ -133,10 +133,10 @@
 	}
 }
 
-func TestACallersDeadlineOnlyShortens(t *testing.T) {
+func TestCallerDeadlineOnlyShortensRouteDeadline(t *testing.T) {
 	r := Route{Deadline: time.Second}
 	for own, want := range map[time.Duration]time.Duration{0: time.Second, time.Minute: time.Second, time.Millisecond: time.Millisecond, -1: time.Second} {
-		if got := r.Within(own); got != want {
+		if got := r.EffectiveDeadline(own); got != want {
 			t.Errorf("%v: got %v, want %v", own, got, want)
 		}
 	}
@@ -159,20 +159,20 @@
 const serviceJSON = `{"services": {"thinkers": {"selector": "pool=gpu", "maxConnections": 9, "slots": 4, "capacityMib": 800,
 	"adapterPlaces": 3, "cacheTokens": 5000, "loadsPerSecond": 0.5}}}`
 
-func TestServicesAreReadFromBothForms(t *testing.T) {
+func TestServicesAreReadFromJSONAndYAML(t *testing.T) {
 	for contentType, text := range map[string]string{"application/json": serviceJSON, "application/yaml": serviceObject} {
 		k, err := ReadWhole(contentType, []byte(text))
 		if err != nil {
 			t.Errorf("%s: %v", contentType, err)
 			continue
 		}
-		e, _ := Effect(k)
+		e, _ := Compile(k)
 		s := e.Services["thinkers"]
 		if s.Selector.String() != "pool=gpu" {
 			t.Errorf("%s: selector %s", contentType, s.Selector)
 		}
 		s.Selector = nil
-		if want := (Service{MaxConnections: 9, Slots: 4, CapacityMib: 800, AdapterPlaces: 3, CacheTokens: 5000, LoadsPerSecond: 0.5}); s != want {
+		if want := (Service{MaxConnections: 9, MaxInFlight: 4, CapacityMib: 800, MaxAdapters: 3, CacheTokens: 5000, LoadsPerSecond: 0.5}); s != want {
 			t.Errorf("%s: got %+v", contentType, s)
 		}
 		if got := e.LoadsPerSecond(); got != 0.5 {
@@ -181,22 +181,22 @@
 	}
 }
 
-func TestTheSlowestStoreSetsThePace(t *testing.T) {
-	e := effect(t, `{"services": {"a": {"loadsPerSecond": 3}, "b": {"loadsPerSecond": 0.25}, "c": {}}}`)
+func TestLoadsPerSecondIsSlowestStore(t *testing.T) {
+	e := compileJSON(t, `{"services": {"a": {"loadsPerSecond": 3}, "b": {"loadsPerSecond": 0.25}, "c": {}}}`)
 	if got := e.LoadsPerSecond(); got != 0.25 {
 		t.Errorf("got %v", got)
 	}
-	if got := effect(t, shop).LoadsPerSecond(); got != 0 {
+	if got := compileJSON(t, matchingConfig).LoadsPerSecond(); got != 0 {
 		t.Errorf("got %v where no service names a rate", got)
 	}
 }
 
 func TestServiceOfAReplica(t *testing.T) {
-	e := effect(t, shop)
+	e := compileJSON(t, matchingConfig)
 	if s, found := e.ServiceOf(map[string]string{"service": "web"}); !found || s.MaxConnections != 8 {
 		t.Errorf("by its name: %+v, %v", s, found)
 	}
-	if s, found := e.ServiceOf(map[string]string{"pool": "gpu"}); !found || s.Slots != 4 {
+	if s, found := e.ServiceOf(map[string]string{"pool": "gpu"}); !found || s.MaxInFlight != 4 {
 		t.Errorf("by its selector: %+v, %v", s, found)
 	}
 	if _, found := e.ServiceOf(map[string]string{"pool": "cpu"}); found {
--- a/internal/conf/strict.go
+++ b/internal/conf/strict.go
@@ -9,9 +9,9 @@
 )
 
 // decode reads JSON strictly: no doubled keys, nothing after the end.
-func decode(b []byte, v any) error {
+func decodeStrict(b []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
-	if err := doubled(d, "", 0); err != nil {
+	if err := checkDuplicateKeys(d, "", 0); err != nil {
 		return err
 	}
 	if _, err := d.Token(); err != io.EOF {
@@ -21,7 +21,7 @@
 }
 
 // doubled refuses a value with a key given twice in one object, or nested too deep.
-func doubled(d *json.Decoder, at string, depth int) error {
+func checkDuplicateKeys(d *json.Decoder, at string, depth int) error {
 	if depth > 8 {
 		return errors.Errorf("%s: nested too deep", at)
 	}
@@ -48,7 +48,7 @@
 			}
 			seen[name] = true
 		}
-		if err := doubled(d, inner, depth+1); err != nil {
+		if err := checkDuplicateKeys(d, inner, depth+1); err != nil {
 			return err
 		}
 	}
--- a/internal/conf/tenant.go
+++ b/internal/conf/tenant.go
@@ -18,7 +18,7 @@
 }
 
 // Ranks is how many steps of urgency there are within a tenant.
-const Ranks = 11
+const UrgencyLevels = 11
 
 // Urgency is the step of a class within its tenant: 0 for urgent classes, then
 // by rank; a lower one stays ahead.
@@ -26,7 +26,7 @@
 	if c.Urgent {
 		return 0
 	}
-	return min(1+max(c.Rank, 0), Ranks-1)
+	return min(1+max(c.Rank, 0), UrgencyLevels-1)
 }
 
 // HasTenants says whether anything is shared between tenants at all.
@@ -52,7 +52,7 @@
 // its own; none without tenants. Nobody may change them.
 func (e Effective) Shares() map[string]int { return e.shares }
 
-func (e Effective) sumShares() map[string]int {
+func (e Effective) computeShares() map[string]int {
 	out := map[string]int{}
 	for name, t := range e.Tenants {
 		if t.Share > 0 {
@@ -70,26 +70,26 @@
 }
 
 // digest is what a key is looked up by. Why: how long a look-up takes must tell nothing of the keys.
-type digest [sha256.Size]byte
+type keyHash [sha256.Size]byte
 
 // TenantOfKey is the tenant whose callers bear a key.
 func (e Effective) TenantOfKey(key string) (tenant string, known bool) {
-	tenant, known = e.keys[sha256.Sum256([]byte(key))]
+	tenant, known = e.tenantByKey[sha256.Sum256([]byte(key))]
 	return tenant, known
 }
 
 // sumKeys makes what keys are looked up by. Two tenants may not have one key; a fault
 // names the tenants and not the key.
-func (e Effective) sumKeys() (map[digest]string, Faults) {
-	var faults Faults
-	out := map[digest]string{}
+func (e Effective) indexKeys() (map[keyHash]string, ValidationErrors) {
+	var faults ValidationErrors
+	out := map[keyHash]string{}
 	for _, name := range sorted(e.Tenants) {
 		for _, key := range e.Tenants[name].Keys {
 			if key == "" {
 				faults = append(faults, fmt.Sprintf("tenants/%s.keys: a key is empty", name))
 				continue
 			}
-			sum := digest(sha256.Sum256([]byte(key)))
+			sum := keyHash(sha256.Sum256([]byte(key)))
 			if other, found := out[sum]; found && other != name {
 				faults = append(faults, fmt.Sprintf("tenants/%s.keys: a key is also one of %q", name, other))
 			}
@@ -100,8 +100,8 @@
 }
 
 // tenantReferences tells what names a tenant or a class that is not there.
-func (e Effective) tenantReferences() Faults {
-	var faults Faults
+func (e Effective) checkTenantReferences() ValidationErrors {
+	var faults ValidationErrors
 	for _, name := range sorted(e.Classes) {
 		tenant := e.Classes[name].Tenant
 		if _, found := e.Tenants[tenant]; !found && tenant != "" {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -24,16 +24,16 @@
 
 func (c *Core) onGossip(e gossip.Entry) {
 	if e.Key == conf.Key {
-		c.confNews.Store(true)
-		c.confSoon.Fire()
+		c.confPending.Store(true)
+		c.confNudge.Fire()
 	}
 }
 
 // takeConf brings the newest configuration into force on this core. Of several that come while
 // it rests from reading one, the newest is read.
-func (c *Core) takeConf() {
+func (c *Core) applyConf() {
 	began := c.env.Clock.Since()
-	if c.reading.Left(began) > 0 || !c.confNews.Swap(false) {
+	if c.readBackoff.Left(began) > 0 || !c.confPending.Swap(false) {
 		return
 	}
 	e, found := c.gossip.Get(conf.Key)
@@ -46,7 +46,7 @@
 		return
 	}
 	ended := c.env.Clock.Since()
-	c.reading.Worked(began, ended)
+	c.readBackoff.Worked(began, ended)
 	c.conf.Store(&read.effective)
 	c.serial.Store(read.serial)
 	c.log.Info("configuration in force", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "serial", read.serial, "tookMs", (ended - began).Milliseconds())
@@ -66,11 +66,11 @@
 func (c *Core) submit(ctx context.Context, s operator.Submission) (operator.Submitted, error) {
 	var out operator.Submitted
 	errStop := errors.New("refused")
-	change := conf.Change{Manner: s.Manner, ContentType: s.ContentType, Body: s.Body, IfMatch: s.IfMatch}
+	change := conf.Change{Mode: s.Manner, ContentType: s.ContentType, Body: s.Body, IfMatch: s.IfMatch}
 	began := time.Now()
 	var effective *conf.Effective
-	rec, err := c.own.Update(ctx, conf.Key, func(old state.Record, found bool) ([]byte, error) {
-		var was conf.Kept
+	rec, err := c.owner.Update(ctx, conf.Key, func(old state.Record, found bool) ([]byte, error) {
+		var was conf.Stored
 		if found {
 			var err error
 			if was, err = conf.Unpack(old.Value); err != nil {
@@ -78,7 +78,7 @@
 			}
 		}
 		got, err := was.Apply(change)
-		var faults conf.Faults
+		var faults conf.ValidationErrors
 		switch {
 		case errors.As(err, &faults):
 			out = operator.Submitted{Faults: faults}
@@ -88,12 +88,12 @@
 		case got.Stale:
 			out = operator.Submitted{Stale: true, Serial: was.Serial}
 			return nil, errStop
-		case got.Again:
-			out = operator.Submitted{Serial: was.Serial, Sum: change.Sum()}
+		case got.Duplicate:
+			out = operator.Submitted{Serial: was.Serial, Sum: change.BodyDigest()}
 			return nil, errStop
 		}
-		out, effective = operator.Submitted{Serial: got.Kept.Serial, Sum: change.Sum()}, got.Effective
-		return got.Kept.Pack(), nil
+		out, effective = operator.Submitted{Serial: got.Stored.Serial, Sum: change.BodyDigest()}, got.Effective
+		return got.Stored.Pack(), nil
 	})
 	if errors.Is(err, errStop) {
 		return out, nil
@@ -111,20 +111,20 @@
 
 // newest answers as the owner of the configuration.
 func (c *Core) newest(ctx context.Context, q NewestQuery) (Newest, error) {
-	rec, found, err := c.own.Get(ctx, conf.Key)
+	rec, found, err := c.owner.Get(ctx, conf.Key)
 	if err != nil || !found {
 		return Newest{}, err
 	}
 	entry := gossip.Entry{Key: rec.Key, Stamp: rec.Stamp, Value: rec.Value}
 	if q.StampOnly {
-		entry.Value, entry.Head = nil, true
+		entry.Value, entry.ValueOmitted = nil, true
 	}
 	return Newest{Found: true, Entry: entry}, nil
 }
 
 // askNewest asks the owner of the configuration, wherever that is.
-func (c *Core) askNewest(ctx context.Context, q NewestQuery) (Newest, error) {
-	return atOwner(ctx, c, conf.Key, newestPath, q, c.newest)
+func (c *Core) queryNewest(ctx context.Context, q NewestQuery) (Newest, error) {
+	return callOwner(ctx, c, conf.Key, newestPath, q, c.newest)
 }
 
 // confirm answers an agent. Why: after a loss of power all agents ask at once, and the
@@ -133,33 +133,33 @@
 	if q.StampOnly {
 		return c.newestStamp.Ask(ctx)
 	}
-	return c.askNewest(ctx, q)
+	return c.queryNewest(ctx, q)
 }
 
 // Submit takes a configuration from an operator at whichever core.
 func (c *Core) Submit(ctx context.Context, s operator.Submission) (operator.Submitted, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	a, err := atOwner(ctx, c, conf.Key, "/conf/submit", s, c.submit)
+	a, err := callOwner(ctx, c, conf.Key, "/conf/submit", s, c.submit)
 	switch {
 	case errors.Is(err, state.ErrNoQuorum), errors.Is(err, state.ErrNotOwner):
 		return a, operator.ErrNoQuorum
 	case err != nil:
-		return a, operator.ErrUnknown
+		return a, operator.ErrOutcomeUnknown
 	}
 	return a, nil
 }
 
 // Newest reads the newest acknowledged configuration.
-func (c *Core) Newest(ctx context.Context) (conf.Kept, bool, error) {
+func (c *Core) Newest(ctx context.Context) (conf.Stored, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	n, err := c.newestStamp.Ask(ctx)
-	if err == nil && n.Found && n.Entry.Head {
+	if err == nil && n.Found && n.Entry.ValueOmitted {
 		n, err = c.document(ctx, n)
 	}
 	if err != nil || !n.Found {
-		return conf.Kept{}, false, err
+		return conf.Stored{}, false, err
 	}
 	k, err := conf.Unpack(n.Entry.Value)
 	return k, err == nil, err
@@ -171,10 +171,10 @@
 	if here, found := c.gossip.Get(conf.Key); found && here.Stamp == named.Entry.Stamp {
 		return Newest{Found: true, Entry: here}, nil
 	}
-	return c.askNewest(ctx, NewestQuery{})
+	return c.queryNewest(ctx, NewestQuery{})
 }
 
 // Rescue makes this core the only voter.
 func (c *Core) Rescue(ctx context.Context, lost []string, serial uint64) (any, error) {
-	return c.set.Rescue(ctx, lost, serial)
+	return c.coreSet.Rescue(ctx, lost, serial)
 }
--- a/internal/core/consider.go
+++ b/internal/core/consider.go
@@ -17,8 +17,8 @@
 )
 
 // considerHere has the controller of a replica, if it is here, consider a load.
-func (c *Core) considerHere(ctx context.Context, q order.ConsiderRequest) (order.ConsiderResponse, error) {
-	controller := (*c.controllersNow.Load())[q.Replica]
+func (c *Core) considerLocal(ctx context.Context, q order.ConsiderRequest) (order.ConsiderResponse, error) {
+	controller := (*c.controllersSnapshot.Load())[q.Replica]
 	if controller == nil {
 		return order.ConsiderResponse{}, wire.Refuse("not-owner", q.Replica+" is not controlled here")
 	}
@@ -27,14 +27,14 @@
 
 // considerAllHere asks the controllers of several replicas side by side, dry.
 // Why: who asks waits for so long for all of them; one that is slow must not keep the others' answers back.
-func (c *Core) considerAllHere(ctx context.Context, q order.ConsiderBatchRequest) []order.ConsiderResponse {
+func (c *Core) considerAllLocal(ctx context.Context, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 	ctx, cancel := context.WithTimeout(ctx, c.s.Cadence.Ask*3/4)
 	defer cancel()
-	return c.eachReplica(q, func(one order.ConsiderRequest) (order.ConsiderResponse, error) { return c.considerHere(ctx, one) })
+	return c.considerEach(q, func(one order.ConsiderRequest) (order.ConsiderResponse, error) { return c.considerLocal(ctx, one) })
 }
 
 // eachReplica asks about each replica of q side by side.
-func (c *Core) eachReplica(q order.ConsiderBatchRequest, ask func(order.ConsiderRequest) (order.ConsiderResponse, error)) []order.ConsiderResponse {
+func (c *Core) considerEach(q order.ConsiderBatchRequest, ask func(order.ConsiderRequest) (order.ConsiderResponse, error)) []order.ConsiderResponse {
 	type answered struct {
 		i int
 		a order.ConsiderResponse
@@ -59,7 +59,7 @@
 // consider asks the controller of a replica, on whichever core it is.
 func (c *Core) consider(ctx context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 	if controller == c.s.Name {
-		return c.considerHere(ctx, q)
+		return c.considerLocal(ctx, q)
 	}
 	addr, live := c.coreAddr(controller)
 	if !live {
@@ -71,33 +71,33 @@
 // considerAll asks the core that controls several replicas about all of them.
 func (c *Core) considerAll(ctx context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 	if controller == c.s.Name {
-		return c.considerAllHere(ctx, q)
+		return c.considerAllLocal(ctx, q)
 	}
 	addr, live := c.coreAddr(controller)
 	if !live {
-		return unheard(q, wire.ErrUnreachable)
+		return unanswered(q, wire.ErrUnreachable)
 	}
-	return c.considerAllAt(ctx, addr, q)
+	return c.considerAllRemote(ctx, addr, q)
 }
 
 // considerAllAt asks with one message; a core of an earlier version is asked about each replica.
-func (c *Core) considerAllAt(ctx context.Context, addr string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
+func (c *Core) considerAllRemote(ctx context.Context, addr string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 	got, err := wire.Call[order.ConsiderBatchRequest, order.ConsiderBatchResponse](ctx, c.caller, addr, considerAllPath, q)
 	switch {
 	case errors.Is(err, wire.ErrNotServed):
-		return c.eachReplica(q, func(one order.ConsiderRequest) (order.ConsiderResponse, error) {
+		return c.considerEach(q, func(one order.ConsiderRequest) (order.ConsiderResponse, error) {
 			return wire.Call[order.ConsiderRequest, order.ConsiderResponse](ctx, c.caller, addr, considerPath, one)
 		})
 	case err != nil:
-		return unheard(q, err)
+		return unanswered(q, err)
 	case len(got.Answers) != len(q.Replicas):
-		return unheard(q, wire.ErrMalformed)
+		return unanswered(q, wire.ErrMalformed)
 	}
 	return got.Answers
 }
 
 // unheard is the answers where none came.
-func unheard(q order.ConsiderBatchRequest, err error) []order.ConsiderResponse {
+func unanswered(q order.ConsiderBatchRequest, err error) []order.ConsiderResponse {
 	answers := make([]order.ConsiderResponse, len(q.Replicas))
 	for i := range answers {
 		answers[i] = order.NoAnswer(err)
--- a/internal/core/consider_test.go
+++ b/internal/core/consider_test.go
@@ -14,13 +14,13 @@
 )
 
 // askedCore answers about replicas by name, by one message or one by one, and counts the calls.
-type askedCore struct {
+type fakeCore struct {
 	calls  atomic.Int64
 	batch  bool // it knows the call about several replicas
 	garble bool // it answers about fewer than it was asked about
 }
 
-func (a *askedCore) mux() *wire.Mux {
+func (a *fakeCore) mux() *wire.Mux {
 	mux := wire.NewMux()
 	answer := func(q order.ConsiderRequest) order.ConsiderResponse {
 		return order.ConsiderResponse{Accepted: q.Replica != "full" && q.DryRun && q.Item == "m", Why: q.Replica}
@@ -52,7 +52,7 @@
 }
 
 // asked is what a core hears that asks another about replicas.
-func asked(t *testing.T, a *askedCore, replicas ...string) (answers []order.ConsiderResponse) {
+func considerVia(t *testing.T, a *fakeCore, replicas ...string) (answers []order.ConsiderResponse) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fabric := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
@@ -64,7 +64,7 @@
 		server := wire.NewServer(ln, a.mux())
 		g.Go(server.Run)
 		c := &Core{group: g, caller: wire.NewClient(fabric.Host("10.0.0.1"))}
-		answers = c.considerAllAt(t.Context(), "10.0.0.2:7000", order.ConsiderBatchRequest{Request: order.ConsiderRequest{Item: "m"}, Replicas: replicas})
+		answers = c.considerAllRemote(t.Context(), "10.0.0.2:7000", order.ConsiderBatchRequest{Request: order.ConsiderRequest{Item: "m"}, Replicas: replicas})
 		c.caller.Close()
 		server.Close()
 		g.Stop()
@@ -73,26 +73,26 @@
 }
 
 // One message asks about all replicas of one core.
-func TestReplicasOfOneCoreAreAskedAboutAtOnce(t *testing.T) {
-	a := &askedCore{batch: true}
-	got := asked(t, a, "r1", "full", "r2")
+func TestReplicasOfOneCoreAreQueriedInOneCall(t *testing.T) {
+	a := &fakeCore{batch: true}
+	got := considerVia(t, a, "r1", "full", "r2")
 	if a.calls.Load() != 1 || len(got) != 3 || !got[0].Accepted || got[1].Accepted || !got[2].Accepted || got[2].Why != "r2" {
 		t.Errorf("%d calls, %+v", a.calls.Load(), got)
 	}
 }
 
 // A core of an earlier version does not know that message, and is asked about each replica.
-func TestAnEarlierVersionIsAskedAboutEachReplica(t *testing.T) {
-	a := &askedCore{}
-	got := asked(t, a, "r1", "elsewhere", "full")
+func TestCoreWithoutBatchCallIsQueriedPerReplica(t *testing.T) {
+	a := &fakeCore{}
+	got := considerVia(t, a, "r1", "elsewhere", "full")
 	if a.calls.Load() != 3 || len(got) != 3 || !got[0].Accepted || !got[1].Unanswered || got[1].Accepted || got[2].Accepted || got[2].Unanswered {
 		t.Errorf("%d calls, %+v", a.calls.Load(), got)
 	}
 }
 
 // Answers that are not one for each replica are none.
-func TestTooFewAnswersAreNone(t *testing.T) {
-	for _, x := range asked(t, &askedCore{batch: true, garble: true}, "r1", "r2") {
+func TestIncompleteBatchAnswerIsRejected(t *testing.T) {
+	for _, x := range considerVia(t, &fakeCore{batch: true, garble: true}, "r1", "r2") {
 		if !x.Unanswered || x.Accepted {
 			t.Errorf("%+v", x)
 		}
--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -17,21 +17,21 @@
 }
 
 // afloat tells the store's keeper of a load that may still start.
-func (c *Core) afloat(ctx context.Context, who string) {
-	_, _ = atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: who, Outstanding: true}, c.planner.Grant)
+func (c *Core) reportOutstanding(ctx context.Context, who string) {
+	_, _ = callOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: who, Outstanding: true}, c.planner.Grant)
 }
 
 func (c *Core) grant(ctx context.Context, l order.GrantRequest) (time.Duration, bool) {
-	g, err := atOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.Who, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
+	g, err := callOwner(ctx, c, plan.PaceKey, "/place/grant", plan.GrantRequest{LoadID: l.LoadID, Penalty: l.Penalty, StartID: l.StartID}, c.planner.Grant)
 	return time.Duration(g.WaitMs) * time.Millisecond, err == nil && g.Granted
 }
 
-func (c *Core) tellShared(ctx context.Context, s plan.SharedPredictions) {
-	to := c.others()
+func (c *Core) sharePredictions(ctx context.Context, s plan.SharedPredictions) {
+	to := c.otherCores()
 	ch := run.FanOut(c.group, len(to), func(ctx context.Context, i int) bool {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		_, err := wire.Call[plan.SharedPredictions, none](ctx, c.caller, to[i].Addr, "/place/share", s)
+		_, err := wire.Call[plan.SharedPredictions, empty](ctx, c.caller, to[i].Addr, "/place/share", s)
 		return err == nil
 	})
 	for range to {
@@ -40,7 +40,7 @@
 }
 
 // tend opens and closes controllers, as slots come and go and the platform lists.
-func (c *Core) tend(context.Context) {
+func (c *Core) reconcileControllers(context.Context) {
 	now := c.env.Clock.Since()
 	listed := map[string]inventory.Listed{}
 	if c.watch.Rounds() > 0 {
@@ -49,15 +49,15 @@
 		}
 	}
 	// Why: with the platform dark the replicas go on, so those known from the gossip stay controlled.
-	heard := c.watch.HeardFor() < 5*time.Second
+	heard := c.watch.SinceContact() < 5*time.Second
 	for _, v := range c.views.Statuses().All {
 		id := v.Listed.ID
 		if _, there := listed[id]; there {
-			delete(c.absent, id)
+			delete(c.absentSince, id)
 			continue
 		}
-		if since, found := c.absent[id]; !found || !heard {
-			c.absent[id] = now
+		if since, found := c.absentSince[id]; !found || !heard {
+			c.absentSince[id] = now
 			listed[id] = v.Listed
 		} else if now-since < 5*time.Second {
 			listed[id] = v.Listed
@@ -65,11 +65,11 @@
 	}
 	for id, one := range c.controllers {
 		_, there := listed[id]
-		if there && c.own.Holds(order.Key(id)) {
+		if there && c.owner.Holds(order.Key(id)) {
 			one.controller.SetListed(listed[id])
 			continue
 		}
-		gone := !there && c.own.Holds(order.Key(id))
+		gone := !there && c.owner.Holds(order.Key(id))
 		delete(c.controllers, id)
 		c.group.Go(func(ctx context.Context) {
 			// Why: its last word must be out before its actor ends.
@@ -78,17 +78,17 @@
 		})
 	}
 	for id, l := range listed {
-		if c.controllers[id] != nil || !c.own.Holds(order.Key(id)) {
+		if c.controllers[id] != nil || !c.owner.Holds(order.Key(id)) {
 			continue
 		}
 		g := c.group.Child()
 		c.controllers[id] = &controlled{group: g, controller: order.NewController(g, order.Deps{Clock: c.env.Clock, Log: c.log, Self: c.s.Name, Boot: c.boot,
-			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.own, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, PredictedRequests: c.planner.PredictedRequests,
-			Others: c.views.Statuses, LiveAgents: c.agents, PlatformAge: c.watch.HeardFor, Grant: c.grant, Afloat: c.afloat}, l)}
+			Cadence: c.s.Cadence, Replicas: c.replicas, Owner: c.owner, Gossip: c.gossip, Reports: c.reports, Conf: c.effective, PredictedRequests: c.planner.PredictedRequests,
+			Statuses: c.views.Statuses, LiveAgents: c.liveAgents, PlatformAge: c.watch.SinceContact, Grant: c.grant, ReportOutstanding: c.reportOutstanding}, l)}
 	}
 	snap := map[string]*order.Controller{}
 	for id, one := range c.controllers {
 		snap[id] = one.controller
 	}
-	c.controllersNow.Store(&snap)
+	c.controllersSnapshot.Store(&snap)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -54,12 +54,12 @@
 	Platform string
 	// Founders are the addresses of the cores that form the first set, in place
 	// of a count; a core that is none of them, or is not to found, joins.
-	Founders []string
-	MayFound bool
-	Bounds   bounds.Bounds
-	Cadence  bounds.Cadence
-	Lister   inventory.Lister // nil asks Platform over the design's own API
-	Replicas backend.Client   // nil asks replicas over the design's own API
+	InitialAddrs []string
+	MayBootstrap bool
+	Bounds       bounds.Bounds
+	Cadence      bounds.Cadence
+	Lister       inventory.Lister // nil asks Platform over the design's own API
+	Replicas     backend.Client   // nil asks replicas over the design's own API
 	// Operators are further APIs for operators, by address.
 	Operators map[string]func(operator.Control) http.Handler
 }
@@ -83,57 +83,57 @@
 
 // Core is a running dscore.
 type Core struct {
-	s              Settings
-	env            Env
-	log            *slog.Logger
-	boot           string
-	began          time.Duration
-	group          *run.Group // what this core does
-	base           *run.Group // what it stands on: servers, datagrams, disk
-	acc            *acceptor.Acceptor
-	own            *owner.Owner
-	set            *coremembers.Manager
-	members        *member.Table
-	touch          *touch.Keeper
-	gossip         *gossip.Table
-	spread         *gossip.Spreader
-	planner        *plan.Planner
-	reports        *report.Table
-	relay          *relay.Relay
-	lag            *load.LagMonitor
-	views          *plan.StatusCache
-	watch          *inventory.Watch
-	replicas       backend.Client
-	caller         *wire.Client
-	mux            *wire.Mux
-	post           *wire.DatagramSocket
-	servers        []*wire.Server
-	conf           atomic.Pointer[conf.Effective]
-	serial         atomic.Uint64
-	checked        atomic.Pointer[checkedConf]
-	confNews       atomic.Bool // a configuration has come that was not read yet
-	confSoon       *run.Trigger
-	newestStamp    *flight.Shared[Newest] // the owner's word on the newest configuration
-	reading        rest.Rest              // of configurations; owned by the actor of confSoon
-	controllers    map[string]*controlled // owned by the actor of tend
-	controllersNow atomic.Pointer[map[string]*order.Controller]
-	absent         map[string]time.Duration
-	preferred      preference
+	s                   Settings
+	env                 Env
+	log                 *slog.Logger
+	boot                string
+	startedAt           time.Duration
+	group               *run.Group // what this core does
+	base                *run.Group // what it stands on: servers, datagrams, disk
+	acceptor            *acceptor.Acceptor
+	owner               *owner.Owner
+	coreSet             *coremembers.Manager
+	members             *member.Table
+	touch               *touch.Tracker
+	gossip              *gossip.Table
+	spread              *gossip.Disseminator
+	planner             *plan.Planner
+	reports             *report.Table
+	relay               *relay.Relay
+	lag                 *load.LagMonitor
+	views               *plan.StatusCache
+	watch               *inventory.Watcher
+	replicas            backend.Client
+	caller              *wire.Client
+	mux                 *wire.Mux
+	post                *wire.DatagramSocket
+	servers             []*wire.Server
+	conf                atomic.Pointer[conf.Effective]
+	serial              atomic.Uint64
+	checked             atomic.Pointer[checkedConf]
+	confPending         atomic.Bool // a configuration has come that was not read yet
+	confNudge           *run.Trigger
+	newestStamp         *flight.Shared[Newest] // the owner's word on the newest configuration
+	readBackoff         rest.Rest              // of configurations; owned by the actor of confSoon
+	controllers         map[string]*controlled // owned by the actor of tend
+	controllersSnapshot atomic.Pointer[map[string]*order.Controller]
+	absentSince         map[string]time.Duration
+	preferred           preference
 	// tendSoon looks at once at which replicas are to be controlled here.
-	tendSoon *run.Trigger
-	holders  [state.SlotCount]atomic.Pointer[string] // who held each slot when last asked
+	reconcileNudge *run.Trigger
+	lastHolders    [state.SlotCount]atomic.Pointer[string] // who held each slot when last asked
 }
 
 const (
-	probeFor  = 400 * time.Millisecond  // for asking who holds a slot
-	ownerFor  = 3 * time.Second         // for what is done at the holder
-	stopFor   = 1500 * time.Millisecond // for the calls that are under way when this core stops
-	tendEvery = 300 * time.Millisecond  // between two looks at which replicas are controlled here
-	readEvery = 100 * time.Millisecond  // between two looks whether a configuration is to be read
+	holderProbeTimeout = 400 * time.Millisecond  // for asking who holds a slot
+	ownerCallTimeout   = 3 * time.Second         // for what is done at the holder
+	drainTimeout       = 1500 * time.Millisecond // for the calls that are under way when this core stops
+	reconcileInterval  = 300 * time.Millisecond  // between two looks at which replicas are controlled here
+	confReadInterval   = 100 * time.Millisecond  // between two looks whether a configuration is to be read
 )
 
 // NewBoot is a fresh identity for a process.
-func NewBoot() string {
+func NewBootID() string {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic("no randomness: " + err.Error())
@@ -143,12 +143,12 @@
 
 // Start opens the data folder and begins to take part.
 func Start(s Settings, env Env) (*Core, error) {
-	c := &Core{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: NewBoot(),
+	c := &Core{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: NewBootID(),
 		base: run.NewGroup(context.Background()), gossip: gossip.NewTable(), reports: report.NewTable(),
 		caller: wire.NewClient(env.Net), mux: wire.NewMux(),
-		controllers: map[string]*controlled{}, absent: map[string]time.Duration{}}
+		controllers: map[string]*controlled{}, absentSince: map[string]time.Duration{}}
 	c.group = c.base.Child()
-	c.began = env.Clock.Since()
+	c.startedAt = env.Clock.Since()
 	c.s.Bounds, c.s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
 	s = c.s
 	if c.replicas = s.Replicas; c.replicas == nil {
@@ -157,7 +157,7 @@
 	if s.Lister == nil {
 		s.Lister = inventory.NewLister(env.Net, s.Platform, c.log)
 	}
-	c.controllersNow.Store(&map[string]*order.Controller{})
+	c.controllersSnapshot.Store(&map[string]*order.Controller{})
 	empty := conf.Empty()
 	c.conf.Store(&empty)
 	ln, err := env.Net.Listen(s.Addr)
@@ -174,7 +174,7 @@
 		_, _ = ln.Close(), pc.Close()
 		return nil, err
 	}
-	if c.acc, err = acceptor.Open(c.base, s.Folder, acceptor.FolderOwner{Fleet: s.Fleet, Node: s.Name}, env.FS, env.Clock, c.log); err != nil {
+	if c.acceptor, err = acceptor.Open(c.base, s.Folder, acceptor.FolderOwner{Fleet: s.Fleet, Node: s.Name}, env.FS, env.Clock, c.log); err != nil {
 		_, _ = ln.Close(), pc.Close()
 		for _, f := range servers {
 			f.Close()
@@ -183,47 +183,47 @@
 		return nil, err
 	}
 	c.post = wire.NewDatagramSocket(pc)
-	c.watch = inventory.NewWatch(s.Lister, env.Clock, c.log, c.gossip)
-	c.touch = touch.New(env.Clock, func() time.Duration { return c.watch.HeardFor() }, c.heardMost)
-	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acc.DiskID(),
-		Phase: string(c.acc.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
+	c.watch = inventory.NewWatcher(s.Lister, env.Clock, c.log, c.gossip)
+	c.touch = touch.New(env.Clock, func() time.Duration { return c.watch.SinceContact() }, c.sinceQuorumContact)
+	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acceptor.DiskID(),
+		Phase: string(c.acceptor.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
-	c.reading = conf.ReadingRest()
-	c.confSoon = run.NewTrigger(run.NewActor(c.group, 4, readEvery, c.takeConf), c.takeConf)
-	c.gossip.OnNew(c.onGossip)
+	c.readBackoff = conf.ReadBackoff()
+	c.confNudge = run.NewTrigger(run.NewActor(c.group, 4, confReadInterval, c.applyConf), c.applyConf)
+	c.gossip.OnUpdate(c.onGossip)
 	c.views = plan.NewStatusCache(c.gossip)
-	c.spread = gossip.NewSpreader(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
-	c.acc.Serve(c.mux)
+	c.spread = gossip.NewDisseminator(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
+	c.acceptor.Serve(c.mux)
 	ownQuarantine := s.Bounds.Lease
-	if c.replicas.Traits().KnowsByName {
+	if c.replicas.Traits().IdentifiesControllerByName {
 		ownQuarantine = 0
 	}
-	c.own = owner.New(owner.Deps{Self: c.self, Group: c.group, Clock: env.Clock, Log: c.log, Caller: c.caller, Acceptor: c.acc,
-		Addr: c.addrOf, Rank: c.voters, Behind: func(v state.Core) { c.set.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, OwnQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnTake: c.onTake})
+	c.owner = owner.New(owner.Deps{Self: c.self, Group: c.group, Clock: env.Clock, Log: c.log, Caller: c.caller, Acceptor: c.acceptor,
+		Addr: c.addrOf, Rank: c.voters, OnVoterBehind: func(v state.Core) { c.coreSet.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, RestartQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnAcquire: c.onSlotAcquired})
 	c.lag = load.NewLagMonitor(c.group, env.Clock)
-	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.own, Gossip: c.gossip,
-		Reports: c.reports, Conf: c.effective, Views: c.views.Statuses, Ask: c.consider, AskAll: c.considerAll, Tell: c.tellShared, Busy: c.lag.Busy})
-	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, Newest: c.reports.Of,
-		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Taken, error) {
-			return wire.CallEncoded[relay.Taken](ctx, c.caller, addr, relay.Path, wire.EncodeMessage(b))
+	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.owner, Gossip: c.gossip,
+		Reports: c.reports, Conf: c.effective, Statuses: c.views.Statuses, Consider: c.consider, ConsiderAll: c.considerAll, SharePredictions: c.sharePredictions, Busy: c.lag.Busy})
+	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, LatestReport: c.reports.Get,
+		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Response, error) {
+			return wire.CallEncoded[relay.Response](ctx, c.caller, addr, relay.Path, wire.EncodeMessage(b))
 		}, Busy: c.lag.Busy})
-	c.set = coremembers.New(coremembers.Deps{Self: c.self, Want: s.Cores, InitialAddrs: s.Founders, MayBootstrap: s.MayFound, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
-		Acceptor: c.acc, Owner: c.own, Live: c.liveCores, Addr: c.addrOf, Gone: c.goneFor, SinceContact: c.heardFor}, c.mux)
+	c.coreSet = coremembers.New(coremembers.Deps{Self: c.self, FormationSize: s.Cores, InitialAddrs: s.InitialAddrs, MayBootstrap: s.MayBootstrap, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
+		Acceptor: c.acceptor, Owner: c.owner, Live: c.liveCores, Addr: c.addrOf, Absence: c.absence, SinceContact: c.sinceContact}, c.mux)
 	c.watch.Start(c.group, s.Cadence.List, func() bool { return true })
 	c.newestStamp = flight.New(c.group, func(ctx context.Context) (Newest, error) {
-		ctx, cancel := context.WithTimeout(ctx, ownerFor)
+		ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 		defer cancel()
-		return c.askNewest(ctx, NewestQuery{StampOnly: true})
+		return c.queryNewest(ctx, NewestQuery{StampOnly: true})
 	})
-	c.serve()
-	tending := run.NewActor(c.group, 4, tendEvery, func() { c.tend(c.group.Context()) })
-	c.tendSoon = run.NewTrigger(tending, func() { c.tend(c.group.Context()) })
+	c.registerHandlers()
+	tending := run.NewActor(c.group, 4, reconcileInterval, func() { c.reconcileControllers(c.group.Context()) })
+	c.reconcileNudge = run.NewTrigger(tending, func() { c.reconcileControllers(c.group.Context()) })
 	c.group.Every(200*time.Millisecond, func(context.Context) {
-		phase := string(c.acc.Membership().Phase)
-		if c.acc.DiskFailed() {
+		phase := string(c.acceptor.Membership().Phase)
+		if c.acceptor.DiskFailed() {
 			phase = "sick"
 		}
-		disk := c.acc.DiskID()
+		disk := c.acceptor.DiskID()
 		c.members.SetSelf(func(n *member.Node) { n.Phase, n.Disk = phase, disk })
 	})
 	load.StartLogging(c.group, c.log, c.mux.Stats, c.post.Stats)
@@ -259,15 +259,15 @@
 }
 
 // Reseed names other seeds.
-func (c *Core) Reseed(seeds []string) { c.members.Reseed(seeds) }
+func (c *Core) Reseed(seeds []string) { c.members.SetSeeds(seeds) }
 
 // Stop ends cleanly: slots are handed over, then all is let go.
 func (c *Core) Stop(ctx context.Context) error {
-	c.set.Stop()
-	c.own.Stop(ctx)
+	c.coreSet.Stop()
+	c.owner.Stop(ctx)
 	c.members.Leave(ctx)
 	// Why: calls that are under way are short; a connection that was only opened would be waited for longer.
-	within, cancel := context.WithTimeout(ctx, stopFor)
+	within, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	for _, s := range c.servers {
 		_ = s.Drain(within)
@@ -286,7 +286,7 @@
 	c.caller.Close()
 	c.replicas.Close()
 	c.watch.Close()
-	return c.acc.Close()
+	return c.acceptor.Close()
 }
 
 // Freeze and Thaw stop and go on with everything this core does; simulations use them.
@@ -296,10 +296,10 @@
 func (c *Core) Thaw() { c.base.Thaw() }
 
 // Held lists the slots this core holds now, with their epochs.
-func (c *Core) Held() map[int]uint64 { return c.own.Held() }
+func (c *Core) Held() map[int]uint64 { return c.owner.Held() }
 
 // Phase is how far this core has come towards voting.
-func (c *Core) Phase() acceptor.Phase { return c.acc.Membership().Phase }
+func (c *Core) Phase() acceptor.Phase { return c.acceptor.Membership().Phase }
 
 // Sick says whether the disk has failed, so that the process may end.
-func (c *Core) Sick() bool { return c.acc.DiskFailed() }
+func (c *Core) Sick() bool { return c.acceptor.DiskFailed() }
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -12,11 +12,11 @@
 	"drumstall.example/internal/state"
 )
 
-func (c *Core) onTake(slot int, recs []state.Record) {
-	if c.tendSoon != nil {
-		c.tendSoon.Fire()
+func (c *Core) onSlotAcquired(slot int, recs []state.Record) {
+	if c.reconcileNudge != nil {
+		c.reconcileNudge.Fire()
 	}
-	epoch := c.own.Held()[slot]
+	epoch := c.owner.Held()[slot]
 	c.planner.OnSlotAcquired(slot, epoch, recs)
 	for _, r := range recs {
 		if r.Key == conf.Key {
@@ -51,7 +51,7 @@
 // that says so now, under the highest epoch.
 func (c *Core) holder(ctx context.Context, slot int) (addr string, known bool) {
 	voters := c.voters(slot)
-	if last := c.holders[slot].Load(); last != nil {
+	if last := c.lastHolders[slot].Load(); last != nil {
 		for _, v := range voters {
 			if v.Name == *last && v.Name != c.s.Name {
 				return v.Addr, true
@@ -64,12 +64,12 @@
 	}
 	// Why: a preferred core may be alive for the edges and cut off from us; asking all at once does not wait for it.
 	ch := run.FanOut(c.group, len(voters), func(_ context.Context, i int) claim {
-		one, cancel := context.WithTimeout(ctx, probeFor)
+		one, cancel := context.WithTimeout(ctx, holderProbeTimeout)
 		defer cancel()
 		if voters[i].Name == c.s.Name {
 			return claim{}
 		}
-		held, err := wire.Call[none, map[int]uint64](one, c.caller, voters[i].Addr, "/state/held", none{})
+		held, err := wire.Call[empty, map[int]uint64](one, c.caller, voters[i].Addr, "/state/held", empty{})
 		if err != nil {
 			return claim{}
 		}
@@ -84,29 +84,29 @@
 	if best.epoch == 0 {
 		return "", false
 	}
-	c.holders[slot].Store(&best.v.Name)
+	c.lastHolders[slot].Store(&best.v.Name)
 	return best.v.Addr, true
 }
 
 // atOwner does something where a key is held: here, or on the core that says so.
-func atOwner[Q, A any](ctx context.Context, c *Core, key, path string, q Q, local func(context.Context, Q) (A, error)) (A, error) {
+func callOwner[Q, A any](ctx context.Context, c *Core, key, path string, q Q, local func(context.Context, Q) (A, error)) (A, error) {
 	var a A
 	slot := state.SlotOf(key)
 	for range 3 {
-		if c.own.Holds(key) {
+		if c.owner.Holds(key) {
 			return local(ctx, q)
 		}
 		addr, known := c.holder(ctx, slot)
 		if !known {
 			break
 		}
-		one, cancel := context.WithTimeout(ctx, ownerFor)
+		one, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 		a, err := wire.Call[Q, A](one, c.caller, addr, path, q)
 		cancel()
 		if err == nil {
 			return a, nil
 		}
-		c.holders[slot].Store(nil)
+		c.lastHolders[slot].Store(nil)
 		switch wire.Code(err) {
 		case "not-owner":
 			continue
@@ -119,7 +119,7 @@
 	return a, errors.Wrap(state.ErrNoQuorum, "no core is known to hold "+key)
 }
 
-func coded(err error) error {
+func toRefusal(err error) error {
 	switch {
 	case errors.Is(err, state.ErrNotOwner):
 		return errNotOwner
--- a/internal/core/preference.go
+++ b/internal/core/preference.go
@@ -20,7 +20,7 @@
 
 // of is the voters by how much each is preferred for a slot. First comes the one that is to hold it, so that no voter
 // is to hold more than an equal part; the others follow by their draws. The names are sorted; nobody may change the answer.
-func (p *preference) of(slot int, names []string) []string {
+func (p *preference) ranking(slot int, names []string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if joined := strings.Join(names, "\n"); joined != p.voters {
@@ -49,15 +49,15 @@
 
 // voters are the live members of the core membership, most preferred for the slot first.
 func (c *Core) voters(slot int) []state.Core {
-	set := c.acc.Membership().Set
+	set := c.acceptor.Membership().Set
 	byName := map[string]state.Core{}
 	for v, phase := range c.liveCores() {
-		if phase == acceptor.Voter && set.Has(v) && !c.unheard(v) {
+		if phase == acceptor.Voter && set.Has(v) && !c.isUnresponsive(v) {
 			byName[v.Name] = v
 		}
 	}
 	var out []state.Core
-	for _, name := range c.preferred.of(slot, slices.Sorted(maps.Keys(byName))) {
+	for _, name := range c.preferred.ranking(slot, slices.Sorted(maps.Keys(byName))) {
 		out = append(out, byName[name])
 	}
 	return out
--- a/internal/core/roll.go
+++ b/internal/core/roll.go
@@ -12,7 +12,7 @@
 )
 
 func (c *Core) self() state.Core {
-	return state.Core{Name: c.s.Name, DiskID: c.acc.DiskID(), Addr: c.s.Addr}
+	return state.Core{Name: c.s.Name, DiskID: c.acceptor.DiskID(), Addr: c.s.Addr}
 }
 
 // addrOf is where a voter is reached; the roll knows better than the set.
@@ -22,7 +22,7 @@
 			if n.Disk != v.DiskID {
 				return "", false
 			}
-			return n.Addr, n.Thought()
+			return n.Addr, n.PresumedAlive()
 		}
 	}
 	return v.Addr, v.Addr != ""
@@ -37,44 +37,44 @@
 }
 
 // unheardAfter is for how long a voter must not have answered this core to be passed over for slots.
-const unheardAfter = 1500 * time.Millisecond
+const unresponsiveAfter = 1500 * time.Millisecond
 
 // unheard says that a voter does not answer this core. Why: one that others still
 // reach may be cut off from the cores, and a slot that waits for it is held by nobody.
-func (c *Core) unheard(v state.Core) bool {
-	if v.SameVoter(c.self()) || c.env.Clock.Since()-c.began < unheardAfter {
+func (c *Core) isUnresponsive(v state.Core) bool {
+	if v.SameVoter(c.self()) || c.env.Clock.Since()-c.startedAt < unresponsiveAfter {
 		return false
 	}
-	return c.heardFor(v) > unheardAfter
+	return c.sinceContact(v) > unresponsiveAfter
 }
 
 // goneFor says whether a voter has left on purpose, and for how long it has not
 // answered; 0 while it is thought to be there.
-func (c *Core) goneFor(v state.Core) (left bool, away time.Duration) {
+func (c *Core) absence(v state.Core) (left bool, away time.Duration) {
 	for _, n := range c.members.Nodes() {
 		if n.Role != member.RoleCore || n.Name != v.Name || n.Disk != v.DiskID {
 			continue
 		}
-		if n.Thought() {
+		if n.PresumedAlive() {
 			return false, 0
 		}
-		return n.State == member.Left, c.heardFor(v)
+		return n.State == member.Left, c.sinceContact(v)
 	}
-	return false, c.heardFor(v)
+	return false, c.sinceContact(v)
 }
 
 // heardFor is how long ago a voter answered this core.
-func (c *Core) heardFor(v state.Core) time.Duration {
-	return min(c.members.HeardFor(v.Name), c.own.SinceLastGrant(v))
+func (c *Core) sinceContact(v state.Core) time.Duration {
+	return min(c.members.SinceLastAck(v.Name), c.owner.SinceLastGrant(v))
 }
 
 // gossipTree is whom this core tells its news in a large fleet.
 func (c *Core) gossipTree() gossip.Tree {
-	return fanout.View{Self: c.members.Self(), Nodes: c.members.Nodes(), HeardFor: c.members.HeardFor}.Tree()
+	return fanout.View{Self: c.members.Self(), Nodes: c.members.Nodes(), SinceLastAck: c.members.SinceLastAck}.Tree()
 }
 
 // others are the live cores but this one.
-func (c *Core) others() []member.Node {
+func (c *Core) otherCores() []member.Node {
 	var out []member.Node
 	for _, n := range c.members.Live(member.RoleCore) {
 		if n.Name != c.s.Name {
@@ -85,21 +85,21 @@
 }
 
 // heardMost is how long ago most of the core membership was heard, this core among them.
-func (c *Core) heardMost() time.Duration {
-	st := c.acc.Membership()
+func (c *Core) sinceQuorumContact() time.Duration {
+	st := c.acceptor.Membership()
 	if st.Phase != acceptor.Voter {
 		return touch.Never
 	}
 	var ago []time.Duration
 	for _, v := range st.Set.Cores {
 		if !v.SameVoter(c.self()) {
-			ago = append(ago, min(c.members.HeardFor(v.Name), c.own.SinceLastGrant(v)))
+			ago = append(ago, min(c.members.SinceLastAck(v.Name), c.owner.SinceLastGrant(v)))
 		}
 	}
-	return touch.Most(st.Set.Quorum(), ago)
+	return touch.QuorumAge(st.Set.Quorum(), ago)
 }
 
-func (c *Core) agents() map[string]bool {
+func (c *Core) liveAgents() map[string]bool {
 	out := map[string]bool{}
 	for _, n := range c.members.Live(member.RoleAgent) {
 		out[n.Name] = true
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -13,26 +13,26 @@
 )
 
 // about asks for decisions about a model.
-type about struct {
+type explainQuery struct {
 	Model string `cbor:"1,keyasint"`
 }
 
 // told is decisions as JSON: they are for people, not for acting on.
-type told struct {
+type explainAnswer struct {
 	JSON []byte `cbor:"1,keyasint"`
 }
 
-func (c *Core) explainHere(ctx context.Context, q about) (told, error) {
+func (c *Core) explainHere(ctx context.Context, q explainQuery) (explainAnswer, error) {
 	b, err := json.Marshal(c.planner.Explain(ctx, q.Model))
-	return told{b}, err
+	return explainAnswer{b}, err
 }
 
 // Explain gives decisions of all cores about a model, newest first.
 func (c *Core) Explain(ctx context.Context, model string) any {
 	out := c.planner.Explain(ctx, model)
-	for _, n := range c.others() {
+	for _, n := range c.otherCores() {
 		one, cancel := context.WithTimeout(ctx, time.Second)
-		t, err := wire.Call[about, told](one, c.caller, n.Addr, "/place/explain", about{model})
+		t, err := wire.Call[explainQuery, explainAnswer](one, c.caller, n.Addr, "/place/explain", explainQuery{model})
 		cancel()
 		var theirs []plan.Decision
 		if err == nil && json.Unmarshal(t.JSON, &theirs) == nil {
@@ -44,11 +44,11 @@
 }
 
 // gather joins what this core and all others say to a question.
-func gather[V any](ctx context.Context, c *Core, path string, mine func(context.Context) map[string]V) map[string]V {
+func mergeFromCores[V any](ctx context.Context, c *Core, path string, mine func(context.Context) map[string]V) map[string]V {
 	out := mine(ctx)
-	for _, n := range c.others() {
+	for _, n := range c.otherCores() {
 		one, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
-		if u, err := wire.Call[none, map[string]V](one, c.caller, n.Addr, path, none{}); err == nil {
+		if u, err := wire.Call[empty, map[string]V](one, c.caller, n.Addr, path, empty{}); err == nil {
 			maps.Copy(out, u)
 		}
 		cancel()
@@ -87,7 +87,7 @@
 
 // Status is what this core sees.
 func (c *Core) Status(ctx context.Context) any {
-	st := c.acc.Membership()
+	st := c.acceptor.Membership()
 	now := c.env.Clock.Since()
 	type edge struct {
 		Conf    uint64 `json:"conf"`
@@ -97,14 +97,14 @@
 	}
 	edges, laggards := map[string]edge{}, []string{}
 	tenants := tenantSums{}
-	serial, agents := c.serial.Load(), c.agents()
+	serial, agents := c.serial.Load(), c.liveAgents()
 	for name, r := range c.reports.All() {
-		e := edge{Conf: r.Conf, Lags: r.Conf < serial, HeardMs: (now - r.At).Milliseconds(), Serving: r.Serving}
+		e := edge{Conf: r.ConfigSerial, Lags: r.ConfigSerial < serial, HeardMs: (now - r.At).Milliseconds(), Serving: r.Serving}
 		if e.Lags && agents[name] {
 			laggards = append(laggards, name)
 		}
 		edges[name] = e
-		if now-r.At < tenantsFresh {
+		if now-r.At < tenantsMaxAge {
 			tenants.add(r.Tenants)
 		}
 	}
@@ -113,10 +113,10 @@
 	for _, n := range c.members.Nodes() {
 		members = append(members, map[string]any{"name": n.Name, "role": n.Role, "zone": n.Zone, "addr": n.Addr, "state": n.State.String(), "phase": n.Phase, "operator": n.API, "build": n.Build})
 	}
-	held := map[string]map[int]uint64{c.s.Name: c.own.Held()}
-	for _, n := range c.others() {
+	held := map[string]map[int]uint64{c.s.Name: c.owner.Held()}
+	for _, n := range c.otherCores() {
 		one, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
-		if h, err := wire.Call[none, map[int]uint64](one, c.caller, n.Addr, "/state/held", none{}); err == nil {
+		if h, err := wire.Call[empty, map[int]uint64](one, c.caller, n.Addr, "/state/held", empty{}); err == nil {
 			held[n.Name] = h
 		}
 		cancel()
@@ -133,9 +133,9 @@
 	return map[string]any{
 		"core": c.s.Name, "phase": string(st.Phase), "coreSet": st.Set, "slots": held, "members": members,
 		"busy": c.lag.Busy(), "served": c.served(), "decisions": c.planner.Progress(), "conf": serial, "laggards": laggards, "edges": edges, "tenants": tenants, "replicas": views.All,
-		"claimsUnmet": gather(ctx, c, "/place/unmet", c.planner.UnmetClaims), "afloatS": gather(ctx, c, "/place/afloat", c.planner.OutstandingLoads), "inflight": inflight, "platformHeardMs": c.watch.HeardFor().Milliseconds(),
+		"claimsUnmet": mergeFromCores(ctx, c, "/place/unmet", c.planner.UnmetClaims), "afloatS": mergeFromCores(ctx, c, "/place/afloat", c.planner.OutstandingLoads), "inflight": inflight, "platformHeardMs": c.watch.SinceContact().Milliseconds(),
 		"counts": map[string]int64{"garbledCalls": c.mux.Malformed(), "garbledAnswers": c.caller.Malformed(), "garbledGrams": c.post.Malformed(),
-			"news": int64(known), "newsDropped": dropped, "handedOver": c.own.Repaired(), "edgesRelayed": c.relay.Agents(),
+			"news": int64(known), "newsDropped": dropped, "handedOver": c.owner.Repaired(), "edgesRelayed": c.relay.Agents(),
 			"callsMade": calls, "bytesCalled": bytes, "gramsSent": c.post.Sent()},
 	}
 }
--- a/internal/core/tenants.go
+++ b/internal/core/tenants.go
@@ -7,7 +7,7 @@
 )
 
 // tenantsFresh is how old an edge's figures of tenants may be to be shown.
-const tenantsFresh = 30 * time.Second
+const tenantsMaxAge = 30 * time.Second
 
 // tenantSum is what one tenant has at all edges together, as status shows it.
 type tenantSum struct {
@@ -32,10 +32,10 @@
 			s[name] = sum
 		}
 		sum.Share = t.Share
-		sum.Prefixes += t.Kept
-		sum.Evicted += t.Evicted
-		sum.Tokens += t.Tokens
-		sum.WarmTokens += t.Warm
+		sum.Prefixes += t.CachedPrefixes
+		sum.Evicted += t.EvictedPrefixes
+		sum.Tokens += t.PromptTokens
+		sum.WarmTokens += t.WarmTokens
 		if t.Bulk {
 			sum.BulkAtEdges++
 		}
--- a/internal/core/tenants_test.go
+++ b/internal/core/tenants_test.go
@@ -6,10 +6,10 @@
 	"drumstall.example/internal/place/report"
 )
 
-func TestFiguresOfTenantsAreSummedOverEdges(t *testing.T) {
+func TestTenantFiguresAreSummedOverEdges(t *testing.T) {
 	s := tenantSums{}
-	s.add(map[string]report.Tenant{"a": {Share: 3, Kept: 10, Evicted: 1, Tokens: 100, Warm: 50, Bulk: true}, "b": {Share: 1}})
-	s.add(map[string]report.Tenant{"a": {Share: 3, Kept: 5, Evicted: 2, Tokens: 300, Warm: 250}})
+	s.add(map[string]report.Tenant{"a": {Share: 3, CachedPrefixes: 10, EvictedPrefixes: 1, PromptTokens: 100, WarmTokens: 50, Bulk: true}, "b": {Share: 1}})
+	s.add(map[string]report.Tenant{"a": {Share: 3, CachedPrefixes: 5, EvictedPrefixes: 2, PromptTokens: 300, WarmTokens: 250}})
 	s.add(nil)
 	if want := (tenantSum{Share: 3, Prefixes: 15, Evicted: 3, Tokens: 400, WarmTokens: 300, WarmPart: 0.75, BulkAtEdges: 1}); *s["a"] != want {
 		t.Errorf("got %+v, want %+v", *s["a"], want)
--- a/internal/gossip/cursor_test.go
+++ b/internal/gossip/cursor_test.go
@@ -9,29 +9,29 @@
 )
 
 // allAfter looks at every entry of a table for what came since a cursor.
-func allAfter(t *Table, cursor uint64) []Entry {
-	var found []*held
-	for _, h := range t.m {
+func scanSince(t *Table, cursor uint64) []Entry {
+	var found []*record
+	for _, h := range t.records {
 		if h.seq > cursor {
 			found = append(found, h)
 		}
 	}
-	slices.SortFunc(found, func(a, b *held) int { return int(a.seq) - int(b.seq) })
+	slices.SortFunc(found, func(a, b *record) int { return int(a.seq) - int(b.seq) })
 	out := make([]Entry, 0, len(found))
 	for _, h := range found {
-		out = append(out, h.e)
+		out = append(out, h.entry)
 	}
 	return out
 }
 
-func TestWhatCameSinceACursorIsFoundWithoutTheRest(t *testing.T) {
+func TestSinceMatchesFullScan(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		table := NewTable()
 		var cursor uint64
 		for step := range 300 {
 			e := entry(fmt.Sprint("k", rnd.IntN(20)), 1, uint64(rnd.IntN(step+1)))
-			if e.Gone = rnd.IntN(4) == 0; e.Gone {
+			if e.Deleted = rnd.IntN(4) == 0; e.Deleted {
 				e.Value = nil
 			}
 			table.Put(e)
@@ -42,23 +42,23 @@
 			if rnd.IntN(2) == 0 {
 				from = cursor
 			}
-			got, next, _ := table.After(from)
-			if want := allAfter(table, from); fmt.Sprint(got) != fmt.Sprint(want) {
+			got, next, _ := table.Since(from)
+			if want := scanSince(table, from); fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Fatalf("seed %d step %d: after %d came %v, want %v", seed, step, from, got, want)
 			}
 			cursor = next
 		}
-		if n := table.changes.ordered.Len(); n != len(table.m) {
-			t.Fatalf("seed %d: %d changes kept of %d entries", seed, n, len(table.m))
+		if n := table.changes.ordered.Len(); n != len(table.records) {
+			t.Fatalf("seed %d: %d changes kept of %d entries", seed, n, len(table.records))
 		}
 	}
 }
 
-func TestACursorAtTheEndGetsNothingAndIsWoken(t *testing.T) {
+func TestSinceAtEndIsEmptyAndSignalsNextChange(t *testing.T) {
 	table := NewTable()
 	table.Put(entry("a", 1, 1))
-	_, cursor, _ := table.After(0)
-	got, same, changed := table.After(cursor)
+	_, cursor, _ := table.Since(0)
+	got, same, changed := table.Since(cursor)
 	if len(got) != 0 || same != cursor {
 		t.Errorf("got %v and %d after %d", got, same, cursor)
 	}
@@ -68,7 +68,7 @@
 	default:
 		t.Error("nobody was woken")
 	}
-	if got, _, _ := table.After(cursor); len(got) != 1 || got[0].Key != "b" {
+	if got, _, _ := table.Since(cursor); len(got) != 1 || got[0].Key != "b" {
 		t.Errorf("got %v", got)
 	}
 }
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -15,19 +15,19 @@
 // reads the sums of buckets alone; it counts what is asked.
 func digestPeer(t *testing.T, table *Table, earlier bool) (addr string, digests *[]Digest) {
 	mux, asked := wire.NewMux(), &[]Digest{}
-	wire.Handle(mux, digestPath, func(_ context.Context, d Digest) (Diff, error) {
+	wire.Handle(mux, digestPath, func(_ context.Context, d Digest) (DigestReply, error) {
 		*asked = append(*asked, d)
 		if earlier {
-			return Diff{Bucket: table.digest().differing(d.Sums)}, nil
+			return DigestReply{Buckets: table.digest().differingBuckets(d.Sums)}, nil
 		}
-		return table.compare(d), nil
+		return table.compareDigest(d), nil
 	})
-	wire.HandleCompressed(mux, "/news/gap", func(_ context.Context, h Heads) (Gap, error) { return table.gap(h), nil })
-	wire.Handle(mux, "/news/push", func(_ context.Context, b bundle) (Pushed, error) {
+	wire.HandleCompressed(mux, "/news/gap", func(_ context.Context, h BucketStamps) (Delta, error) { return table.delta(h), nil })
+	wire.Handle(mux, "/news/push", func(_ context.Context, b bundle) (PushReply, error) {
 		for _, e := range b.Entries {
-			table.Learn(e)
+			table.PutRemote(e)
 		}
-		return Pushed{}, nil
+		return PushReply{}, nil
 	})
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
@@ -36,7 +36,7 @@
 
 // Two tables know what either knew after one exchange, also with an earlier version;
 // those that are alike exchange one sum.
-func TestTablesAreMendedByOneSumFirst(t *testing.T) {
+func TestReconcileComparesTotalFirst(t *testing.T) {
 	for _, earlier := range []bool{false, true} {
 		a, b := NewTable(), NewTable()
 		for i := range 50 {
@@ -51,13 +51,13 @@
 		addr, asked := digestPeer(t, b, earlier)
 		caller := wire.NewClient(wire.HostNetwork())
 		t.Cleanup(caller.Close)
-		Mend(t.Context(), caller, a, addr, "a")
+		Reconcile(t.Context(), caller, a, addr, "a")
 		if !bytes.Equal(a.total(), b.total()) || fmt.Sprint(a.digest()) != fmt.Sprint(b.digest()) {
 			t.Errorf("earlier version %t: still apart", earlier)
 		}
 		calls, _ := caller.Sent()
 		*asked = nil
-		Mend(t.Context(), caller, a, addr, "a")
+		Reconcile(t.Context(), caller, a, addr, "a")
 		after, _ := caller.Sent()
 		switch {
 		case earlier && len(*asked) != 2:
@@ -69,21 +69,21 @@
 }
 
 // A peer of an earlier version sends the sums of its buckets, and is told which differ.
-func TestAnEarlierVersionIsToldTheBuckets(t *testing.T) {
+func TestCompareDigestAnswersEarlierVersionWithBuckets(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	a.Put(entry("k", 1, 1))
-	got := b.compare(a.digest())
-	if len(got.Bucket) != 1 || got.Bucket[0] != bucketOf("k") || len(got.Sums) != 0 {
+	got := b.compareDigest(a.digest())
+	if len(got.Buckets) != 1 || got.Buckets[0] != bucketOf("k") || len(got.Sums) != 0 {
 		t.Errorf("%+v", got)
 	}
 	b.Put(entry("k", 1, 1))
-	if got := b.compare(a.digest()); len(got.Bucket) != 0 {
+	if got := b.compareDigest(a.digest()); len(got.Buckets) != 0 {
 		t.Errorf("alike, but %+v", got)
 	}
 }
 
 // Tables with the same entries have the same total in whatever order they came, and another entry makes another.
-func TestATotalIsOfTheEntries(t *testing.T) {
+func TestTotalDependsOnlyOnEntries(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	for i := range 100 {
 		a.Put(entry(fmt.Sprint("k", i), 1, 1))
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -19,26 +19,26 @@
 	interval       = 100 * time.Millisecond // between two rounds of passing on
 	digestInterval = time.Second            // between two comparisons with a peer
 	fanout         = 3                      // peers told in a round
-	retell         = 5                      // rounds in which a fact is told
-	smallBytes     = 900                    // a larger value is pulled by who lacks it
+	gossipRepeats  = 5                      // rounds in which a fact is told
+	maxInlineBytes = 900                    // a larger value is pulled by who lacks it
 	// AllTold is up to how many peers one who has something new tells all of them at once; others pass it
 	// on once more. In a larger fleet it goes down a tree, or from few to few where no core is known.
-	AllTold      = 24
-	retellDirect = 2
-	retellTold   = 1
-	buckets      = 64               // parts of the table that are compared
-	maxEntries   = 200_000          // bound on the table
-	purgeAfter   = 10 * time.Minute // how long a removed key is remembered
-	pullAt       = 256              // entries in one answer
+	MaxDirectPeers  = 24
+	directRepeats   = 2
+	forwardRepeats  = 1
+	numBuckets      = 64               // parts of the table that are compared
+	maxEntries      = 200_000          // bound on the table
+	purgeAfter      = 10 * time.Minute // how long a removed key is remembered
+	maxReplyEntries = 256              // entries in one answer
 )
 
 // Entry is one fact; the newest stamp wins.
 type Entry struct {
-	Key   string      `cbor:"1,keyasint"`
-	Stamp state.Stamp `cbor:"2,keyasint"`
-	Value []byte      `cbor:"3,keyasint,omitempty"`
-	Gone  bool        `cbor:"4,keyasint,omitempty"` // the key was removed
-	Head  bool        `cbor:"5,keyasint,omitempty"` // only a headline: the value has to be pulled
+	Key          string      `cbor:"1,keyasint"`
+	Stamp        state.Stamp `cbor:"2,keyasint"`
+	Value        []byte      `cbor:"3,keyasint,omitempty"`
+	Deleted      bool        `cbor:"4,keyasint,omitempty"` // the key was removed
+	ValueOmitted bool        `cbor:"5,keyasint,omitempty"` // only a headline: the value has to be pulled
 }
 
 // origin is where a node has an entry from.
@@ -46,22 +46,22 @@
 
 // The origins of an entry.
 const (
-	own      origin = iota // this node made it
-	fromCore               // a core told it while it passed it down the tree
-	fromPeer               // any other node told it, or it came to mend a gap
-	origins
+	originLocal origin = iota // this node made it
+	originCore                // a core told it while it passed it down the tree
+	originPeer                // any other node told it, or it came to mend a gap
+	numOrigins
 )
 
 // rounds is in how many rounds an entry is passed on, by its origin.
-type rounds [origins]int
+type roundsByOrigin [numOrigins]int
 
 var (
-	directRounds    = rounds{own: retellDirect, fromCore: retellTold, fromPeer: retellTold}
-	gossipRounds    = rounds{own: retell, fromCore: retell, fromPeer: retell}
-	treeCoreRounds  = rounds{own: retellDirect, fromCore: retellTold, fromPeer: retellDirect}
-	treeAgentRounds = rounds{own: retellDirect, fromCore: retellTold, fromPeer: retellTold}
+	directRounds    = roundsByOrigin{originLocal: directRepeats, originCore: forwardRepeats, originPeer: forwardRepeats}
+	gossipRounds    = roundsByOrigin{originLocal: gossipRepeats, originCore: gossipRepeats, originPeer: gossipRepeats}
+	treeCoreRounds  = roundsByOrigin{originLocal: directRepeats, originCore: forwardRepeats, originPeer: directRepeats}
+	treeAgentRounds = roundsByOrigin{originLocal: directRepeats, originCore: forwardRepeats, originPeer: forwardRepeats}
 )
 
 // lasting says whether a removed key must be remembered for good: a leaving
 // mark counts up from the last one, so forgetting it would make the next look old.
-func lasting(key string) bool { return strings.HasPrefix(key, "mark/") }
+func keepsTombstone(key string) bool { return strings.HasPrefix(key, "mark/") }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,10 +12,10 @@
 	return Entry{Key: key, Stamp: state.Stamp{Epoch: epoch, Version: version}, Value: []byte(fmt.Sprint(epoch, version))}
 }
 
-func TestNewsNeverRunsBackwards(t *testing.T) {
+func TestOlderStampNeverReplacesNewer(t *testing.T) {
 	table := NewTable()
 	var seen []state.Stamp
-	table.OnNew(func(e Entry) { seen = append(seen, e.Stamp) })
+	table.OnUpdate(func(e Entry) { seen = append(seen, e.Stamp) })
 	for _, s := range [][2]uint64{{1, 5}, {1, 4}, {1, 5}, {2, 1}, {1, 9}, {2, 2}} {
 		table.Put(entry("k", s[0], s[1]))
 	}
@@ -27,17 +27,17 @@
 			t.Errorf("told %v after %v", seen[i], seen[i-1])
 		}
 	}
-	if e := entry("k", 3, 1); table.Put(Entry{Key: e.Key, Stamp: e.Stamp, Head: true}) {
+	if e := entry("k", 3, 1); table.Put(Entry{Key: e.Key, Stamp: e.Stamp, ValueOmitted: true}) {
 		t.Error("a headline was taken for a value")
 	}
 	gone := entry("k", 3, 1)
-	gone.Gone = true
+	gone.Deleted = true
 	table.Put(gone)
 	if _, found := table.Get("k"); found || table.Put(entry("k", 2, 9)) {
 		t.Error("a removed entry came back")
 	}
 	mark := entry("mark/r", 0, 2)
-	mark.Gone = true
+	mark.Deleted = true
 	table.Put(mark)
 	table.Purge(0)
 	if n, _ := table.Len(); n != 1 || table.Put(gone) || fmt.Sprint(table.digest()) == fmt.Sprint(NewTable().digest()) {
@@ -46,7 +46,7 @@
 }
 
 // Two tables that drifted apart are the same after one exchange of digests.
-func TestDigestsMendAnyGap(t *testing.T) {
+func TestDigestExchangeReconcilesTables(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		a, b := NewTable(), NewTable()
@@ -69,11 +69,11 @@
 		if len(diff) == 0 {
 			t.Fatal("nothing to mend")
 		}
-		g := b.gap(a.heads(diff))
+		g := b.delta(a.stampsIn(diff))
 		for _, e := range g.Entries {
 			a.Put(e)
 		}
-		for _, e := range a.pick(g.Want).Entries {
+		for _, e := range a.entriesOf(g.Wanted).Entries {
 			b.Put(e)
 		}
 		if fmt.Sprint(a.digest()) != fmt.Sprint(b.digest()) {
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -13,59 +13,59 @@
 const (
 	pullPath = "/news/pull"
 	// pullLimit is how long a pull may take.
-	pullLimit = 2 * time.Second
+	pullTimeout = 2 * time.Second
 	// pullGap is the least time between two pulls of an entry of largeBytes or more. Why: of changes in
 	// quick succession every node would ask for every one.
-	pullGap    = 300 * time.Millisecond
-	largeBytes = 8 << 10
+	minPullInterval = 300 * time.Millisecond
+	largeBytes      = 8 << 10
 	// mostPulls is how many pulls are under way at once; others wait for their turn.
-	mostPulls = 8
+	maxConcurrentPulls = 8
 )
 
 // pulls are those under way. Why: what is told by many at once is pulled from each but once.
-type pulls struct {
-	mu   sync.Mutex
-	now  map[pulled]bool
-	last map[string]time.Time // when a large entry was pulled last, by key
+type pullTracker struct {
+	mu        sync.Mutex
+	inFlight  map[pullKey]bool
+	lastLarge map[string]time.Time // when a large entry was pulled last, by key
 }
 
 // pulled is a key that is pulled from a peer.
-type pulled struct{ key, from string }
+type pullKey struct{ key, from string }
 
 // rest is how long the next pull of some keys waits.
-func (p *pulls) rest(keys []string) time.Duration {
+func (p *pullTracker) delay(keys []string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	longest := time.Duration(0)
 	for _, key := range keys {
-		if last, found := p.last[key]; found {
-			longest = max(longest, pullGap-time.Since(last))
+		if last, found := p.lastLarge[key]; found {
+			longest = max(longest, minPullInterval-time.Since(last))
 		}
 	}
 	return longest
 }
 
 // came notes that a large entry has been pulled.
-func (p *pulls) came(key string) {
+func (p *pullTracker) recordLarge(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.last == nil {
-		p.last = map[string]time.Time{}
+	if p.lastLarge == nil {
+		p.lastLarge = map[string]time.Time{}
 	}
-	p.last[key] = time.Now()
+	p.lastLarge[key] = time.Now()
 }
 
 // begin notes pulls from a peer, and gives the entries that are not being pulled from it.
-func (p *pulls) begin(from string, told []headed) []headed {
+func (p *pullTracker) begin(from string, told []entryRef) []entryRef {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.now == nil {
-		p.now = map[pulled]bool{}
+	if p.inFlight == nil {
+		p.inFlight = map[pullKey]bool{}
 	}
-	var fresh []headed
+	var fresh []entryRef
 	for _, entry := range told {
-		if one := (pulled{entry.key, from}); !p.now[one] {
-			p.now[one] = true
+		if one := (pullKey{entry.key, from}); !p.inFlight[one] {
+			p.inFlight[one] = true
 			fresh = append(fresh, entry)
 		}
 	}
@@ -73,60 +73,60 @@
 }
 
 // end notes that pulls are over.
-func (p *pulls) end(from string, told []headed) {
+func (p *pullTracker) end(from string, told []entryRef) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, entry := range told {
-		delete(p.now, pulled{entry.key, from})
+		delete(p.inFlight, pullKey{entry.key, from})
 	}
 }
 
 // take learns what a datagram holds, and pulls what it only names.
-func (s *Spreader) take(b bundle) {
-	var want []headed
+func (s *Disseminator) receive(b bundle) {
+	var want []entryRef
 	from := s.originOf(b.From)
 	for _, e := range b.Entries {
-		if !e.Head {
-			s.t.put(e, from)
-		} else if e.Stamp.Newer(s.t.StampOf(e.Key)) {
-			want = append(want, headed{e.Key, e.Stamp})
+		if !e.ValueOmitted {
+			s.table.put(e, from)
+		} else if e.Stamp.Newer(s.table.StampOf(e.Key)) {
+			want = append(want, entryRef{e.Key, e.Stamp})
 		}
 	}
 	s.fetch(b.From, want)
 }
 
 // Fetch pulls an entry from a peer that says that it has it under a stamp, if that is newer than what is known.
-func (s *Spreader) Fetch(addr, key string, stamp state.Stamp) {
-	if stamp.Newer(s.t.StampOf(key)) {
-		s.fetch(addr, []headed{{key, stamp}})
+func (s *Disseminator) Fetch(addr, key string, stamp state.Stamp) {
+	if stamp.Newer(s.table.StampOf(key)) {
+		s.fetch(addr, []entryRef{{key, stamp}})
 	}
 }
 
 // fetch pulls some entries from a peer in the background.
-func (s *Spreader) fetch(from string, told []headed) {
+func (s *Disseminator) fetch(from string, told []entryRef) {
 	told = s.pulls.begin(from, told)
 	if len(told) == 0 {
 		return
 	}
-	if !s.g.Go(func(ctx context.Context) {
+	if !s.group.Go(func(ctx context.Context) {
 		defer s.pulls.end(from, told)
 		// Why: what rests takes nobody's turn.
-		run.Sleep(ctx, s.pulls.rest(keysOf(told)))
-		if !run.WaitOn(ctx, s.turns, pullLimit) {
+		run.Sleep(ctx, s.pulls.delay(keysOf(told)))
+		if !run.WaitOn(ctx, s.pullTokens, pullTimeout) {
 			return
 		}
-		defer func() { s.turns <- struct{}{} }()
-		s.pull(ctx, from, s.lacking(told))
+		defer func() { s.pullTokens <- struct{}{} }()
+		s.pull(ctx, from, s.newerKeys(told))
 	}) {
 		s.pulls.end(from, told)
 	}
 }
 
 // lacking is the keys of some entries that are newer than what is known.
-func (s *Spreader) lacking(told []headed) []string {
+func (s *Disseminator) newerKeys(told []entryRef) []string {
 	var keys []string
 	for _, one := range told {
-		if one.stamp.Newer(s.t.StampOf(one.key)) {
+		if one.stamp.Newer(s.table.StampOf(one.key)) {
 			keys = append(keys, one.key)
 		}
 	}
@@ -134,7 +134,7 @@
 }
 
 // keysOf is the keys of some entries.
-func keysOf(told []headed) []string {
+func keysOf(told []entryRef) []string {
 	keys := make([]string, len(told))
 	for i, one := range told {
 		keys[i] = one.key
@@ -143,49 +143,49 @@
 }
 
 // pull asks a peer for the entries of some keys.
-func (s *Spreader) pull(ctx context.Context, addr string, want []string) {
+func (s *Disseminator) pull(ctx context.Context, addr string, want []string) {
 	if len(want) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, pullLimit)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	b, err := wire.Call[Gap, bundle](ctx, s.caller, addr, pullPath, Gap{Want: want})
+	b, err := wire.Call[Delta, bundle](ctx, s.caller, addr, pullPath, Delta{Wanted: want})
 	if err != nil {
 		return
 	}
 	from := s.originOf(addr)
 	for _, e := range b.Entries {
 		if len(e.Value) >= largeBytes {
-			s.pulls.came(e.Key)
+			s.pulls.recordLarge(e.Key)
 		}
-		s.t.put(e, from)
+		s.table.put(e, from)
 	}
 }
 
 // packedAnswer is the last large answer to a pull. Why: all nodes below a core ask it for the
 // same document, and to pack and compress it for each costs more than to send it.
-type packedAnswer struct {
-	mu     sync.Mutex
-	entry  headed
-	answer wire.EncodedMessage
+type replyCache struct {
+	mu    sync.Mutex
+	ref   entryRef
+	reply wire.EncodedMessage
 }
 
 // headed is an entry by its key and stamp.
-type headed struct {
+type entryRef struct {
 	key   string
 	stamp state.Stamp
 }
 
 // of packs an answer, once for all who ask for the same one large entry.
-func (p *packedAnswer) of(b bundle) wire.EncodedMessage {
-	if len(b.Entries) != 1 || len(b.Entries[0].Value) <= smallBytes {
+func (p *replyCache) prepare(b bundle) wire.EncodedMessage {
+	if len(b.Entries) != 1 || len(b.Entries[0].Value) <= maxInlineBytes {
 		return wire.EncodeMessage(b)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	of := headed{b.Entries[0].Key, b.Entries[0].Stamp}
-	if p.entry != of {
-		p.entry, p.answer = of, wire.EncodeMessage(b)
+	of := entryRef{b.Entries[0].Key, b.Entries[0].Stamp}
+	if p.ref != of {
+		p.ref, p.reply = of, wire.EncodeMessage(b)
 	}
-	return p.answer
+	return p.reply
 }
--- a/internal/gossip/push_test.go
+++ b/internal/gossip/push_test.go
@@ -23,25 +23,25 @@
 )
 
 // nodes are spreaders on a network of their own, the first one at a core's link.
-type nodes struct {
-	g       *run.Group
-	cores   int
-	callers []*wire.Client
-	fabric  *simnet.Fabric
-	addrs   []string
-	tables  []*Table
-	spreads []*Spreader
+type testFleet struct {
+	group         *run.Group
+	cores         int
+	callers       []*wire.Client
+	fabric        *simnet.Fabric
+	addrs         []string
+	tables        []*Table
+	disseminators []*Disseminator
 }
 
 // spreaders runs f in a fleet of n nodes.
-func spreaders(t *testing.T, n int, f func(fleet *nodes)) { spreadersBelow(t, 0, n, f) }
+func runFleet(t *testing.T, n int, f func(fleet *testFleet)) { runTreeFleet(t, 0, n, f) }
 
 // spreadersBelow runs f in a fleet of n nodes, of which so many are the cores of a tree; 0 is no tree.
-func spreadersBelow(t *testing.T, cores, n int, f func(fleet *nodes)) {
+func runTreeFleet(t *testing.T, cores, n int, f func(fleet *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := &nodes{g: run.NewGroup(t.Context()), cores: cores, fabric: simnet.New(1, func(string, string) time.Duration { return time.Millisecond })}
+		fleet := &testFleet{group: run.NewGroup(t.Context()), cores: cores, fabric: simnet.New(1, func(string, string) time.Duration { return time.Millisecond })}
 		for i := range n {
-			fleet.addrs = append(fleet.addrs, machine(i)+":90")
+			fleet.addrs = append(fleet.addrs, nodeIP(i)+":90")
 		}
 		var stops []func()
 		for i := range n {
@@ -51,24 +51,24 @@
 		for _, stop := range stops {
 			stop()
 		}
-		fleet.g.Stop()
+		fleet.group.Stop()
 		time.Sleep(3 * time.Second) // until dials that nobody waits for have ended
 	})
 }
 
 // machine is the address of a node's machine.
-func machine(i int) string { return fmt.Sprintf("10.0.%d.%d", i/200, i%200+1) }
+func nodeIP(i int) string { return fmt.Sprintf("10.0.%d.%d", i/200, i%200+1) }
 
 // start starts one node and gives what ends it.
-func (n *nodes) start(t *testing.T, i int) func() {
-	ip := machine(i)
+func (n *testFleet) start(t *testing.T, i int) func() {
+	ip := nodeIP(i)
 	rate := edgeLink
 	if i == 0 || i < n.cores {
 		rate = coreLink
 	}
 	n.fabric.Rate(ip, rate)
 	host := n.fabric.Host(ip)
-	post, caller, mux, table := wire.NewDatagramSocket(listen(t, host, n.addrs[i])), wire.NewClient(host), wire.NewMux(), NewTable()
+	post, caller, mux, table := wire.NewDatagramSocket(listenPacket(t, host, n.addrs[i])), wire.NewClient(host), wire.NewMux(), NewTable()
 	ln, err := host.Listen(n.addrs[i])
 	if err != nil {
 		t.Fatal(err)
@@ -80,10 +80,10 @@
 		}
 	}
 	srv := wire.NewServer(ln, mux)
-	n.g.Go(srv.Run)
-	n.g.Go(post.Run)
-	s := NewSpreader(n.g, table, slog.New(slog.DiscardHandler), post, caller, mux, func() string { return n.addrs[i] }, func() []string { return peers }, n.treeOf(i), touch.New(tick.Machine()))
-	n.tables, n.spreads, n.callers = append(n.tables, table), append(n.spreads, s), append(n.callers, caller)
+	n.group.Go(srv.Run)
+	n.group.Go(post.Run)
+	s := NewDisseminator(n.group, table, slog.New(slog.DiscardHandler), post, caller, mux, func() string { return n.addrs[i] }, func() []string { return peers }, n.treeOf(i), touch.New(tick.Machine()))
+	n.tables, n.disseminators, n.callers = append(n.tables, table), append(n.disseminators, s), append(n.callers, caller)
 	return func() {
 		srv.Close()
 		post.Close()
@@ -92,7 +92,7 @@
 }
 
 // treeOf is the tree as a node sees it: agents are below the cores by turns.
-func (n *nodes) treeOf(i int) func() Tree {
+func (n *testFleet) treeOf(i int) func() Tree {
 	if n.cores == 0 {
 		return nil
 	}
@@ -103,7 +103,7 @@
 		case j < n.cores:
 			tree.Cores = append(tree.Cores, addr)
 		case tree.IsCore && j%n.cores == i:
-			tree.Below = append(tree.Below, addr)
+			tree.Agents = append(tree.Agents, addr)
 		case !tree.IsCore && j%n.cores == i%n.cores:
 			tree.Neighbours = append(tree.Neighbours, addr)
 		}
@@ -112,7 +112,7 @@
 }
 
 // have counts the nodes that have an entry.
-func (n *nodes) have(e Entry) int {
+func (n *testFleet) countHolding(e Entry) int {
 	count := 0
 	for _, t := range n.tables {
 		if t.StampOf(e.Key) == e.Stamp {
@@ -123,7 +123,7 @@
 }
 
 // routes is a document of some hundred bytes a route.
-func routes(n int) []byte {
+func routesDocument(n int) []byte {
 	type one struct {
 		Name, Host, PathStart, Kind, Service string
 		TimeoutMs, Priority, Tries           int
@@ -138,33 +138,33 @@
 
 // A configuration of many routes that is pushed to a large site must be there within the push:
 // what is left to pulls goes from edge to edge over links of 10 Mbit/s.
-func TestALargeDocumentReachesALargeSiteInOnePush(t *testing.T) {
-	spreaders(t, 94, func(fleet *nodes) {
+func TestPushDeliversLargeDocumentToLargeSite(t *testing.T) {
+	runFleet(t, 94, func(fleet *testFleet) {
 		e := entry("config/main", 1, 1)
-		e.Value = routes(2000)
-		ctx, cancel := context.WithTimeout(fleet.g.Context(), 700*time.Millisecond)
+		e.Value = routesDocument(2000)
+		ctx, cancel := context.WithTimeout(fleet.group.Context(), 700*time.Millisecond)
 		defer cancel()
 		fleet.tables[0].Put(e)
 		began := time.Now()
-		fleet.spreads[0].Push(ctx, fleet.addrs[1:], e)
-		if n := fleet.have(e); n != len(fleet.addrs) {
+		fleet.disseminators[0].Push(ctx, fleet.addrs[1:], e)
+		if n := fleet.countHolding(e); n != len(fleet.addrs) {
 			t.Errorf("%d of %d nodes have a document of %d bytes after %v", n, len(fleet.addrs), len(e.Value), time.Since(began))
 		}
 	})
 }
 
 // Large documents one after another: each is everywhere soon after its push, and none holds up the next.
-func TestLargeDocumentsInQuickSuccession(t *testing.T) {
-	spreaders(t, 94, func(fleet *nodes) {
+func TestPushLargeDocumentsInQuickSuccession(t *testing.T) {
+	runFleet(t, 94, func(fleet *testFleet) {
 		for version := range uint64(6) {
 			e := entry("config/main", 1, version+1)
-			e.Value = append(routes(2000), fmt.Sprint(version)...)
-			ctx, cancel := context.WithTimeout(fleet.g.Context(), 700*time.Millisecond)
+			e.Value = append(routesDocument(2000), fmt.Sprint(version)...)
+			ctx, cancel := context.WithTimeout(fleet.group.Context(), 700*time.Millisecond)
 			fleet.tables[0].Put(e)
-			fleet.spreads[0].Push(ctx, fleet.addrs[1:], e)
+			fleet.disseminators[0].Push(ctx, fleet.addrs[1:], e)
 			cancel()
 			time.Sleep(300 * time.Millisecond)
-			if n := fleet.have(e); n != len(fleet.addrs) {
+			if n := fleet.countHolding(e); n != len(fleet.addrs) {
 				t.Errorf("document %d: %d of %d nodes have it", version, n, len(fleet.addrs))
 			}
 		}
@@ -172,21 +172,21 @@
 }
 
 // announce has the first node announce a document, and gives the entry and the bytes of calls that this cost its author.
-func (n *nodes) announce(version uint64, document []byte) (e Entry, bytes int64) {
+func (n *testFleet) announce(version uint64, document []byte) (e Entry, bytes int64) {
 	e = entry("config/main", 1, version)
 	e.Value = document
 	_, before := n.callers[0].Sent()
-	n.spreads[0].Announce(n.g.Context(), e)
+	n.disseminators[0].Announce(n.group.Context(), e)
 	_, after := n.callers[0].Sent()
 	return e, after - before
 }
 
 // awaited fails unless every node has an entry in time.
-func (n *nodes) awaited(t *testing.T, e Entry, within time.Duration) {
+func (n *testFleet) requireAll(t *testing.T, e Entry, within time.Duration) {
 	t.Helper()
-	for began := time.Now(); n.have(e) < len(n.addrs); time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); n.countHolding(e) < len(n.addrs); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > within {
-			t.Errorf("version %d: %d of %d nodes have it after %v", e.Stamp.Version, n.have(e), len(n.addrs), within)
+			t.Errorf("version %d: %d of %d nodes have it after %v", e.Stamp.Version, n.countHolding(e), len(n.addrs), within)
 			return
 		}
 	}
@@ -194,15 +194,15 @@
 
 // What one change costs its author must not grow with the nodes of the fleet, or a core with a fifth of a
 // processor loses its leases over it.
-func TestAChangeCostsItsAuthorNoMoreInALargerFleet(t *testing.T) {
+func TestAnnounceCostIndependentOfFleetSize(t *testing.T) {
 	const cores = 7
 	costs := map[int]int64{}
 	for _, n := range []int{100, 300} {
-		spreadersBelow(t, cores, n, func(fleet *nodes) {
+		runTreeFleet(t, cores, n, func(fleet *testFleet) {
 			time.Sleep(300 * time.Millisecond)
-			e, cost := fleet.announce(1, routes(1000))
+			e, cost := fleet.announce(1, routesDocument(1000))
 			costs[n] = cost
-			fleet.awaited(t, e, 2*time.Second)
+			fleet.requireAll(t, e, 2*time.Second)
 		})
 	}
 	if costs[300] > costs[100]*11/10 {
@@ -211,12 +211,12 @@
 }
 
 // Of changes in quick succession a node needs the newest, and not every one on its way.
-func TestChangesInQuickSuccessionAreNotAllPulledByAll(t *testing.T) {
+func TestRapidChangesAreNotAllPulled(t *testing.T) {
 	const cores, all, versions, mostEach = 7, 60, 20, 10
-	spreadersBelow(t, cores, all, func(fleet *nodes) {
+	runTreeFleet(t, cores, all, func(fleet *testFleet) {
 		time.Sleep(300 * time.Millisecond)
-		first, _ := fleet.announce(1, routes(1000))
-		fleet.awaited(t, first, 2*time.Second)
+		first, _ := fleet.announce(1, routesDocument(1000))
+		fleet.requireAll(t, first, 2*time.Second)
 		calls := func() (bytes int64) {
 			for _, c := range fleet.callers[cores:] {
 				_, sent := c.Sent()
@@ -228,10 +228,10 @@
 		before := calls()
 		var last Entry
 		for v := range uint64(versions) {
-			last, _ = fleet.announce(v+2, append(routes(1000), fmt.Sprint(v)...))
+			last, _ = fleet.announce(v+2, append(routesDocument(1000), fmt.Sprint(v)...))
 			time.Sleep(80 * time.Millisecond)
 		}
-		fleet.awaited(t, last, 1500*time.Millisecond)
+		fleet.requireAll(t, last, 1500*time.Millisecond)
 		if each := (calls() - before) / (all - cores); each > mostEach*one {
 			t.Errorf("%d changes cost a node %d bytes of calls, and one cost it %d", versions, each, one)
 		}
@@ -239,14 +239,14 @@
 }
 
 // Pulls of other entries that wait for their turn must not keep a configuration from being pulled.
-func TestAConfigurationIsPulledThoughManyOtherEntriesChangeAllTheTime(t *testing.T) {
+func TestConfigurationIsPulledDuringChurn(t *testing.T) {
 	const cores, all, others, rounds, after = 3, 26, 400, 2, 6
-	spreadersBelow(t, cores, all, func(fleet *nodes) {
+	runTreeFleet(t, cores, all, func(fleet *testFleet) {
 		time.Sleep(300 * time.Millisecond)
 		churn := func(round uint64) {
 			for i := range others {
 				e := entry(fmt.Sprintf("replica/%d", i), 1, round+1)
-				e.Value = make([]byte, 2*smallBytes)
+				e.Value = make([]byte, 2*maxInlineBytes)
 				fleet.tables[i%cores].Put(e)
 			}
 			time.Sleep(interval)
@@ -254,28 +254,28 @@
 		for round := range uint64(rounds) {
 			churn(round)
 		}
-		e, _ := fleet.announce(1, routes(300))
+		e, _ := fleet.announce(1, routesDocument(300))
 		for round := range uint64(after) {
 			churn(rounds + round)
 		}
-		fleet.awaited(t, e, 0)
+		fleet.requireAll(t, e, 0)
 	})
 }
 
 // Eight pulls that rested once held all places, so that whatever else was told of meanwhile was dropped.
-func TestAPullThatRestsTakesNoOthersPlace(t *testing.T) {
-	spreaders(t, 2, func(fleet *nodes) {
-		for i := range 3 * mostPulls {
+func TestDelayedPullHoldsNoToken(t *testing.T) {
+	runFleet(t, 2, func(fleet *testFleet) {
+		for i := range 3 * maxConcurrentPulls {
 			key := fmt.Sprint("resting/", i)
-			fleet.spreads[1].pulls.came(key)
-			fleet.spreads[1].Fetch(fleet.addrs[0], key, entry(key, 1, 1).Stamp)
+			fleet.disseminators[1].pulls.recordLarge(key)
+			fleet.disseminators[1].Fetch(fleet.addrs[0], key, entry(key, 1, 1).Stamp)
 		}
 		e := entry("config/main", 1, 1)
-		e.Value = make([]byte, 2*smallBytes)
+		e.Value = make([]byte, 2*maxInlineBytes)
 		fleet.tables[0].Put(e)
-		fleet.spreads[1].Fetch(fleet.addrs[0], e.Key, e.Stamp)
-		time.Sleep(pullGap / 2)
-		if n := fleet.have(e); n != len(fleet.addrs) {
+		fleet.disseminators[1].Fetch(fleet.addrs[0], e.Key, e.Stamp)
+		time.Sleep(minPullInterval / 2)
+		if n := fleet.countHolding(e); n != len(fleet.addrs) {
 			t.Errorf("%d of %d nodes have what was told of beside the pulls that rest", n, len(fleet.addrs))
 		}
 	})
--- a/internal/gossip/spread_test.go
+++ b/internal/gossip/spread_test.go
@@ -16,14 +16,14 @@
 )
 
 // listeners are the peers of one node; they count the keys that reach them.
-type listeners struct {
-	s     *Spreader
-	addrs []string
-	mu    sync.Mutex
-	got   map[string]int
+type testPeers struct {
+	sender   *Disseminator
+	addrs    []string
+	mu       sync.Mutex
+	received map[string]int
 }
 
-func listen(t *testing.T, host *simnet.Host, addr string) net.PacketConn {
+func listenPacket(t *testing.T, host *simnet.Host, addr string) net.PacketConn {
 	pc, err := host.ListenPacket(addr)
 	if err != nil {
 		t.Fatal(err)
@@ -32,21 +32,21 @@
 }
 
 // among runs f in a fleet of a node and some peers.
-func among(t *testing.T, peers int, f func(l *listeners)) {
+func runWithPeers(t *testing.T, peers int, f func(l *testPeers)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := run.NewGroup(t.Context())
 		fab := simnet.New(1, func(string, string) time.Duration { return time.Millisecond })
-		l := &listeners{got: map[string]int{}}
-		posts := []*wire.DatagramSocket{wire.NewDatagramSocket(listen(t, fab.Host("10.0.0.1"), "10.0.0.1:90"))}
+		l := &testPeers{received: map[string]int{}}
+		posts := []*wire.DatagramSocket{wire.NewDatagramSocket(listenPacket(t, fab.Host("10.0.0.1"), "10.0.0.1:90"))}
 		for i := range peers {
 			ip := fmt.Sprintf("10.0.1.%d", i+1)
-			p := wire.NewDatagramSocket(listen(t, fab.Host(ip), ip+":90"))
-			p.Handle("news", l.take)
+			p := wire.NewDatagramSocket(listenPacket(t, fab.Host(ip), ip+":90"))
+			p.Handle("news", l.receive)
 			g.Go(func(ctx context.Context) { p.Run(ctx) })
 			posts, l.addrs = append(posts, p), append(l.addrs, ip+":90")
 		}
-		l.s = &Spreader{t: NewTable(), post: posts[0], self: func() string { return "10.0.0.1:90" }, peers: func() []string { return l.addrs }}
-		l.s.passOn(false)
+		l.sender = &Disseminator{table: NewTable(), post: posts[0], self: func() string { return "10.0.0.1:90" }, peers: func() []string { return l.addrs }}
+		l.sender.propagate(false)
 		f(l)
 		for _, p := range posts {
 			p.Close()
@@ -55,7 +55,7 @@
 	})
 }
 
-func (l *listeners) take(body []byte) {
+func (l *testPeers) receive(body []byte) {
 	var b bundle
 	if wire.Unmarshal(body, &b) != nil {
 		return
@@ -63,110 +63,110 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range b.Entries {
-		l.got[e.Key]++
+		l.received[e.Key]++
 	}
 }
 
 // pass passes news on and tells how many peers heard of a key by it.
-func (l *listeners) pass(atOnce bool, key string) int {
-	l.s.passOn(atOnce)
+func (l *testPeers) propagate(atOnce bool, key string) int {
+	l.sender.propagate(atOnce)
 	time.Sleep(10 * time.Millisecond) // in the bubble: until the datagrams have come
 	synctest.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.got[key]
-	l.got = map[string]int{}
+	n := l.received[key]
+	l.received = map[string]int{}
 	return n
 }
 
-func wantHeard(t *testing.T, when string, got, want int) {
+func wantReceived(t *testing.T, when string, got, want int) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%s: %d peers heard, want %d", when, got, want)
 	}
 }
 
-func TestAnOwnEntryGoesToAllAtOnceAndAtTheNextRound(t *testing.T) {
-	for _, peers := range []int{1, 5, AllTold} {
-		among(t, peers, func(l *listeners) {
-			l.s.t.Put(entry("own", 1, 1))
-			wantHeard(t, "at once", l.pass(true, "own"), peers)
-			wantHeard(t, "at once again", l.pass(true, "own"), 0)
-			wantHeard(t, "at the round", l.pass(false, "own"), peers)
-			wantHeard(t, "at the round after", l.pass(false, "own"), 0)
-			wantHeard(t, "at once after", l.pass(true, "own"), 0)
+func TestLocalEntrySentToAllAtOnceAndNextRound(t *testing.T) {
+	for _, peers := range []int{1, 5, MaxDirectPeers} {
+		runWithPeers(t, peers, func(l *testPeers) {
+			l.sender.table.Put(entry("own", 1, 1))
+			wantReceived(t, "at once", l.propagate(true, "own"), peers)
+			wantReceived(t, "at once again", l.propagate(true, "own"), 0)
+			wantReceived(t, "at the round", l.propagate(false, "own"), peers)
+			wantReceived(t, "at the round after", l.propagate(false, "own"), 0)
+			wantReceived(t, "at once after", l.propagate(true, "own"), 0)
 		})
 	}
 }
 
-func TestARoundBeforeTheNudgeCountsToo(t *testing.T) {
-	among(t, 5, func(l *listeners) {
-		l.s.t.Put(entry("own", 1, 1))
-		wantHeard(t, "at the first round", l.pass(false, "own"), 5)
-		wantHeard(t, "at once", l.pass(true, "own"), 0)
-		wantHeard(t, "at the second round", l.pass(false, "own"), 5)
-		wantHeard(t, "at the third round", l.pass(false, "own"), 0)
+func TestRoundBeforeNudgeCounts(t *testing.T) {
+	runWithPeers(t, 5, func(l *testPeers) {
+		l.sender.table.Put(entry("own", 1, 1))
+		wantReceived(t, "at the first round", l.propagate(false, "own"), 5)
+		wantReceived(t, "at once", l.propagate(true, "own"), 0)
+		wantReceived(t, "at the second round", l.propagate(false, "own"), 5)
+		wantReceived(t, "at the third round", l.propagate(false, "own"), 0)
 	})
 }
 
-func TestAToldEntryIsPassedOnOnce(t *testing.T) {
-	among(t, 5, func(l *listeners) {
-		l.s.t.Learn(entry("told", 1, 1))
-		wantHeard(t, "at once", l.pass(true, "told"), 0)
-		wantHeard(t, "at the round", l.pass(false, "told"), fanout)
-		wantHeard(t, "at the round after", l.pass(false, "told"), 0)
-		if l.s.t.Learn(entry("told", 1, 1)); len(l.s.t.hot) != 0 {
+func TestRemoteEntryForwardedOnce(t *testing.T) {
+	runWithPeers(t, 5, func(l *testPeers) {
+		l.sender.table.PutRemote(entry("told", 1, 1))
+		wantReceived(t, "at once", l.propagate(true, "told"), 0)
+		wantReceived(t, "at the round", l.propagate(false, "told"), fanout)
+		wantReceived(t, "at the round after", l.propagate(false, "told"), 0)
+		if l.sender.table.PutRemote(entry("told", 1, 1)); len(l.sender.table.pending) != 0 {
 			t.Error("told again it is passed on again")
 		}
 	})
 }
 
-func TestANewerEntryIsToldAnew(t *testing.T) {
-	among(t, 5, func(l *listeners) {
-		l.s.t.Put(entry("own", 1, 1))
-		wantHeard(t, "the first", l.pass(true, "own"), 5)
-		l.s.t.Put(entry("own", 1, 2))
-		wantHeard(t, "the second", l.pass(true, "own"), 5)
-		wantHeard(t, "at the round", l.pass(false, "own"), 5)
-		wantHeard(t, "at the round after", l.pass(false, "own"), 0)
+func TestNewerEntryIsSentAgain(t *testing.T) {
+	runWithPeers(t, 5, func(l *testPeers) {
+		l.sender.table.Put(entry("own", 1, 1))
+		wantReceived(t, "the first", l.propagate(true, "own"), 5)
+		l.sender.table.Put(entry("own", 1, 2))
+		wantReceived(t, "the second", l.propagate(true, "own"), 5)
+		wantReceived(t, "at the round", l.propagate(false, "own"), 5)
+		wantReceived(t, "at the round after", l.propagate(false, "own"), 0)
 	})
 }
 
-func TestInALargeFleetItGoesFromFewToFew(t *testing.T) {
-	among(t, AllTold+1, func(l *listeners) {
-		l.s.t.Put(entry("own", 1, 1))
-		l.s.t.Learn(entry("told", 1, 1))
-		wantHeard(t, "at once", l.pass(true, "own"), 0)
-		for range retell {
-			wantHeard(t, "at a round", l.pass(false, "own"), fanout)
+func TestLargeFleetGossipsToFanout(t *testing.T) {
+	runWithPeers(t, MaxDirectPeers+1, func(l *testPeers) {
+		l.sender.table.Put(entry("own", 1, 1))
+		l.sender.table.PutRemote(entry("told", 1, 1))
+		wantReceived(t, "at once", l.propagate(true, "own"), 0)
+		for range gossipRepeats {
+			wantReceived(t, "at a round", l.propagate(false, "own"), fanout)
 		}
-		wantHeard(t, "after all rounds", l.pass(false, "told"), 0)
+		wantReceived(t, "after all rounds", l.propagate(false, "told"), 0)
 	})
 }
 
-func TestNothingIsLostWithoutPeers(t *testing.T) {
-	among(t, 0, func(l *listeners) {
-		l.s.t.Put(entry("own", 1, 1))
-		l.s.passOn(true)
-		l.s.passOn(false)
-		if len(l.s.t.hot) != 1 {
+func TestEntryStaysPendingWithoutPeers(t *testing.T) {
+	runWithPeers(t, 0, func(l *testPeers) {
+		l.sender.table.Put(entry("own", 1, 1))
+		l.sender.propagate(true)
+		l.sender.propagate(false)
+		if len(l.sender.table.pending) != 1 {
 			t.Error("it is told to nobody and forgotten")
 		}
 	})
 }
 
-func TestOfALargeValueOnlyTheHeadlineIsDue(t *testing.T) {
-	s := &Spreader{t: NewTable()}
+func TestLargeValueIsOmittedFromDatagram(t *testing.T) {
+	s := &Disseminator{table: NewTable()}
 	small, large := entry("small", 1, 1), entry("large", 1, 1)
-	small.Value, large.Value = make([]byte, smallBytes), make([]byte, smallBytes+1)
-	s.t.Put(small)
-	s.t.Put(large)
-	out := s.due(func(*held) bool { return true })
+	small.Value, large.Value = make([]byte, maxInlineBytes), make([]byte, maxInlineBytes+1)
+	s.table.Put(small)
+	s.table.Put(large)
+	out := s.takeDue(func(*record) bool { return true })
 	slices.SortFunc(out, func(a, b Entry) int { return len(a.Value) - len(b.Value) })
-	if len(out) != 2 || !out[0].Head || len(out[0].Value) != 0 || out[1].Head || len(out[1].Value) != smallBytes {
+	if len(out) != 2 || !out[0].ValueOmitted || len(out[0].Value) != 0 || out[1].ValueOmitted || len(out[1].Value) != maxInlineBytes {
 		t.Errorf("got %d entries", len(out))
 	}
-	if e, found := s.t.Get("large"); !found || e.Head || len(e.Value) != smallBytes+1 {
+	if e, found := s.table.Get("large"); !found || e.ValueOmitted || len(e.Value) != maxInlineBytes+1 {
 		t.Error("the table itself lost the value")
 	}
 }
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	limit = 450 * time.Millisecond
+	listTimeout = 450 * time.Millisecond
 	// disbelief is for how long a list that is suddenly empty is not believed.
-	disbelief = time.Minute
+	emptyListGrace = time.Minute
 )
 
 // Listed is a replica as the platform lists it.
@@ -52,7 +52,7 @@
 }
 
 // native asks over the design's own API.
-type native struct {
+type nativeLister struct {
 	addr string
 	http *http.Client
 	log  *slog.Logger
@@ -60,17 +60,17 @@
 
 // NewLister asks the platform at an address over the design's own API.
 func NewLister(n wire.Network, addr string, log *slog.Logger) Lister {
-	return &native{addr: addr, log: log, http: &http.Client{
+	return &nativeLister{addr: addr, log: log, http: &http.Client{
 		Transport:     &http.Transport{DialContext: n.Dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
 // Close lets go of idle connections.
-func (l *native) Close() { l.http.CloseIdleConnections() }
+func (l *nativeLister) Close() { l.http.CloseIdleConnections() }
 
 // List asks once.
-func (l *native) List(ctx context.Context) ([]Listed, error) {
+func (l *nativeLister) List(ctx context.Context) ([]Listed, error) {
 	c := client.NewClient("http", l.addr, httpapi.Bounded{HTTP: l.http, Max: 16 << 20}, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := c.List()(ctx, nil)
 	if err != nil {
@@ -88,22 +88,22 @@
 }
 
 // Watch looks at the platform's list again and again.
-type Watch struct {
-	lister  Lister
-	clock   tick.Clock
-	log     *slog.Logger
-	gossip  *gossip.Table
-	list    atomic.Pointer[[]Listed]
-	heardAt atomic.Int64
-	rounds  atomic.Int64
-	emptyAt atomic.Int64 // since when it has listed nobody
+type Watcher struct {
+	lister     Lister
+	clock      tick.Clock
+	log        *slog.Logger
+	gossip     *gossip.Table
+	list       atomic.Pointer[[]Listed]
+	contactAt  atomic.Int64
+	rounds     atomic.Int64
+	emptySince atomic.Int64 // since when it has listed nobody
 }
 
 // NewWatch knows nobody; Start begins to ask. Why: others ask a watch how long ago
 // it heard the platform from their own start on.
-func NewWatch(lister Lister, clock tick.Clock, log *slog.Logger, t *gossip.Table) *Watch {
-	w := &Watch{lister: lister, clock: clock, log: log, gossip: t}
-	w.heardAt.Store(-1 << 62)
+func NewWatcher(lister Lister, clock tick.Clock, log *slog.Logger, t *gossip.Table) *Watcher {
+	w := &Watcher{lister: lister, clock: clock, log: log, gossip: t}
+	w.contactAt.Store(-1 << 62)
 	empty := []Listed{}
 	w.list.Store(&empty)
 	return w
@@ -111,10 +111,10 @@
 
 // Start asks at once and at each interval while active says so; leaving marks go
 // into the gossip.
-func (w *Watch) Start(g *run.Group, interval time.Duration, active func() bool) {
+func (w *Watcher) Start(g *run.Group, interval time.Duration, active func() bool) {
 	look := func(ctx context.Context) {
 		if active() {
-			w.look(ctx)
+			w.poll(ctx)
 		}
 	}
 	// Why: who has just started knows no replica, and need not wait for that.
@@ -123,19 +123,21 @@
 }
 
 // Close lets go of idle connections.
-func (w *Watch) Close() { w.lister.Close() }
+func (w *Watcher) Close() { w.lister.Close() }
 
 // List is the newest list.
-func (w *Watch) List() []Listed { return *w.list.Load() }
+func (w *Watcher) List() []Listed { return *w.list.Load() }
 
 // HeardFor is how long ago the platform answered.
-func (w *Watch) HeardFor() time.Duration { return w.clock.Since() - time.Duration(w.heardAt.Load()) }
+func (w *Watcher) SinceContact() time.Duration {
+	return w.clock.Since() - time.Duration(w.contactAt.Load())
+}
 
 // Rounds counts answers taken.
-func (w *Watch) Rounds() int64 { return w.rounds.Load() }
+func (w *Watcher) Rounds() int64 { return w.rounds.Load() }
 
-func (w *Watch) look(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (w *Watcher) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	asked := w.clock.Since()
 	out, err := w.lister.List(ctx)
@@ -145,21 +147,21 @@
 	}
 	for _, one := range out {
 		if one.Leaving {
-			Mark(w.gossip, one.ID)
+			MarkLeaving(w.gossip, one.ID)
 		}
 	}
 	// Why: a platform that has just lost its memory lists nobody; a whole fleet does not leave at once.
 	if now := w.clock.Since(); len(out) > 0 || len(w.List()) == 0 {
-		w.emptyAt.Store(0)
-	} else if since := w.emptyAt.Load(); since == 0 {
-		w.emptyAt.Store(int64(now))
+		w.emptySince.Store(0)
+	} else if since := w.emptySince.Load(); since == 0 {
+		w.emptySince.Store(int64(now))
 		w.log.Warn("platform lists nobody; the list before is kept for a minute")
 		return
-	} else if now-time.Duration(since) < disbelief {
+	} else if now-time.Duration(since) < emptyListGrace {
 		return
 	}
 	w.list.Store(&out)
-	w.heardAt.Store(int64(asked))
+	w.contactAt.Store(int64(asked))
 	w.rounds.Add(1)
 }
 
@@ -168,7 +170,7 @@
 
 // Mark says in the gossip that a replica is leaving. A mark taken back has an
 // even version, one that stands an odd one, so two who learn of it say the same.
-func Mark(t *gossip.Table, id string) {
+func MarkLeaving(t *gossip.Table, id string) {
 	s := t.StampOf(MarkKey(id))
 	if s.Version%2 == 0 {
 		t.Put(gossip.Entry{Key: MarkKey(id), Stamp: state.Stamp{Version: s.Version + 1}, Value: []byte{1}})
@@ -177,12 +179,12 @@
 
 // Unmark takes a mark back; only the replica's controller does so, once the
 // platform has listed the replica as staying for a while.
-func Unmark(t *gossip.Table, id string) {
+func UnmarkLeaving(t *gossip.Table, id string) {
 	s := t.StampOf(MarkKey(id))
 	if s.Version%2 == 1 {
-		t.Put(gossip.Entry{Key: MarkKey(id), Stamp: state.Stamp{Version: s.Version + 1}, Gone: true})
+		t.Put(gossip.Entry{Key: MarkKey(id), Stamp: state.Stamp{Version: s.Version + 1}, Deleted: true})
 	}
 }
 
 // Marked says whether a replica is known to be leaving.
-func Marked(t *gossip.Table, id string) bool { return t.StampOf(MarkKey(id)).Version%2 == 1 }
+func MarkedLeaving(t *gossip.Table, id string) bool { return t.StampOf(MarkKey(id)).Version%2 == 1 }
--- a/internal/member/fanout/fanout.go
+++ b/internal/member/fanout/fanout.go
@@ -13,14 +13,14 @@
 // HeardWithin is how long ago a core must have answered this core to be left to tell
 // the agents below it. Why: a core that is cut off from the other cores alone is alive to the agents and has
 // nothing new for them.
-const HeardWithin = 2500 * time.Millisecond
+const AckedWithin = 2500 * time.Millisecond
 
 // View is what a node knows of the fleet.
 type View struct {
 	Self  member.Node
 	Nodes []member.Node
 	// HeardFor is how long ago another core answered this core's probe; nil on an agent.
-	HeardFor func(core string) time.Duration
+	SinceLastAck func(core string) time.Duration
 }
 
 // Tree is whom this node tells its news. Each agent is below one core: by rendezvous,
@@ -28,12 +28,12 @@
 func (v View) Tree() gossip.Tree {
 	tree := gossip.Tree{IsCore: v.Self.Role == member.RoleCore}
 	for _, n := range v.Nodes {
-		if n.Role == member.RoleCore && n.Thought() && n.Name != v.Self.Name {
+		if n.Role == member.RoleCore && n.PresumedAlive() && n.Name != v.Self.Name {
 			tree.Cores = append(tree.Cores, n.Addr)
 		}
 	}
 	if tree.IsCore {
-		tree.Below = v.below()
+		tree.Agents = v.assignedAgents()
 	} else {
 		tree.Neighbours = v.neighbours()
 	}
@@ -41,11 +41,11 @@
 }
 
 // below is the agents that this core tells.
-func (v View) below() []string {
-	tellers := v.tellers()
+func (v View) assignedAgents() []string {
+	tellers := v.distributingCores()
 	var out []string
 	for _, n := range v.Nodes {
-		if n.Role == member.RoleAgent && n.Thought() && CoreOf(n, tellers) == v.Self.Name {
+		if n.Role == member.RoleAgent && n.PresumedAlive() && AssignedCore(n, tellers) == v.Self.Name {
 			out = append(out, n.Addr)
 		}
 	}
@@ -53,10 +53,10 @@
 }
 
 // tellers is the cores that have news for the agents below them, this one among them.
-func (v View) tellers() []member.Node {
+func (v View) distributingCores() []member.Node {
 	out := []member.Node{v.Self}
 	for _, n := range v.Nodes {
-		if n.Role == member.RoleCore && n.State == member.Alive && n.Name != v.Self.Name && v.HeardFor(n.Name) < HeardWithin {
+		if n.Role == member.RoleCore && n.State == member.Alive && n.Name != v.Self.Name && v.SinceLastAck(n.Name) < AckedWithin {
 			out = append(out, n)
 		}
 	}
@@ -64,7 +64,7 @@
 }
 
 // CoreOf is the name of the one of some cores that an agent is below.
-func CoreOf(agent member.Node, tellers []member.Node) string {
+func AssignedCore(agent member.Node, tellers []member.Node) string {
 	key := []byte(agent.Name)
 	best, bestNear, bestDraw := "", false, uint64(0)
 	for _, core := range tellers {
--- a/internal/member/fanout/fanout_test.go
+++ b/internal/member/fanout/fanout_test.go
@@ -23,78 +23,78 @@
 	return out
 }
 
-func heardAt(ages map[string]time.Duration) func(string) time.Duration {
+func ackAges(ages map[string]time.Duration) func(string) time.Duration {
 	return func(core string) time.Duration { return ages[core] }
 }
 
 // told counts by how many cores each agent is told.
-func told(nodes []member.Node, heardFor func(string) time.Duration, cores ...int) map[string]int {
+func sendersPerAgent(nodes []member.Node, heardFor func(string) time.Duration, cores ...int) map[string]int {
 	out := map[string]int{}
 	for _, i := range cores {
-		for _, addr := range (View{Self: nodes[i], Nodes: nodes, HeardFor: heardFor}).Tree().Below {
+		for _, addr := range (View{Self: nodes[i], Nodes: nodes, SinceLastAck: heardFor}).Tree().Agents {
 			out[addr]++
 		}
 	}
 	return out
 }
 
-func TestEachAgentIsToldByOneCoreOfItsZone(t *testing.T) {
+func TestEachAgentHasOneSendingCoreInItsZone(t *testing.T) {
 	nodes := fleet(3, 6, 64)
-	got := told(nodes, heardAt(nil), 0, 1, 2, 3, 4, 5)
+	got := sendersPerAgent(nodes, ackAges(nil), 0, 1, 2, 3, 4, 5)
 	for _, n := range nodes[6:] {
 		if got[n.Addr] != 1 {
 			t.Errorf("%s is told by %d cores", n.Name, got[n.Addr])
 		}
 	}
 	for i := range 6 {
-		tree := View{Self: nodes[i], Nodes: nodes, HeardFor: heardAt(nil)}.Tree()
-		if len(tree.Cores) != 5 || !tree.IsCore || len(tree.Below) < 4 {
-			t.Errorf("%s tells %d cores and %d agents", nodes[i].Name, len(tree.Cores), len(tree.Below))
+		tree := View{Self: nodes[i], Nodes: nodes, SinceLastAck: ackAges(nil)}.Tree()
+		if len(tree.Cores) != 5 || !tree.IsCore || len(tree.Agents) < 4 {
+			t.Errorf("%s tells %d cores and %d agents", nodes[i].Name, len(tree.Cores), len(tree.Agents))
 		}
 		for _, n := range nodes[6:] {
-			if slices.Contains(tree.Below, n.Addr) && n.Zone != nodes[i].Zone {
+			if slices.Contains(tree.Agents, n.Addr) && n.Zone != nodes[i].Zone {
 				t.Errorf("%s of %s is told by %s of %s", n.Name, n.Zone, nodes[i].Name, nodes[i].Zone)
 			}
 		}
 	}
 }
 
-func TestAgentsOfAZoneWithoutCoresAreToldAllTheSame(t *testing.T) {
+func TestAgentsInAZoneWithoutCoresAreCovered(t *testing.T) {
 	nodes := fleet(5, 3, 40)
-	for addr, n := range told(nodes, heardAt(nil), 0, 1, 2) {
+	for addr, n := range sendersPerAgent(nodes, ackAges(nil), 0, 1, 2) {
 		if n != 1 {
 			t.Errorf("%s is told by %d cores", addr, n)
 		}
 	}
-	if got := told(nodes, heardAt(nil), 0, 1, 2); len(got) != 40 {
+	if got := sendersPerAgent(nodes, ackAges(nil), 0, 1, 2); len(got) != 40 {
 		t.Errorf("%d agents of 40 are told", len(got))
 	}
 }
 
-func TestOthersTellTheAgentsOfACoreThatIsGone(t *testing.T) {
+func TestAgentsOfADepartedCoreAreReassigned(t *testing.T) {
 	for _, state := range []member.State{member.Suspect, member.Dead, member.Left} {
 		nodes := fleet(3, 6, 64)
 		nodes[2].State = state
-		if got := told(nodes, heardAt(nil), 0, 1, 3, 4, 5); len(got) != 64 {
+		if got := sendersPerAgent(nodes, ackAges(nil), 0, 1, 3, 4, 5); len(got) != 64 {
 			t.Errorf("%v: %d agents of 64 are told", state, len(got))
 		}
 	}
 }
 
 // A core that the other cores cannot reach, and the agents can, is alive to all.
-func TestOthersTellTheAgentsOfACoreCutOffFromTheCores(t *testing.T) {
+func TestAgentsOfAPartitionedCoreAreReassigned(t *testing.T) {
 	nodes := fleet(3, 6, 64)
-	cut := heardAt(map[string]time.Duration{nodes[2].Name: HeardWithin})
-	if got := told(nodes, cut, 0, 1, 3, 4, 5); len(got) != 64 {
+	cut := ackAges(map[string]time.Duration{nodes[2].Name: AckedWithin})
+	if got := sendersPerAgent(nodes, cut, 0, 1, 3, 4, 5); len(got) != 64 {
 		t.Errorf("%d agents of 64 are told by the others", len(got))
 	}
 }
 
-func TestAnAgentTellsLiveNeighboursOfItsZone(t *testing.T) {
+func TestAgentForwardsToLiveNeighboursInItsZone(t *testing.T) {
 	nodes := fleet(3, 6, 64)
 	nodes[9].State = member.Suspect
 	tree := View{Self: nodes[6], Nodes: nodes}.Tree()
-	if tree.IsCore || len(tree.Cores) != 6 || len(tree.Below) != 0 {
+	if tree.IsCore || len(tree.Cores) != 6 || len(tree.Agents) != 0 {
 		t.Errorf("an agent's tree: %+v", tree)
 	}
 	want := 0
--- a/internal/member/fanout/fleet_test.go
+++ b/internal/member/fanout/fleet_test.go
@@ -32,7 +32,7 @@
 }
 
 // simulated is a fleet of such nodes on a simulated network.
-type simulated struct {
+type testFleet struct {
 	t       *testing.T
 	fabric  *simnet.Fabric
 	group   *run.Group
@@ -40,8 +40,8 @@
 	version uint64
 }
 
-func start(t *testing.T) *simulated {
-	s := &simulated{t: t, group: run.NewGroup(t.Context()), fabric: simnet.New(1, func(string, string) time.Duration { return time.Millisecond })}
+func start(t *testing.T) *testFleet {
+	s := &testFleet{t: t, group: run.NewGroup(t.Context()), fabric: simnet.New(1, func(string, string) time.Duration { return time.Millisecond })}
 	seeds := []string{"10.0.0.1" + gossipPort, "10.0.0.2" + gossipPort, "10.0.0.3" + gossipPort}
 	for i := range coreCount {
 		s.startNode(fmt.Sprintf("core-%d", i), fmt.Sprintf("10.0.0.%d", i+1), member.RoleCore, i, seeds)
@@ -52,7 +52,7 @@
 	return s
 }
 
-func (s *simulated) startNode(name, ip, role string, number int, seeds []string) {
+func (s *testFleet) startNode(name, ip, role string, number int, seeds []string) {
 	addr := ip + gossipPort
 	self := member.Node{Name: name, Role: role, Zone: fmt.Sprintf("zone-%d", number%zoneCount), Addr: addr, Boot: name, Inc: 1}
 	on, err := simnode.New(s.group, s.fabric.Host(ip), self, seeds)
@@ -61,14 +61,14 @@
 	}
 	n := &node{Node: on, name: name, ip: ip, role: role, table: gossip.NewTable()}
 	tree := func() gossip.Tree {
-		return View{Self: n.Members.Self(), Nodes: n.Members.Nodes(), HeardFor: n.Members.HeardFor}.Tree()
+		return View{Self: n.Members.Self(), Nodes: n.Members.Nodes(), SinceLastAck: n.Members.SinceLastAck}.Tree()
 	}
-	gossip.NewSpreader(n.Group, n.table, n.Log, n.Post, n.Caller, n.Mux, func() string { return addr }, n.Members.Peers, tree, n.Touch)
+	gossip.NewDisseminator(n.Group, n.table, n.Log, n.Post, n.Caller, n.Mux, func() string { return addr }, n.Members.Peers, tree, n.Touch)
 	n.Serve()
 	s.nodes = append(s.nodes, n)
 }
 
-func (s *simulated) stop() {
+func (s *testFleet) stop() {
 	for _, n := range s.nodes {
 		n.Stop()
 	}
@@ -76,14 +76,14 @@
 }
 
 // kill ends a node without a word.
-func (s *simulated) kill(name string) {
+func (s *testFleet) kill(name string) {
 	i := slices.IndexFunc(s.nodes, func(n *node) bool { return n.name == name })
 	s.nodes[i].Stop()
 	s.nodes = slices.Delete(s.nodes, i, i+1)
 }
 
 // sent counts the datagrams of all nodes.
-func (s *simulated) sent() (count int64) {
+func (s *testFleet) sent() (count int64) {
 	for _, n := range s.nodes {
 		count += n.Post.Sent()
 	}
@@ -91,7 +91,7 @@
 }
 
 // put enters something new at a node.
-func (s *simulated) put(at string) gossip.Entry {
+func (s *testFleet) put(at string) gossip.Entry {
 	s.version++
 	e := gossip.Entry{Key: fmt.Sprintf("replica/r-%d", s.version), Stamp: state.Stamp{Epoch: 1, Version: s.version}, Value: make([]byte, 300)}
 	s.nodes[slices.IndexFunc(s.nodes, func(n *node) bool { return n.name == at })].table.Put(e)
@@ -99,7 +99,7 @@
 }
 
 // lacking is the nodes that have not got an entry.
-func (s *simulated) lacking(e gossip.Entry) (out []string) {
+func (s *testFleet) missing(e gossip.Entry) (out []string) {
 	for _, n := range s.nodes {
 		if _, found := n.table.Get(e.Key); !found {
 			out = append(out, n.name)
@@ -109,41 +109,41 @@
 }
 
 // arrives checks that an entry put at a node is everywhere within a time.
-func (s *simulated) arrives(when, at string, within time.Duration) {
+func (s *testFleet) checkDelivery(when, at string, within time.Duration) {
 	s.t.Helper()
 	e := s.put(at)
 	time.Sleep(within)
 	synctest.Wait()
-	if lack := s.lacking(e); len(lack) > 0 {
+	if lack := s.missing(e); len(lack) > 0 {
 		s.t.Errorf("%s: %v after it was put at %s, %d nodes lack it: %v", when, within, at, len(lack), lack)
 	}
 }
 
 const (
 	// settled is until all nodes know one another.
-	settled = 8 * time.Second
+	settleTime = 8 * time.Second
 	// twoRounds and some time on the way is what an entry takes down the tree.
 	twoRounds = 300 * time.Millisecond
 	// mended is within what digests bring what the tree does not.
-	mended = 6 * time.Second
+	repairTime = 6 * time.Second
 )
 
-func TestNewsGoesDownTheTree(t *testing.T) {
+func TestUpdatesPropagateAlongTheTree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := start(t)
 		defer s.stop()
-		time.Sleep(settled)
-		s.arrives("at rest", "core-4", twoRounds)
-		s.arrives("at rest", "agent-17", twoRounds+100*time.Millisecond)
+		time.Sleep(settleTime)
+		s.checkDelivery("at rest", "core-4", twoRounds)
+		s.checkDelivery("at rest", "agent-17", twoRounds+100*time.Millisecond)
 	})
 }
 
 // Each entry was once some 1000 datagrams, and a node of a fleet like this sent and took 130 a second.
-func TestWhatIsNewTakesFewDatagrams(t *testing.T) {
+func TestUpdatesTakeFewDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := start(t)
 		defer s.stop()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		const span = 4 * time.Second
 		before := s.sent()
 		time.Sleep(span)
@@ -162,11 +162,11 @@
 }
 
 // Every node once exchanged the whole table of members, 6 KB each way here, with another every 2 s.
-func TestAFleetAtRestTellsLittle(t *testing.T) {
+func TestIdleFleetSendsLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := start(t)
 		defer s.stop()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		called := func() (bytes int64) {
 			for _, n := range s.nodes {
 				_, b := n.Caller.Sent()
@@ -185,34 +185,34 @@
 	})
 }
 
-func TestACoreThatDiesTakesNoAgentsAlong(t *testing.T) {
+func TestAgentsReceiveUpdatesAfterACoreDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := start(t)
 		defer s.stop()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		s.kill("core-1")
-		s.arrives("just after", "core-4", mended)
-		s.arrives("after suspicion", "core-2", twoRounds)
+		s.checkDelivery("just after", "core-4", repairTime)
+		s.checkDelivery("after suspicion", "core-2", twoRounds)
 	})
 }
 
-func TestACoreCutOffFromTheCoresTakesNoAgentsAlong(t *testing.T) {
+func TestAgentsReceiveUpdatesWhenACoreIsPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := start(t)
 		defer s.stop()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		for i := range coreCount {
 			if i != 1 {
 				s.fabric.Cut("10.0.0.2", fmt.Sprintf("10.0.0.%d", i+1), true)
 				s.fabric.Cut(fmt.Sprintf("10.0.0.%d", i+1), "10.0.0.2", true)
 			}
 		}
-		s.arrives("just after", "core-4", mended)
+		s.checkDelivery("just after", "core-4", repairTime)
 		// Why: the core itself has no other way than digests; all others are told by the tree again.
 		e := s.put("core-2")
 		time.Sleep(twoRounds)
 		synctest.Wait()
-		if lack := s.lacking(e); len(lack) > 1 || len(lack) == 1 && lack[0] != "core-1" {
+		if lack := s.missing(e); len(lack) > 1 || len(lack) == 1 && lack[0] != "core-1" {
 			t.Errorf("%d nodes lack it: %v", len(lack), lack)
 		}
 	})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	interval    = 200 * time.Millisecond  // between two probes
-	directFor   = 300 * time.Millisecond  // how long a probe may take before others are asked to probe too
-	indirectFor = 900 * time.Millisecond  // how long it may take altogether
-	suspectFor  = 1500 * time.Millisecond // how long a suspect may clear itself
-	forgetAfter = 10 * time.Minute        // how long a node that is gone is remembered
-	helpers     = 3                       // third parties asked for a second opinion
-	retell      = 8                       // times a change is told
-	syncTicks   = 10                      // intervals between two exchanges of whole tables
-	syncLimit   = time.Second             // for such an exchange
-	syncPath    = "/member/sync"
-	maxNodes    = 4096 // bound on the table
-	updatesAt   = 5    // updates riding on one datagram
+	probeInterval       = 200 * time.Millisecond  // between two probes
+	directTimeout       = 300 * time.Millisecond  // how long a probe may take before others are asked to probe too
+	probeTimeout        = 900 * time.Millisecond  // how long it may take altogether
+	suspectTimeout      = 1500 * time.Millisecond // how long a suspect may clear itself
+	retention           = 10 * time.Minute        // how long a node that is gone is remembered
+	indirectProbers     = 3                       // third parties asked for a second opinion
+	updateTransmissions = 8                       // times a change is told
+	syncIntervalTicks   = 10                      // intervals between two exchanges of whole tables
+	syncTimeout         = time.Second             // for such an exchange
+	syncPath            = "/member/sync"
+	maxNodes            = 4096 // bound on the table
+	updatesPerDatagram  = 5    // updates riding on one datagram
 )
 
 // State of a node as others see it; a later one wins under one incarnation.
@@ -62,4 +62,4 @@
 }
 
 // Thought says whether the node is thought to be there.
-func (n Node) Thought() bool { return n.State == Alive || n.State == Suspect }
+func (n Node) PresumedAlive() bool { return n.State == Alive || n.State == Suspect }
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -8,9 +8,9 @@
 )
 
 // roll is the whole table as it is told to others.
-func (t *Table) roll() Roll {
-	r := Roll{}
-	if !t.yielded {
+func (t *Table) wholeTable() SyncMessage {
+	r := SyncMessage{}
+	if !t.nameTaken {
 		r.Nodes = append(r.Nodes, t.self)
 	}
 	for _, e := range t.nodes {
@@ -37,15 +37,15 @@
 		return false
 	}
 	if n.Name == t.self.Name {
-		t.aboutSelf(n)
+		t.handleSelfUpdate(n)
 		return false
 	}
 	old := t.nodes[n.Name]
 	if old == nil {
-		if len(t.nodes) >= maxNodes || !n.Thought() {
+		if len(t.nodes) >= maxNodes || !n.PresumedAlive() {
 			return false
 		}
-		t.nodes[n.Name] = &entry{node: n, since: t.clock.Since(), tell: retell}
+		t.nodes[n.Name] = &entry{node: n, since: t.clock.Since(), transmitsLeft: updateTransmissions}
 		return true
 	}
 	if !n.overrides(old.node) {
@@ -55,7 +55,7 @@
 		old.since = t.clock.Since()
 		t.log.Info("member", "name", n.Name, "state", n.State.String(), "inc", n.Inc)
 	}
-	old.node, old.tell = n, retell
+	old.node, old.transmitsLeft = n, updateTransmissions
 	return true
 }
 
@@ -65,7 +65,7 @@
 }
 
 // aboutSelf answers what others say of this node.
-func (t *Table) aboutSelf(n Node) {
+func (t *Table) handleSelfUpdate(n Node) {
 	if n.Inc < t.self.Inc || t.self.State == Left || n.Boot == t.self.Boot && n.State == Alive {
 		return
 	}
@@ -79,13 +79,13 @@
 	t.group.Go(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		w, err := wire.Call[none, Who](ctx, t.caller, n.Addr, "/member/who", none{})
+		w, err := wire.Call[empty, Identity](ctx, t.caller, n.Addr, "/member/who", empty{})
 		_ = t.actor.TryEnqueue(func() {
 			if err == nil && w.Name == t.self.Name && w.Boot != t.self.Boot {
-				if !t.yielded {
+				if !t.nameTaken {
 					t.log.Error("another process has taken this node's name", "addr", n.Addr)
 				}
-				t.yielded = true
+				t.nameTaken = true
 			} else {
 				t.self.Inc++
 			}
--- a/internal/member/snapshot.go
+++ b/internal/member/snapshot.go
@@ -20,7 +20,7 @@
 // publish makes what is known now readable from outside the actor.
 func (t *Table) publish() {
 	s := &snapshot{self: t.self, nodes: make([]Node, 0, len(t.nodes)+1), live: map[string][]Node{}}
-	if !t.yielded {
+	if !t.nameTaken {
 		s.nodes = append(s.nodes, t.self)
 	}
 	for _, e := range t.nodes {
@@ -28,7 +28,7 @@
 	}
 	slices.SortFunc(s.nodes, func(a, b Node) int { return strings.Compare(a.Name, b.Name) })
 	for _, n := range s.nodes {
-		if !n.Thought() {
+		if !n.PresumedAlive() {
 			continue
 		}
 		s.live[anyRole] = append(s.live[anyRole], n)
@@ -37,17 +37,17 @@
 			s.peers = append(s.peers, n.Addr)
 		}
 	}
-	t.snap.Store(s)
+	t.snapshot.Store(s)
 }
 
 // Self is this node as the others are told of it.
-func (t *Table) Self() Node { return t.snap.Load().self }
+func (t *Table) Self() Node { return t.snapshot.Load().self }
 
 // Nodes are all known nodes, this one among them, by name. The slice is not to be changed.
-func (t *Table) Nodes() []Node { return t.snap.Load().nodes }
+func (t *Table) Nodes() []Node { return t.snapshot.Load().nodes }
 
 // Live are the nodes of a role thought to be there; "" is any role. The slice is not to be changed.
-func (t *Table) Live(role string) []Node { return slices.Clip(t.snap.Load().live[role]) }
+func (t *Table) Live(role string) []Node { return slices.Clip(t.snapshot.Load().live[role]) }
 
 // Peers are the addresses of the live nodes other than this one. The slice is not to be changed.
-func (t *Table) Peers() []string { return slices.Clip(t.snap.Load().peers) }
+func (t *Table) Peers() []string { return slices.Clip(t.snapshot.Load().peers) }
