--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -37,22 +37,22 @@
 
 // Errors that the control state may give with a submission.
 var (
-	ErrNoQuorum = errors.New("no quorum; nothing was kept")
-	ErrUnknown  = errors.New("it is not known whether it was kept; read it back")
+	ErrNoQuorum       = errors.New("no quorum; nothing was kept")
+	ErrOutcomeUnknown = errors.New("it is not known whether it was kept; read it back")
 )
 
 // Control is what stands behind the API.
 type Control interface {
 	Submit(ctx context.Context, s Submission) (Submitted, error)
-	Newest(ctx context.Context) (conf.Kept, bool, error)
+	Newest(ctx context.Context) (conf.Stored, bool, error)
 	Status(ctx context.Context) any
 	Explain(ctx context.Context, model string) any
 	Rescue(ctx context.Context, lost []string, serial uint64) (any, error)
 }
 
 type service struct {
-	c    Control
-	logs *ring.Ring
+	control Control
+	logs    *ring.Ring
 }
 
 // NewHandler mounts the API on goa's muxer.
@@ -71,7 +71,7 @@
 	return d
 }
 
-func serial(n uint64) string { return `"` + strconv.FormatUint(n, 10) + `"` }
+func formatSerial(n uint64) string { return `"` + strconv.FormatUint(n, 10) + `"` }
 
 func (s *service) submit(ctx context.Context, manner string, ifMatch, contentType *string, body io.ReadCloser) (*gen.Submitted, error) {
 	defer body.Close()
@@ -94,18 +94,18 @@
 		return nil, refusal("too_large", "a configuration has at most "+strconv.Itoa(conf.MaxBytes)+" bytes", "not-run", "", nil)
 	}
 	sub.Body = b
-	got, err := s.c.Submit(ctx, sub)
+	got, err := s.control.Submit(ctx, sub)
 	switch {
 	case errors.Is(err, ErrNoQuorum):
 		return nil, refusal("no_quorum", err.Error(), "not-run", "3", nil)
 	case err != nil:
-		return nil, refusal("unknown_outcome", ErrUnknown.Error(), "unknown", "3", nil)
+		return nil, refusal("unknown_outcome", ErrOutcomeUnknown.Error(), "unknown", "3", nil)
 	case len(got.Faults) > 0:
 		return nil, refusal("bad", "the configuration is refused whole", "not-run", "", got.Faults)
 	case got.Stale:
-		return nil, refusal("stale", "the serial now is "+serial(got.Serial), "not-run", "", nil)
+		return nil, refusal("stale", "the serial now is "+formatSerial(got.Serial), "not-run", "", nil)
 	}
-	return &gen.Submitted{Serial: serial(got.Serial), Sum: got.Sum}, nil
+	return &gen.Submitted{Serial: formatSerial(got.Serial), Sum: got.Sum}, nil
 }
 
 func (s *service) Put(ctx context.Context, p *gen.PutPayload, body io.ReadCloser) (*gen.Submitted, error) {
@@ -117,14 +117,14 @@
 }
 
 func (s *service) Get(ctx context.Context, p *gen.GetPayload) (*gen.GetResult, io.ReadCloser, error) {
-	k, found, err := s.c.Newest(ctx)
+	k, found, err := s.control.Newest(ctx)
 	if err != nil {
 		return nil, nil, refusal("no_quorum", "the newest configuration cannot be told without a quorum", "not-run", "3", nil)
 	}
 	if !found {
 		return nil, nil, refusal("missing", "no configuration was ever kept", "ran", "", nil)
 	}
-	res := &gen.GetResult{Serial: serial(k.Serial), ContentType: "application/json", Manner: k.Manner}
+	res := &gen.GetResult{Serial: formatSerial(k.Serial), ContentType: "application/json", Manner: k.Mode}
 	var b []byte
 	switch p.What {
 	case "submission":
@@ -133,9 +133,9 @@
 			res.ContentType = k.ContentType
 		}
 	case "effective":
-		b = conf.Rendered(k)
+		b = conf.RenderJSON(k)
 	default:
-		if b, found = k.Sent[p.What]; found {
+		if b, found = k.Originals[p.What]; found {
 			break
 		}
 		if b, found = k.Objects[p.What]; !found {
@@ -145,18 +145,18 @@
 	return res, io.NopCloser(bytes.NewReader(b)), nil
 }
 
-func (s *service) Status(ctx context.Context) (any, error) { return s.c.Status(ctx), nil }
+func (s *service) Status(ctx context.Context) (any, error) { return s.control.Status(ctx), nil }
 
 func (s *service) Explain(ctx context.Context, p *gen.ExplainPayload) (any, error) {
 	model := ""
 	if p.Model != nil {
 		model = *p.Model
 	}
-	return s.c.Explain(ctx, model), nil
+	return s.control.Explain(ctx, model), nil
 }
 
 func (s *service) Rescue(ctx context.Context, p *gen.RescuePayload) (any, error) {
-	got, err := s.c.Rescue(ctx, p.Lost, p.Serial)
+	got, err := s.control.Rescue(ctx, p.Lost, p.Serial)
 	if err != nil {
 		return nil, refusal("bad", err.Error(), "not-run", "", nil)
 	}
--- a/internal/place/demand/demand.go
+++ b/internal/place/demand/demand.go
@@ -23,15 +23,15 @@
 // Minutes are counting units and a day is one demand epoch; a deployment whose
 // demand changes faster may configure both to be shorter.
 type Params struct {
-	Day            int64     // counting units in an epoch; 0 means DefaultUnitsPerDay
+	UnitsPerDay    int64     // counting units in an epoch; 0 means DefaultUnitsPerDay
 	DayWeights     []float64 // seven weights, yesterday first
 	WarmupMinutes  int
 	HorizonMinutes int
 }
 
 func (r Params) unitsPerDay() int64 {
-	if r.Day > 0 {
-		return r.Day
+	if r.UnitsPerDay > 0 {
+		return r.UnitsPerDay
 	}
 	return DefaultUnitsPerDay
 }
--- a/internal/place/judge/explain_test.go
+++ b/internal/place/judge/explain_test.go
@@ -12,7 +12,7 @@
 	var rs []Candidate
 	for i := range n {
 		rs = append(rs, Candidate{Name: fmt.Sprint("r", i), Inflight: rnd.IntN(5), Slots: 12, ServeTime: time.Duration(rnd.IntN(3)) * time.Second, Leaving: rnd.IntN(9) == 0,
-			Fits: rnd.IntN(9) > 0, FreeMib: rnd.IntN(100), NeedMib: rnd.IntN(100), AdFree: rnd.IntN(9), Copies: rnd.IntN(3)})
+			Fits: rnd.IntN(9) > 0, FreeMib: rnd.IntN(100), NeedMib: rnd.IntN(100), FreeAdapterPlaces: rnd.IntN(9), Copies: rnd.IntN(3)})
 	}
 	return rs
 }
--- a/internal/place/judge/judge.go
+++ b/internal/place/judge/judge.go
@@ -30,20 +30,20 @@
 
 // Candidate holds the properties of a replica that the criteria score.
 type Candidate struct {
-	Name      string
-	WarmShare float64 // known share of the prompt that is warm on the replica
-	Home      float64 // rendezvous hash of the prompt and the replica, between 0 and 1
-	Inflight  int
-	Slots     int
-	ServeTime time.Duration
-	SameZone  bool
-	Leaving   bool
-	Holds     bool // model and adapter are loaded
-	Fits      bool // false if the replica can never hold the item
-	FreeMib   int
-	NeedMib   int
-	AdFree    int
-	Copies    int // copies of the item in the replica's zone
+	Name              string
+	WarmShare         float64 // known share of the prompt that is warm on the replica
+	RendezvousShare   float64 // rendezvous hash of the prompt and the replica, between 0 and 1
+	Inflight          int
+	Slots             int
+	ServeTime         time.Duration
+	SameZone          bool
+	Leaving           bool
+	Loaded            bool // model and adapter are loaded
+	Fits              bool // false if the replica can never hold the item
+	FreeMib           int
+	NeedMib           int
+	FreeAdapterPlaces int
+	Copies            int // copies of the item in the replica's zone
 	// TenantShare is 1 where the request evicts nothing that another tenant, or a more urgent class, keeps warm; 0 without
 	// tenants.
 	TenantShare float64
@@ -93,7 +93,7 @@
 	{name: "warmth", score: func(r Candidate) (float64, bool) {
 		// For a prompt that is warm nowhere the rendezvous share decides, so that all proxies warm the same replica. A
 		// prefix shared by many prompts is warm on many replicas and must not outweigh it.
-		return (1-observedWarmthWeight)*clamp(r.Home) + observedWarmthWeight*clamp(r.WarmShare), false
+		return (1-observedWarmthWeight)*clamp(r.RendezvousShare) + observedWarmthWeight*clamp(r.WarmShare), false
 	}},
 	{name: "wait", score: func(r Candidate) (float64, bool) {
 		return 1 / (1 + float64(r.PredictedWait)/float64(halfScoreWait)), false
@@ -129,8 +129,8 @@
 		}
 		return fmt.Sprintf("%d MiB free of %d needed", r.FreeMib, r.NeedMib)
 	}},
-	{"adapters", func(r Candidate) (float64, bool) { return clamp(float64(r.AdFree) / 4), false },
-		func(r Candidate) string { return fmt.Sprintf("%d adapter places free", r.AdFree) }},
+	{"adapters", func(r Candidate) (float64, bool) { return clamp(float64(r.FreeAdapterPlaces) / 4), false },
+		func(r Candidate) string { return fmt.Sprintf("%d adapter places free", r.FreeAdapterPlaces) }},
 	{"load", func(r Candidate) (float64, bool) { return freeShare(r), false },
 		func(r Candidate) string { return fmt.Sprintf("%d of %d slots in use", r.Inflight, r.Slots) }},
 	{"serve", serveTimeScore, func(r Candidate) string { return "serve time " + r.ServeTime.String() }},
--- a/internal/place/judge/judge_test.go
+++ b/internal/place/judge/judge_test.go
@@ -22,7 +22,7 @@
 
 // Each criterion alone breaks a tie, unless its weight is 0.
 func TestEachCriterionBreaksATie(t *testing.T) {
-	base := Candidate{Slots: 4, Inflight: 1, ServeTime: time.Second, Fits: true, FreeMib: 5, NeedMib: 10, AdFree: 1, Copies: 1}
+	base := Candidate{Slots: 4, Inflight: 1, ServeTime: time.Second, Fits: true, FreeMib: 5, NeedMib: 10, FreeAdapterPlaces: 1, Copies: 1}
 	with := func(name string, f func(*Candidate)) Candidate {
 		r := base
 		r.Name = name
@@ -42,7 +42,7 @@
 		}
 	}
 	for criterion, f := range map[string]func(*Candidate){
-		"room": func(r *Candidate) { r.FreeMib = 10 }, "adapters": func(r *Candidate) { r.AdFree = 4 }, "load": func(r *Candidate) { r.Inflight = 0 },
+		"room": func(r *Candidate) { r.FreeMib = 10 }, "adapters": func(r *Candidate) { r.FreeAdapterPlaces = 4 }, "load": func(r *Candidate) { r.Inflight = 0 },
 		"serve": func(r *Candidate) { r.ServeTime = 0 }, "copies": func(r *Candidate) { r.Copies = 0 },
 	} {
 		if got := names(RankForLoadWithBreakdown(evenWeights, []Candidate{with("a", func(*Candidate) {}), with("b", f)})); got != "b a" {
--- a/internal/place/order/adapter_test.go
+++ b/internal/place/order/adapter_test.go
@@ -12,9 +12,9 @@
 // adapterController returns the controller of a replica with model m loaded and model n configured.
 func adapterController(c *fakeClock) *Controller {
 	cfg := conf.Empty()
-	cfg.Models = map[string]conf.Model{"m": {LoadFor: 2 * time.Second, SizeMib: 100}, "n": {LoadFor: 2 * time.Second, SizeMib: 100}}
+	cfg.Models = map[string]conf.Model{"m": {ExpectedLoadTime: 2 * time.Second, SizeMib: 100}, "n": {ExpectedLoadTime: 2 * time.Second, SizeMib: 100}}
 	ctl := &Controller{d: Deps{Clock: c, Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Cadence: bounds.Cadence{Tasks: 2}},
-		entries: map[conf.Item]*entry{}, traits: backend.Traits{AdaptersUnpaced: true}}
+		entries: map[conf.Item]*entry{}, traits: backend.Traits{AdapterLoadsUnlimited: true}}
 	ctl.report = backend.Report{CapacityMib: 1000, AdapterPlaces: 8}
 	ctl.entries[conf.Item{Model: "m"}] = &entry{Entry: Entry{State: backend.Loaded, SizeMib: 100}}
 	return ctl
--- a/internal/place/order/consider.go
+++ b/internal/place/order/consider.go
@@ -88,7 +88,7 @@
 		order, idle, usedSize := c.idleItems(cfg, item, false)
 		out.IdleModels = idle
 		v := penalty.Evaluate(needMib, wantedPenalty, cfg.Limits.Csf, skipTest, order)
-		out.Why, out.VictimPenalty = v.Reason, v.Sum
+		out.Why, out.VictimPenalty = v.Reason, v.VictimPenalty
 		if !v.Load {
 			out.Temporary = blockedByUse(needMib, usedSize, order)
 			return out
@@ -119,7 +119,7 @@
 			out.Temporary = blockedByUse(needPlaces, usedSize, rest)
 			return out
 		}
-		out.VictimPenalty += v.Sum
+		out.VictimPenalty += v.VictimPenalty
 		for _, victim := range v.Victims {
 			victims = append(victims, conf.ParseItem(victim.Item))
 		}
--- a/internal/place/order/controller.go
+++ b/internal/place/order/controller.go
@@ -79,11 +79,11 @@
 	Reports           *report.Table
 	Conf              func() conf.Effective
 	PredictedRequests func(item string) float64 // predicted requests for an item over the horizon
-	Others            func() Statuses
+	Statuses          func() Statuses
 	LiveAgents        func() map[string]bool // agents that are considered alive
 	PlatformAge       func() time.Duration   // time since the last contact with the platform
 	Grant             func(ctx context.Context, r GrantRequest) (wait time.Duration, ok bool)
-	Afloat            func(ctx context.Context, loadID string) // reports a load that may still start to the rate limiter of the store
+	ReportOutstanding func(ctx context.Context, loadID string) // reports a load that may still start to the rate limiter of the store
 }
 
 // entry is an Entry with the facts that are not stored.
@@ -148,7 +148,7 @@
 
 // leaving reports whether the replica is leaving, by its listing, its report, a mark in gossip or a configured drain.
 func (c *Controller) leaving() bool {
-	return c.listed.Leaving || c.report.Leaving || inventory.Marked(c.d.Gossip, c.listed.ID) || c.d.Conf().Drained(c.listed.Labels, c.listed.Zone)
+	return c.listed.Leaving || c.report.Leaving || inventory.MarkedLeaving(c.d.Gossip, c.listed.ID) || c.d.Conf().Drained(c.listed.Labels, c.listed.Zone)
 }
 
 // reconcile polls the replica, advances the tasks and publishes the status.
@@ -200,7 +200,7 @@
 		c.closed = true
 		if gone && c.epoch > 0 {
 			c.version++
-			c.d.Gossip.Put(gossip.Entry{Key: Key(c.listed.ID), Stamp: c.currentStamp(), Gone: true})
+			c.d.Gossip.Put(gossip.Entry{Key: Key(c.listed.ID), Stamp: c.currentStamp(), Deleted: true})
 		}
 	})
 }
--- a/internal/place/order/estimate.go
+++ b/internal/place/order/estimate.go
@@ -20,15 +20,15 @@
 	case c.msPerMib > 0:
 		return int(c.msPerMib * float64(m.SizeMib))
 	}
-	return int(m.LoadFor.Milliseconds())
+	return int(m.ExpectedLoadTime.Milliseconds())
 }
 
 // readyMs returns the estimated time until an item is loaded if its load is accepted now.
 func (c *Controller) readyMs(m conf.Model, item conf.Item) int {
-	if c.adapterOnly(item) && c.traits.AdaptersUnpaced {
+	if c.adapterOnly(item) && c.traits.AdapterLoadsUnlimited {
 		return c.taskMs(m, item) + adapterMarginMs + c.remainingMs()
 	}
-	return c.taskMs(m, item) + modelMarginMs + c.queued(false)*int(m.LoadFor.Milliseconds())
+	return c.taskMs(m, item) + modelMarginMs + c.queued(false)*int(m.ExpectedLoadTime.Milliseconds())
 }
 
 const (
@@ -108,7 +108,7 @@
 		return
 	}
 	average := &c.msPerMib
-	if c.heldBefore[t.item.Model] && c.traits.KeepsOnDisk {
+	if c.heldBefore[t.item.Model] && c.traits.CachesModelsOnDisk {
 		average = &c.msPerMibReload
 	}
 	took := float64((now - t.phaseSince).Milliseconds()) / float64(m.SizeMib)
--- a/internal/place/order/execute.go
+++ b/internal/place/order/execute.go
@@ -24,7 +24,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.d.Group.Context(), left)
 	defer cancel()
-	o := backend.Order{ID: fmt.Sprintf("%s.%d.%d", c.d.Self, epoch, c.orderCount), Verb: verb, Item: item, SizeMib: size, Epoch: epoch, Controller: c.d.Self + "/" + c.d.Boot, Holder: c.d.Self}
+	o := backend.Order{ID: fmt.Sprintf("%s.%d.%d", c.d.Self, epoch, c.orderCount), Verb: verb, Item: item, SizeMib: size, Epoch: epoch, Controller: c.d.Self + "/" + c.d.Boot, LeaseHolder: c.d.Self}
 	err := c.d.Replicas.Order(ctx, c.listed.Target(), o)
 	c.d.Log.Info("order", "replica", c.listed.ID, "verb", verb, "item", item.String(), "epoch", epoch, "error", err)
 	return err
@@ -73,7 +73,7 @@
 		switch {
 		case len(t.victims) == 0:
 			t.enter(phaseAwaitGrant, now)
-		case c.traits.WaitsForRuns:
+		case c.traits.DrainsBeforeUnload:
 			// The replica itself waits for running requests and rejects new ones, so no acknowledgement is required.
 			c.unloadVictims(t, now)
 		default:
@@ -137,7 +137,7 @@
 			return
 		}
 		t.unloadsOrdered++
-		if c.traits.OneOrder {
+		if c.traits.RejectsConcurrentOrders {
 			break
 		}
 	}
@@ -174,7 +174,7 @@
 		c.tasks.PopFront()
 	case t.item.Adapter != "" && base != nil && base.State == backend.Loaded && e != nil && e.State == Reserved:
 		t.enter(phaseAwaitGrant, now)
-	case now-t.phaseSince > 5*m.LoadFor+30*time.Second:
+	case now-t.phaseSince > 5*m.ExpectedLoadTime+30*time.Second:
 		c.failFront("load timed out")
 	case e == nil || e.State == Reserved && now-t.phaseSince > outcomeTimeout && base == nil:
 		c.failFront("load did not start")
@@ -204,7 +204,7 @@
 		return
 	}
 	// The order that is being carried out may come from a previous lease holder and use room that looks free.
-	if c.report.Busy && c.traits.OneOrder {
+	if c.report.Busy && c.traits.RejectsConcurrentOrders {
 		return
 	}
 	mib, places := c.currentUse()
@@ -216,11 +216,11 @@
 		return
 	}
 	timeout := orderTimeout
-	if verb == backend.Load || !c.traits.AdaptersUnpaced {
+	if verb == backend.Load || !c.traits.AdapterLoadsUnlimited {
 		asked := c.d.Clock.Since()
 		ctx, cancel := context.WithTimeout(c.d.Group.Context(), orderTimeout)
 		defer cancel()
-		wait, ok := c.d.Grant(ctx, GrantRequest{Who: c.loadID(target), StartID: c.startID(t), Penalty: t.penalty})
+		wait, ok := c.d.Grant(ctx, GrantRequest{LoadID: c.loadID(target), StartID: c.startID(t), Penalty: t.penalty})
 		t.storeWait = wait
 		if !ok {
 			return
@@ -266,7 +266,7 @@
 		if e.State == backend.Loading && e.orderedAt >= c.reportAt && now-e.orderedAt > outstandingInterval {
 			c.outstandingReportedAt = now
 			ctx, cancel := context.WithTimeout(c.d.Group.Context(), callTimeout)
-			c.d.Afloat(ctx, c.loadID(item))
+			c.d.ReportOutstanding(ctx, c.loadID(item))
 			cancel()
 		}
 	}
@@ -275,7 +275,7 @@
 // acknowledged reports whether every live proxy has applied this status of the replica, or a newer one.
 func (c *Controller) acknowledged(s state.Stamp) bool {
 	for agent := range c.d.LiveAgents() {
-		if got := c.d.Reports.Of(agent).Acked[c.listed.ID]; s.Newer(got) {
+		if got := c.d.Reports.Get(agent).Acked[c.listed.ID]; s.Newer(got) {
 			return false
 		}
 	}
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -88,16 +88,16 @@
 					t.Fatal(err)
 				}
 				own := owner.New(owner.Deps{Self: func() state.Core { return self }, Group: held, Clock: clk, Log: log, Caller: wire.NewClient(out), Acceptor: acc,
-					Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, Behind: func(state.Core) {}})
+					Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, OnVoterBehind: func(state.Core) {}})
 				cfg := conf.Empty()
 				cfg.Models = map[string]conf.Model{}
 				for i := range 12 {
-					cfg.Models[fmt.Sprint("m", i)] = conf.Model{SizeMib: 1000, LoadFor: 100 * time.Millisecond, ServeFor: time.Second}
+					cfg.Models[fmt.Sprint("m", i)] = conf.Model{SizeMib: 1000, ExpectedLoadTime: 100 * time.Millisecond, ExpectedServeTime: time.Second}
 				}
 				conn := backend.NewNative(out)
 				ctl := NewController(g, Deps{Clock: clk, Log: log, Self: "a", Boot: "b", Cadence: bounds.DefaultCadence(), Replicas: conn, Owner: own, Gossip: gossip.NewTable(), Reports: report.NewTable(),
-					Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Others: func() Statuses { return Statuses{} },
-					LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 }, Afloat: func(context.Context, string) {},
+					Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Statuses: func() Statuses { return Statuses{} },
+					LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 }, ReportOutstanding: func(context.Context, string) {},
 					Grant: func(context.Context, GrantRequest) (time.Duration, bool) {
 						time.Sleep(200 * time.Millisecond) // the rate limiter is distant
 						return 0, true
--- a/internal/place/order/messages.go
+++ b/internal/place/order/messages.go
@@ -66,7 +66,7 @@
 
 // GrantRequest asks the rate limiter of the weight store for permission to start a load.
 type GrantRequest struct {
-	Who     string  // the replica and the item
+	LoadID  string  // the replica and the item
 	StartID string  // identifies this start of the load
 	Penalty float64 // penalty of the miss
 }
--- a/internal/place/order/poll.go
+++ b/internal/place/order/poll.go
@@ -24,10 +24,10 @@
 			v.CapacityMib = s.CapacityMib
 		}
 		if v.AdapterPlaces == 0 {
-			v.AdapterPlaces = s.AdapterPlaces
+			v.AdapterPlaces = s.MaxAdapters
 		}
 		if v.Slots == 0 {
-			v.Slots = s.Slots
+			v.Slots = s.MaxInFlight
 		}
 	}
 }
@@ -70,7 +70,7 @@
 // outcomeUnknownFor returns how long after its order a load that no report shows counts
 // as carried out.
 func (c *Controller) outcomeUnknownFor(e *entry) time.Duration {
-	if c.traits.TellsBusy && !e.unanswered && !e.inherited {
+	if c.traits.ReportsBusy && !e.unanswered && !e.inherited {
 		return c.traits.ReportLag + outcomeMargin
 	}
 	return outcomeTimeout
@@ -113,7 +113,7 @@
 		c.entries = map[conf.Item]*entry{}
 	}
 	if v.Leaving {
-		inventory.Mark(c.d.Gossip, c.listed.ID)
+		inventory.MarkLeaving(c.d.Gossip, c.listed.ID)
 	}
 	if !c.hasReport || silent {
 		c.reportsSince = requestedAt
@@ -162,7 +162,7 @@
 func (c *Controller) clearLeavingMark() {
 	now := c.d.Clock.Since()
 	// A platform without recent contact does not confirm that the replica stays.
-	if c.d.PlatformAge() > 2*time.Second || c.listed.Leaving || !c.hasReport || c.report.Leaving || !inventory.Marked(c.d.Gossip, c.listed.ID) {
+	if c.d.PlatformAge() > 2*time.Second || c.listed.Leaving || !c.hasReport || c.report.Leaving || !inventory.MarkedLeaving(c.d.Gossip, c.listed.ID) {
 		c.stayingSince = -1
 		return
 	}
@@ -170,6 +170,6 @@
 		c.stayingSince = now
 	}
 	if now-c.stayingSince > 5*time.Second {
-		inventory.Unmark(c.d.Gossip, c.listed.ID)
+		inventory.UnmarkLeaving(c.d.Gossip, c.listed.ID)
 	}
 }
--- a/internal/place/order/poll_test.go
+++ b/internal/place/order/poll_test.go
@@ -55,11 +55,11 @@
 		cadence := bounds.DefaultCadence()
 		cadence.ReplicaIdle, cadence.ReplicaBusy = 700*time.Millisecond, 40*time.Millisecond
 		cfg := conf.Empty()
-		cfg.Models = map[string]conf.Model{"m": {SizeMib: 10, LoadFor: time.Second, ServeFor: time.Second}}
+		cfg.Models = map[string]conf.Model{"m": {SizeMib: 10, ExpectedLoadTime: time.Second, ExpectedServeTime: time.Second}}
 		test(t, NewController(g, Deps{Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "a", Boot: "b", Cadence: cadence, Replicas: replica, Owner: own,
 			Gossip: gossip.NewTable(), Reports: report.NewTable(), Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 },
-			Others: func() Statuses { return Statuses{} }, LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 },
-			Afloat: func(context.Context, string) {}, Grant: grant}, inventory.Listed{ID: "r", Addr: "10.0.0.2:9000", Model: true}))
+			Statuses: func() Statuses { return Statuses{} }, LiveAgents: func() map[string]bool { return nil }, PlatformAge: func() time.Duration { return 0 },
+			ReportOutstanding: func(context.Context, string) {}, Grant: grant}, inventory.Listed{ID: "r", Addr: "10.0.0.2:9000", Model: true}))
 	})
 }
 
--- a/internal/place/order/pollschedule.go
+++ b/internal/place/order/pollschedule.go
@@ -15,7 +15,7 @@
 // nextProgressAt returns when a report may next show progress of the front task. A report describes
 // the replica of a moment ago, so polling before that time is useless.
 func (c *Controller) nextProgressAt() time.Duration {
-	if c.tasks.Len() == 0 || !c.traits.TellsBusy {
+	if c.tasks.Len() == 0 || !c.traits.ReportsBusy {
 		return 0
 	}
 	t := c.tasks.Front()
--- a/internal/place/order/priority_test.go
+++ b/internal/place/order/priority_test.go
@@ -18,11 +18,11 @@
 	ctl := &Controller{d: Deps{Clock: &fakeClock{now}, Log: ring.New(io.Discard, 10).Logger(), Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }},
 		entries: map[conf.Item]*entry{}, hasReport: true, report: backend.Report{CapacityMib: 100, AdapterPlaces: 8}}
 	for name, size := range loaded {
-		cfg.Models[name] = conf.Model{LoadFor: 2 * time.Second, SizeMib: size}
+		cfg.Models[name] = conf.Model{ExpectedLoadTime: 2 * time.Second, SizeMib: size}
 		ctl.entries[conf.Item{Model: name}] = &entry{Entry: Entry{State: backend.Loaded, SizeMib: size}}
 	}
 	for _, t := range tasks {
-		cfg.Models[t.item.Model] = conf.Model{LoadFor: 2 * time.Second, SizeMib: 30}
+		cfg.Models[t.item.Model] = conf.Model{ExpectedLoadTime: 2 * time.Second, SizeMib: 30}
 		ctl.reserve(t.item, 30)
 		for _, v := range t.victims {
 			ctl.withdrawItem(v)
--- a/internal/place/order/schedule_test.go
+++ b/internal/place/order/schedule_test.go
@@ -22,7 +22,7 @@
 // relative to the arrival of each status would move later with every status.
 func TestReadyEstimateStaysStable(t *testing.T) {
 	cfg := conf.Empty()
-	cfg.Models = map[string]conf.Model{"m": {LoadFor: 2 * time.Second}, "n": {LoadFor: 3 * time.Second}}
+	cfg.Models = map[string]conf.Model{"m": {ExpectedLoadTime: 2 * time.Second}, "n": {ExpectedLoadTime: 3 * time.Second}}
 	c := &fakeClock{time.Minute}
 	ctl := &Controller{d: Deps{Clock: c, Conf: func() conf.Effective { return cfg }}}
 	front := &task{item: conf.Item{Model: "m"}, phase: phaseAwaitGrant, storeWait: 4 * time.Second}
@@ -132,7 +132,7 @@
 // first must not be polled during the load of the model.
 func TestNextPollWaitsUntilReportCanShowProgress(t *testing.T) {
 	cfg := conf.Empty()
-	cfg.Models = map[string]conf.Model{"m": {LoadFor: 2 * time.Second}}
+	cfg.Models = map[string]conf.Model{"m": {ExpectedLoadTime: 2 * time.Second}}
 	model, adapter := conf.Item{Model: "m"}, conf.Item{Model: "m", Adapter: "a"}
 	const delay = 100 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -148,7 +148,7 @@
 		"a grant of the store":       {model, phaseAwaitGrant, false, -time.Minute},
 	} {
 		ctl := &Controller{d: Deps{Clock: &fakeClock{time.Minute}, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{},
-			traits: backend.Traits{TellsBusy: true}, delay: reportDelay{shortest: delay}}
+			traits: backend.Traits{ReportsBusy: true}, delay: reportDelay{shortest: delay}}
 		if c.modelLoaded {
 			ctl.entries[model] = &entry{Entry: Entry{State: backend.Loaded}}
 		}
@@ -164,7 +164,7 @@
 func TestPollIntervalGrowsWithTaskDuration(t *testing.T) {
 	const step = 40 * time.Millisecond
 	cfg := conf.Empty()
-	cfg.Models = map[string]conf.Model{"m": {LoadFor: 2 * time.Second}}
+	cfg.Models = map[string]conf.Model{"m": {ExpectedLoadTime: 2 * time.Second}}
 	for name, c := range map[string]struct {
 		phase    phase
 		took     time.Duration
@@ -177,7 +177,7 @@
 		"an unload that takes longer": {phaseAwaitUnloaded, 4 * time.Second, 75},
 	} {
 		clock := &fakeClock{time.Minute}
-		ctl := &Controller{d: Deps{Clock: clock, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{}, traits: backend.Traits{TellsBusy: true}}
+		ctl := &Controller{d: Deps{Clock: clock, Conf: func() conf.Effective { return cfg }}, entries: map[conf.Item]*entry{}, traits: backend.Traits{ReportsBusy: true}}
 		ctl.tasks.PushBack(&task{item: modelItem("m"), phase: c.phase, phaseSince: clock.now})
 		polls, seen := 0, time.Duration(0)
 		for ; seen < c.took; clock.now += step {
--- a/internal/place/order/takeover_test.go
+++ b/internal/place/order/takeover_test.go
@@ -23,7 +23,7 @@
 }
 
 func (r *fakeReplica) Traits() backend.Traits {
-	return backend.Traits{WaitsForRuns: true, TellsBusy: true, OneOrder: true, ReportLag: 100 * time.Millisecond}
+	return backend.Traits{DrainsBeforeUnload: true, ReportsBusy: true, RejectsConcurrentOrders: true, ReportLag: 100 * time.Millisecond}
 }
 
 // The lease changes hands while the replica carries out a load that the previous holder ordered.
--- a/internal/place/order/victims.go
+++ b/internal/place/order/victims.go
@@ -17,7 +17,7 @@
 // and not pinned by a claim. used is the total size of the items that only fail to qualify because they are in use.
 func (c *Controller) idleItems(cfg conf.Effective, wanted conf.Item, adapters bool) (order []penalty.Victim, list []judge.IdleItem, used int) {
 	now := c.d.Clock.Since()
-	others := c.d.Others()
+	others := c.d.Statuses()
 	facts := map[string]judge.IdleItem{}
 	for item, e := range c.entries {
 		if (item.Adapter != "") != adapters || e.State != backend.Loaded || item.Model == wanted.Model && !adapters || item == wanted {
@@ -26,7 +26,7 @@
 		if c.pinnedByClaim(cfg, item, others) {
 			continue
 		}
-		waiting, contended := c.d.Reports.Demand(item, now)
+		waiting, contended := c.d.Reports.WaitingAndContended(item, now)
 		busy, adapterCount := e.inflight > 0 || c.d.Reports.Inflight(c.listed.ID, item.String(), now) > 0 || waiting > 0, 0
 		// A copy of a contended item and an item that was just loaded are about to be used; unloading them would
 		// cost a second load from the store.
@@ -40,7 +40,7 @@
 				adapterCount++
 				itemPenalty += c.penaltyOf(cfg, other, others, now)
 				// A model is in use while any adapter on it is, and can be unloaded only if all its adapters can be.
-				waiting, _ := c.d.Reports.Demand(other, now)
+				waiting, _ := c.d.Reports.WaitingAndContended(other, now)
 				busy = busy || waiting > 0 || o.State != backend.Loaded || o.inflight > 0
 				pinned = pinned || c.pinnedByClaim(cfg, other, others)
 			}
@@ -95,7 +95,7 @@
 	cheapest := CheapestServeTime(others, c.listed.ID, item, c.d.Reports, now, cfg)
 	if cheapest == 0 {
 		m := cfg.Models[item.Model]
-		cheapest = m.LoadFor + m.ServeFor
+		cheapest = m.ExpectedLoadTime + m.ExpectedServeTime
 	}
 	return penalty.Of(c.d.PredictedRequests(item.String()), cheapest)
 }
@@ -107,7 +107,7 @@
 	for o := range others.holders(item.String(), except) {
 		serve := time.Duration(o.ServeMs) * time.Millisecond
 		if serve == 0 {
-			serve = cfg.Models[item.Model].ServeFor
+			serve = cfg.Models[item.Model].ExpectedServeTime
 		}
 		// Requests in flight at a replica make the next one wait for a slot.
 		busy := float64(reports.InflightOn(o.Listed.ID, now)) / float64(max(o.Slots, 1))
@@ -120,7 +120,7 @@
 
 // pinnedByClaim reports whether a placement claim would lack copies if the item were unloaded here.
 func (c *Controller) pinnedByClaim(cfg conf.Effective, item conf.Item, others Statuses) bool {
-	for _, want := range cfg.Claimed() {
+	for _, want := range cfg.RequiredCopies() {
 		if !item.Covers(want.Item) || !want.Group.Matches(labels.Set(c.listed.Labels)) {
 			continue
 		}
--- a/internal/place/penalty/penalty.go
+++ b/internal/place/penalty/penalty.go
@@ -20,11 +20,11 @@
 
 // Result is the outcome of Evaluate.
 type Result struct {
-	Load    bool
-	Victims []Victim
-	Sum     float64 // total penalty of the victims
-	Freed   int
-	Reason  string
+	Load          bool
+	Victims       []Victim
+	VictimPenalty float64 // total penalty of the victims
+	Freed         int
+	Reason        string
 }
 
 // Evaluate selects victims greedily in the order given until the needed size is
@@ -52,14 +52,14 @@
 				continue
 			}
 			kept = append(kept, c)
-			v.Sum += c.Penalty
+			v.VictimPenalty += c.Penalty
 		}
 		v.Victims = kept
 	}
 	switch {
 	case noHolder:
 		v.Load, v.Reason = true, "no holder and the victims make room"
-	case csf*v.Sum < wantedPenalty:
+	case csf*v.VictimPenalty < wantedPenalty:
 		v.Load, v.Reason = true, "victims' penalty is below the wanted item's"
 	default:
 		v.Reason = "victims' penalty is not below the wanted item's"
--- a/internal/place/penalty/penalty_test.go
+++ b/internal/place/penalty/penalty_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 		v := Evaluate(need, wanted, csf, d.HasArg("alone"), candidates)
-		out := fmt.Sprintf("load=%v sum=%g freed=%d: %s\n", v.Load, v.Sum, v.Freed, v.Reason)
+		out := fmt.Sprintf("load=%v sum=%g freed=%d: %s\n", v.Load, v.VictimPenalty, v.Freed, v.Reason)
 		for _, x := range v.Victims {
 			out += x.Item + " goes\n"
 		}
--- a/internal/place/plan/ask.go
+++ b/internal/place/plan/ask.go
@@ -19,7 +19,7 @@
 func (p *Planner) askController(ctx context.Context, d Decision, controller, replica string, dry bool) (a order.ConsiderResponse, unsure bool) {
 	askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 	defer cancel()
-	a, err := p.d.Ask(askCtx, controller, d.considerRequest(replica, dry))
+	a, err := p.d.Consider(askCtx, controller, d.considerRequest(replica, dry))
 	if err != nil {
 		// A controller that did not answer may have accepted the load; its status shows it before the next decision.
 		return order.NoAnswer(err), !dry && wire.Code(err) != "not-owner"
@@ -77,10 +77,10 @@
 
 // askBatch asks one controller about several replicas, without ordering a load.
 func (p *Planner) askBatch(ctx context.Context, d Decision, controller string, replicas []string) []order.ConsiderResponse {
-	if p.d.AskAll != nil && len(replicas) > 1 {
+	if p.d.ConsiderAll != nil && len(replicas) > 1 {
 		askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
 		defer cancel()
-		return p.d.AskAll(askCtx, controller, order.ConsiderBatchRequest{Request: d.considerRequest("", true), Replicas: replicas})
+		return p.d.ConsiderAll(askCtx, controller, order.ConsiderBatchRequest{Request: d.considerRequest("", true), Replicas: replicas})
 	}
 	answers := make([]order.ConsiderResponse, len(replicas))
 	type answered struct {
--- a/internal/place/plan/ask_test.go
+++ b/internal/place/plan/ask_test.go
@@ -28,7 +28,7 @@
 		return order.ConsiderResponse{Why: replica, Accepted: replica == "d" || replica == "e", Starts: 1, VictimPenalty: map[string]float64{"d": 2, "e": 1}[replica]}
 	}
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(_ context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
+		Consider: func(_ context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			if q.DryRun {
@@ -38,7 +38,7 @@
 			}
 			return answer(q.Replica), nil
 		},
-		AskAll: func(_ context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
+		ConsiderAll: func(_ context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse {
 			mu.Lock()
 			defer mu.Unlock()
 			var out []order.ConsiderResponse
@@ -119,7 +119,7 @@
 	g := run.NewGroup(context.Background())
 	t.Cleanup(g.Stop)
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Busy: busy,
-		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) { return answer() }}, items: map[conf.Item]*itemState{}}
+		Consider: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) { return answer() }}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	d := Decision{Item: "m"}
 	for i := range 2 * maxCandidates {
--- a/internal/place/plan/claims.go
+++ b/internal/place/plan/claims.go
@@ -18,7 +18,7 @@
 func (p *Planner) claimDecisions(cfg conf.Effective, statuses order.Statuses, now time.Duration) []Decision {
 	var out []Decision
 	unmet := map[string]string{}
-	for _, want := range cfg.Claimed() {
+	for _, want := range cfg.RequiredCopies() {
 		if !p.ownsItem(want.Item) {
 			continue
 		}
@@ -44,8 +44,8 @@
 		}
 		m := cfg.Models[want.Item.Model]
 		d := Decision{At: p.d.Clock.Wall(), Core: p.d.Self, Item: want.Item.String(), Cause: "claim " + want.Claim, Requests: p.PredictedRequests(want.Item.String()), Accuracy: 1, isClaim: true,
-			CheapestMs: (m.LoadFor + m.ServeFor).Milliseconds(), Csf: cfg.Limits.Csf}
-		d.Penalty = penalty.Of(d.Requests, m.LoadFor+m.ServeFor)
+			CheapestMs: (m.ExpectedLoadTime + m.ExpectedServeTime).Milliseconds(), Csf: cfg.Limits.Csf}
+		d.Penalty = penalty.Of(d.Requests, m.ExpectedLoadTime+m.ExpectedServeTime)
 		d.selector = want.Group
 		out = append(out, d)
 	}
--- a/internal/place/plan/decide.go
+++ b/internal/place/plan/decide.go
@@ -62,9 +62,9 @@
 	if d.AcceptedBy == "" {
 		expectation = Expectation{Refused: true, RetryAfterS: 2, Reason: "no replica can load it now"}
 		if d.NoHolder && !d.BypassTest {
-			expectation.RetryAfterS, expectation.Reason = int(cfg.Limits.PassEvery/time.Second)/4+1, "the items to evict are wanted more now"
+			expectation.RetryAfterS, expectation.Reason = int(cfg.Limits.CsfBypassInterval/time.Second)/4+1, "the items to evict are wanted more now"
 			// The weight store may have spare capacity again well before the next load without the eviction test is due.
-			if cfg.Limits.PassSlack > 0 {
+			if cfg.Limits.CsfBypassPaceShare > 0 {
 				expectation.RetryAfterS = min(expectation.RetryAfterS, int(pace.UtilizationSpan/time.Second)/3)
 			}
 		}
@@ -98,8 +98,8 @@
 		}
 		it := conf.ParseItem(d.Item)
 		epoch, _, _ := p.d.Owner.MayOrder(DemandKey(it, 0))
-		p.expectationSerial++
-		p.d.Gossip.Put(gossip.Entry{Key: ExpectationKey(d.Item), Stamp: state.Stamp{Epoch: epoch, Version: p.expectationSerial}, Value: wire.Marshal(expectation)})
+		p.expectationVersion++
+		p.d.Gossip.Put(gossip.Entry{Key: ExpectationKey(d.Item), Stamp: state.Stamp{Epoch: epoch, Version: p.expectationVersion}, Value: wire.Marshal(expectation)})
 	})
 	return d.AcceptedBy != ""
 }
--- a/internal/place/plan/explain_test.go
+++ b/internal/place/plan/explain_test.go
@@ -21,7 +21,7 @@
 	defer g.Stop()
 	weights := map[string]float64{"room": 1, "demand": 1}
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
+		Consider: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
 			return order.ConsiderResponse{Why: "no room", IdleModels: []judge.IdleItem{{Name: "dear", SizeMib: 1, Penalty: 2}, {Name: "cheap", SizeMib: 1}}, IdleAdapters: []judge.IdleItem{{Name: "m/a", IdleFor: time.Hour}}}, nil
 		}}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
--- a/internal/place/plan/history.go
+++ b/internal/place/plan/history.go
@@ -26,7 +26,7 @@
 // demandParams returns the prediction parameters of the current configuration.
 func (p *Planner) demandParams() demand.Params {
 	l := p.d.Conf().Limits
-	return demand.Params{Day: int64(l.Epoch), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
+	return demand.Params{UnitsPerDay: int64(l.EpochUnits), DayWeights: l.DayWeights, WarmupMinutes: l.WarmupMinutes, HorizonMinutes: l.HorizonMinutes}
 }
 
 // currentMinuteClock returns the clock that counts units of the configured length, and replaces it when the length changes.
@@ -115,7 +115,7 @@
 func (p *Planner) ApplyReport(ctx context.Context, r report.Report) (report.Outcome, error) {
 	outcomes, err := p.ApplyReports(ctx, []report.Report{r})
 	if err != nil {
-		return report.Kept, err
+		return report.Stored, err
 	}
 	return outcomes[0], nil
 }
@@ -135,15 +135,15 @@
 // applyReport applies a report. Only changed running totals are read here; when this
 // core acquires a slot later, restoreHistory reads all of them.
 func (p *Planner) applyReport(r report.Report, now time.Duration) report.Outcome {
-	if outcome := p.d.Reports.Put(r, now); outcome != report.Kept {
+	if outcome := p.d.Reports.Put(r, now); outcome != report.Stored {
 		return outcome
 	}
-	p.work.addReport(r, p.d.Reports.Of(r.Agent).Report, now)
+	p.work.addReport(r, p.d.Reports.Get(r.Agent).Report, now)
 	p.addDemand(r, now, func(conf.Item) bool { return true })
 	if !p.isBusy() && p.hasNewMiss(r) {
 		p.replan.Fire()
 	}
-	return report.Kept
+	return report.Stored
 }
 
 // isBusy reports whether this core has no processor time to spare. Misses are then handled only at the planning interval
--- a/internal/place/plan/miss.go
+++ b/internal/place/plan/miss.go
@@ -45,7 +45,7 @@
 	// Only the first copy may be loaded without the eviction test; a copy that is still loading counts as the first.
 	noCopy := copies == 0
 	if noHolder {
-		cheapest = m.LoadFor + m.ServeFor
+		cheapest = m.ExpectedLoadTime + m.ExpectedServeTime
 	}
 	d := Decision{At: p.d.Clock.Wall(), Core: p.d.Self, Item: it.String(), Cause: fmt.Sprintf("%d requests wait", waiting), Requests: requests, Accuracy: acc,
 		CheapestMs: cheapest.Milliseconds(), Penalty: penalty.Of(requests, cheapest), Csf: cfg.Limits.Csf, NoHolder: noCopy}
@@ -56,8 +56,8 @@
 	// and frequently used ones faster than the weight store can reload them (docs/measurements/replay.md). While
 	// the store has spare capacity this cannot happen, and requests would be refused needlessly. Without recent
 	// information from the core that limits the store's load rate, the store counts as busy.
-	spare := now-p.paceUseAt < paceUseTTL && p.paceUse < cfg.Limits.PassSlack
-	d.BypassTest = noCopy && (spare || now-entry.lastBypass >= cfg.Limits.PassEvery)
+	spare := now-p.paceUseAt < paceUseTTL && p.paceUse < cfg.Limits.CsfBypassPaceShare
+	d.BypassTest = noCopy && (spare || now-entry.lastBypass >= cfg.Limits.CsfBypassInterval)
 	d.selector = labels.Everything()
 	return d, true
 }
@@ -102,7 +102,7 @@
 		}
 		candidates = append(candidates, judge.Candidate{Name: v.Listed.ID, Inflight: p.d.Reports.InflightOn(v.Listed.ID, now), Slots: v.Slots,
 			ServeTime: time.Duration(v.ServeMs) * time.Millisecond, Leaving: v.Listed.Leaving, FreeMib: v.FreeMib, NeedMib: need,
-			Fits: m.SizeMib <= v.CapacityMib && (it.Adapter == "" || v.AdapterPlaces > 0), AdFree: v.AdapterFree, Copies: zones[v.Listed.Zone]})
+			Fits: m.SizeMib <= v.CapacityMib && (it.Adapter == "" || v.AdapterPlaces > 0), FreeAdapterPlaces: v.AdapterFree, Copies: zones[v.Listed.Zone]})
 	}
 	ranked := judge.RankForLoad(cfg.Weights, candidates)
 	// A replica executes one order at a time and only the first candidates are asked, so replicas with fewer pending loads
--- a/internal/place/plan/pacing_test.go
+++ b/internal/place/plan/pacing_test.go
@@ -54,8 +54,8 @@
 		cfg := conf.Empty()
 		cfg.Limits.PaceLoads = 2 * loads
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: bounds.DefaultCadence(), Owner: own,
-			Gossip: gossip.NewTable(), Reports: report.NewTable(), Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return order.Statuses{} },
-			Tell: func(context.Context, SharedPredictions) {}})
+			Gossip: gossip.NewTable(), Reports: report.NewTable(), Conf: func() conf.Effective { return cfg }, Statuses: func() order.Statuses { return order.Statuses{} },
+			SharePredictions: func(context.Context, SharedPredictions) {}})
 		time.Sleep(time.Second)
 		start := time.Now()
 		answers := run.FanOut(g, loads, func(ctx context.Context, i int) bool {
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -38,24 +38,24 @@
 
 // Deps holds the dependencies of a Planner.
 type Deps struct {
-	Group   *run.Group
-	Clock   tick.Clock
-	Log     *slog.Logger
-	Self    string
-	Cadence bounds.Cadence
-	Store   bounds.Store
-	Owner   *owner.Owner
-	Gossip  *gossip.Table
-	Reports *report.Table
-	Conf    func() conf.Effective
-	Views   func() order.Statuses
+	Group    *run.Group
+	Clock    tick.Clock
+	Log      *slog.Logger
+	Self     string
+	Cadence  bounds.Cadence
+	Store    bounds.Store
+	Owner    *owner.Owner
+	Gossip   *gossip.Table
+	Reports  *report.Table
+	Conf     func() conf.Effective
+	Statuses func() order.Statuses
 	// Ask asks the controller of a replica, on any core, about a load.
-	Ask func(ctx context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error)
+	Consider func(ctx context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error)
 	// AskAll asks the controller of several replicas in one call, without ordering a load; order.Unheard stands for a
 	// missing answer. If nil, replicas are asked one by one.
-	AskAll func(ctx context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse
+	ConsiderAll func(ctx context.Context, controller string, q order.ConsiderBatchRequest) []order.ConsiderResponse
 	// Tell sends predictions to the other cores.
-	Tell func(ctx context.Context, s SharedPredictions)
+	SharePredictions func(ctx context.Context, s SharedPredictions)
 	// Busy reports whether this core has no processor time to spare; nil means never.
 	Busy func() bool
 }
@@ -82,10 +82,10 @@
 	pacer          pacer
 	paceActor      *run.Actor
 	// grantWriter writes grants sequentially; lastWritten is the mark of its last write.
-	grantWriter       *run.Actor
-	lastWritten       grantMark
-	expectationSerial uint64
-	progress          progressCounter
+	grantWriter        *run.Actor
+	lastWritten        grantMark
+	expectationVersion uint64
+	progress           progressCounter
 }
 
 // New creates a planner and starts its periodic work.
--- a/internal/place/plan/plan_test.go
+++ b/internal/place/plan/plan_test.go
@@ -27,7 +27,7 @@
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
 	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ask: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
+		Consider: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
 			return order.ConsiderResponse{}, errors.New("no answer")
 		}}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
--- a/internal/place/plan/schedule.go
+++ b/internal/place/plan/schedule.go
@@ -37,7 +37,7 @@
 	if free <= 0 {
 		return // the first decision to finish triggers another run
 	}
-	statuses := p.d.Views()
+	statuses := p.d.Statuses()
 	var due []Decision
 	for it, n := range waiting {
 		if p.inProgress[subject{item: it}] {
@@ -64,7 +64,7 @@
 	waiting = p.d.Reports.Waiting(now)
 	copiesWanted = p.overloadedModels(now)
 	// An item whose holders are all highly loaded counts as missed too, though less than one without a holder.
-	delayed = p.d.Reports.Pressed(now)
+	delayed = p.d.Reports.Contended(now)
 	for it, n := range delayed {
 		if n < minDelayedAnswers {
 			delete(delayed, it)
--- a/internal/place/plan/schedule_test.go
+++ b/internal/place/plan/schedule_test.go
@@ -28,7 +28,7 @@
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{}
 	for i := range models {
-		cfg.Models[fmt.Sprintf("m-%02d", i)] = conf.Model{SizeMib: 10, LoadFor: time.Second, ServeFor: time.Second}
+		cfg.Models[fmt.Sprintf("m-%02d", i)] = conf.Model{SizeMib: 10, ExpectedLoadTime: time.Second, ExpectedServeTime: time.Second}
 	}
 	var all []order.Status
 	for i := range replicas {
@@ -76,9 +76,9 @@
 		cadence := bounds.DefaultCadence()
 		cadence.Plan, cadence.Again = 50*time.Millisecond, 10*time.Second
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: cadence, Owner: own,
-			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Views: func() order.Statuses { return statuses },
-			Tell: func(context.Context, SharedPredictions) {},
-			Ask: func(ctx context.Context, _ string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
+			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Statuses: func() order.Statuses { return statuses },
+			SharePredictions: func(context.Context, SharedPredictions) {},
+			Consider: func(ctx context.Context, _ string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 				run.Sleep(ctx, delay(q.Item))
 				if !q.DryRun {
 					loads.add(q)
--- a/internal/place/plan/share.go
+++ b/internal/place/plan/share.go
@@ -30,7 +30,7 @@
 		p.mergeShared(s)
 	})
 	if err == nil && (len(s.Requests) > 0 || s.GrantsLoads) {
-		p.d.Tell(ctx, s)
+		p.d.SharePredictions(ctx, s)
 	}
 }
 
--- a/internal/place/plan/statuses.go
+++ b/internal/place/plan/statuses.go
@@ -46,7 +46,7 @@
 // NewStatusCache returns a cache that follows a table; it must be created before the table is in use.
 func NewStatusCache(t *gossip.Table) *StatusCache {
 	c := &StatusCache{table: t, changed: map[string]bool{}, statuses: order.NewStatuses(nil)}
-	t.OnNew(c.markChanged)
+	t.OnUpdate(c.markChanged)
 	return c
 }
 
--- a/internal/place/plan/statuses_test.go
+++ b/internal/place/plan/statuses_test.go
@@ -34,7 +34,7 @@
 			e := replicaEntry(id, version+1, rnd.IntN(4))
 			switch rnd.IntN(6) {
 			case 0:
-				e.Gone, e.Value = true, nil
+				e.Deleted, e.Value = true, nil
 			case 1:
 				e.Value = []byte{0xff}
 			case 2:
--- a/internal/place/report/difference.go
+++ b/internal/place/report/difference.go
@@ -5,18 +5,18 @@
 // Since is a report as the difference from an earlier one of the same boot: what
 // only grows or seldom changes is left out where it has not changed, and what is
 // of the moment stays whole.
-func (r Report) Since(base Report) Report {
+func (r Report) DeltaFrom(base Report) Report {
 	out := r
 	out.Base = base.Version
-	out.Demand = changed(r.Demand, base.Demand)
-	out.WorkMs = changed(r.WorkMs, base.WorkMs)
-	out.Acked = changed(r.Acked, base.Acked)
+	out.Demand = changedEntries(r.Demand, base.Demand)
+	out.WorkMs = changedEntries(r.WorkMs, base.WorkMs)
+	out.Acked = changedEntries(r.Acked, base.Acked)
 	if r.TenantsVersion == base.TenantsVersion {
 		out.Tenants = nil
 	}
 	for replica := range base.Acked {
 		if _, still := r.Acked[replica]; !still {
-			out.Unacked = append(out.Unacked, replica)
+			out.RemovedAcks = append(out.RemovedAcks, replica)
 		}
 	}
 	return out
@@ -24,17 +24,17 @@
 
 // SinceInflight is Since with what is in flight as a difference too, where that is
 // less. Only who says that it reads such a report may be sent one.
-func (r Report) SinceInflight(base Report) Report {
-	out := r.Since(base)
-	if changes := inflightChanges(r.Inflight, base.Inflight); places(changes) < places(r.Inflight) {
-		out.Inflight, out.InflightSince = changes, true
+func (r Report) DeltaWithInflight(base Report) Report {
+	out := r.DeltaFrom(base)
+	if changes := inflightDelta(r.Inflight, base.Inflight); countEntries(changes) < countEntries(r.Inflight) {
+		out.Inflight, out.InflightIsDelta = changes, true
 	}
 	return out
 }
 
 // On is the whole report that a difference makes of its base; false where the
 // base is another one. A whole report needs none.
-func (r Report) On(base Report) (Report, bool) {
+func (r Report) ApplyTo(base Report) (Report, bool) {
 	if r.Base == 0 {
 		return r, true
 	}
@@ -42,26 +42,26 @@
 		return Report{}, false
 	}
 	out := r
-	out.Base, out.Unacked = 0, nil
-	if r.InflightSince {
-		out.Inflight, out.InflightSince = inflightMerged(base.Inflight, r.Inflight), false
+	out.Base, out.RemovedAcks = 0, nil
+	if r.InflightIsDelta {
+		out.Inflight, out.InflightIsDelta = applyInflightDelta(base.Inflight, r.Inflight), false
 	}
-	out.Demand = merged(base.Demand, r.Demand)
-	out.WorkMs = merged(base.WorkMs, r.WorkMs)
-	out.Acked = merged(base.Acked, r.Acked)
+	out.Demand = mergedEntries(base.Demand, r.Demand)
+	out.WorkMs = mergedEntries(base.WorkMs, r.WorkMs)
+	out.Acked = mergedEntries(base.Acked, r.Acked)
 	if r.TenantsVersion == base.TenantsVersion {
 		out.Tenants = base.Tenants
 	}
-	if len(r.Unacked) > 0 {
+	if len(r.RemovedAcks) > 0 {
 		out.Acked = maps.Clone(out.Acked)
-		for _, replica := range r.Unacked {
+		for _, replica := range r.RemovedAcks {
 			delete(out.Acked, replica)
 		}
 	}
 	return out, true
 }
 
-func changed[V comparable](now, before map[string]V) map[string]V {
+func changedEntries[V comparable](now, before map[string]V) map[string]V {
 	out := map[string]V{}
 	for key, value := range now {
 		if old, found := before[key]; !found || old != value {
@@ -72,7 +72,7 @@
 }
 
 // merged lays changes over what was; neither is changed, as readers may hold them.
-func merged[V any](before, changes map[string]V) map[string]V {
+func mergedEntries[V any](before, changes map[string]V) map[string]V {
 	if len(changes) == 0 {
 		return before
 	}
@@ -84,10 +84,10 @@
 
 // inflightChanges is what is in flight now and was not, or in another number; 0 is
 // what is no longer in flight.
-func inflightChanges(now, before map[string]map[string]int) map[string]map[string]int {
+func inflightDelta(now, before map[string]map[string]int) map[string]map[string]int {
 	out := map[string]map[string]int{}
 	for replica, items := range now {
-		if different := changed(items, before[replica]); len(different) > 0 {
+		if different := changedEntries(items, before[replica]); len(different) > 0 {
 			out[replica] = different
 		}
 	}
@@ -106,7 +106,7 @@
 }
 
 // inflightMerged lays changes of what is in flight over what was; neither is changed.
-func inflightMerged(before, changes map[string]map[string]int) map[string]map[string]int {
+func applyInflightDelta(before, changes map[string]map[string]int) map[string]map[string]int {
 	out := make(map[string]map[string]int, len(before)+len(changes))
 	maps.Copy(out, before)
 	for replica, items := range changes {
@@ -122,7 +122,7 @@
 }
 
 // places counts items on replicas.
-func places(inflight map[string]map[string]int) (n int) {
+func countEntries(inflight map[string]map[string]int) (n int) {
 	for _, items := range inflight {
 		n += len(items)
 	}
--- a/internal/place/report/relay/messages.go
+++ b/internal/place/report/relay/messages.go
@@ -19,34 +19,34 @@
 }
 
 // Taken is a core's answer to a batch.
-type Taken struct {
+type Response struct {
 	// NotTaken are the reports, as indexes of the batch, that the core cannot lay on what it has of their agents.
-	NotTaken []int `cbor:"1,keyasint,omitempty"`
+	Rejected []int `cbor:"1,keyasint,omitempty"`
 }
 
 // Take lays a batch in a core's table by put, and answers it.
-func Take(ctx context.Context, b Batch, put func(context.Context, []report.Report) ([]report.Outcome, error)) (Taken, error) {
-	var taken Taken
+func Apply(ctx context.Context, b Batch, put func(context.Context, []report.Report) ([]report.Outcome, error)) (Response, error) {
+	var taken Response
 	reports, at := make([]report.Report, 0, len(b.Reports)), make([]int, 0, len(b.Reports))
 	for i, packed := range b.Reports {
 		var r report.Report
 		if wire.Unmarshal(packed, &r) != nil {
-			taken.NotTaken = append(taken.NotTaken, i)
+			taken.Rejected = append(taken.Rejected, i)
 			continue
 		}
 		reports, at = append(reports, r), append(at, i)
 	}
 	outcomes, err := put(ctx, reports)
 	if err != nil {
-		return Taken{}, err
+		return Response{}, err
 	}
 	for k, outcome := range outcomes {
-		if outcome == report.NoBase {
-			taken.NotTaken = append(taken.NotTaken, at[k])
+		if outcome == report.MissingBase {
+			taken.Rejected = append(taken.Rejected, at[k])
 		}
 	}
 	return taken, nil
 }
 
 // Key stands for a core's name in answers to agents; it must never change.
-func Key(core string) uint32 { return uint32(share.Score([]byte("relay"), core)) }
+func CoreKey(core string) uint32 { return uint32(share.Score([]byte("relay"), core)) }
--- a/internal/place/report/relay/random_test.go
+++ b/internal/place/report/relay/random_test.go
@@ -14,28 +14,28 @@
 )
 
 // life is an agent that counts, begins and ends requests, and acknowledges.
-type life struct {
-	now  report.Report
-	base report.Report // what the relay's core has
+type simulatedAgent struct {
+	latest report.Report
+	base   report.Report // what the relay's core has
 }
 
-func (l *life) step(rnd *rand.Rand, boot string) {
-	if l.now.Boot != boot {
-		l.now = report.Report{Agent: l.now.Agent, Boot: boot, Relay: true, Version: l.now.Version}
+func (l *simulatedAgent) step(rnd *rand.Rand, boot string) {
+	if l.latest.Boot != boot {
+		l.latest = report.Report{Agent: l.latest.Agent, Boot: boot, RelayRequested: true, Version: l.latest.Version}
 		l.base = report.Report{}
 	}
-	l.now.Version++
-	l.now.Demand = added(l.now.Demand, fmt.Sprint("m", rnd.IntN(6)), 1+uint64(rnd.IntN(3)))
-	l.now.Acked = added(l.now.Acked, fmt.Sprint("r", rnd.IntN(4)), state.Stamp{Epoch: 1, Version: l.now.Version})
-	l.now.Inflight = map[string]map[string]int{fmt.Sprint("r", rnd.IntN(4)): {fmt.Sprint("m", rnd.IntN(6)): 1 + rnd.IntN(3)}}
-	l.now.Waiting = nil
+	l.latest.Version++
+	l.latest.Demand = withEntry(l.latest.Demand, fmt.Sprint("m", rnd.IntN(6)), 1+uint64(rnd.IntN(3)))
+	l.latest.Acked = withEntry(l.latest.Acked, fmt.Sprint("r", rnd.IntN(4)), state.Stamp{Epoch: 1, Version: l.latest.Version})
+	l.latest.Inflight = map[string]map[string]int{fmt.Sprint("r", rnd.IntN(4)): {fmt.Sprint("m", rnd.IntN(6)): 1 + rnd.IntN(3)}}
+	l.latest.Waiting = nil
 	if rnd.IntN(4) == 0 {
-		l.now.Waiting = map[string]int{"m0": 1}
+		l.latest.Waiting = map[string]int{"m0": 1}
 	}
 }
 
 // added is a map with one entry more; the one before is left as it is.
-func added[V any](before map[string]V, key string, value V) map[string]V {
+func withEntry[V any](before map[string]V, key string, value V) map[string]V {
 	out := map[string]V{key: value}
 	for k, v := range before {
 		if k != key {
@@ -47,16 +47,16 @@
 
 // Whatever is lost on the way, cores that are silent or begin anew, agents and proxies that
 // begin anew among it, in the end every core has the newest report of every agent.
-func TestInTheEndEveryCoreHasEveryReport(t *testing.T) {
+func TestAllCoresEventuallyHaveEveryReport(t *testing.T) {
 	for seed := range uint64(30) {
-		among(t, func(t *testing.T, p *peers) {
+		runWithPeers(t, func(t *testing.T, p *testPeers) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
-			lives := []*life{{now: report.Report{Agent: "e"}}, {now: report.Report{Agent: "f"}}, {now: report.Report{Agent: "g"}}}
+			lives := []*simulatedAgent{{latest: report.Report{Agent: "e"}}, {latest: report.Report{Agent: "f"}}, {latest: report.Report{Agent: "g"}}}
 			boots := map[string]int{}
 			round := func() {
 				for _, l := range lives {
-					l.step(rnd, fmt.Sprint(l.now.Agent, boots[l.now.Agent]))
-					p.tell(t, l, rnd)
+					l.step(rnd, fmt.Sprint(l.latest.Agent, boots[l.latest.Agent]))
+					p.reportRandomly(t, l, rnd)
 				}
 				time.Sleep(time.Duration(100+rnd.IntN(500)) * time.Millisecond)
 			}
@@ -68,9 +68,9 @@
 				case 1, 2:
 					p.setSilent(core, false)
 				case 3:
-					p.lose(core)
+					p.restart(core)
 				case 4:
-					boots[lives[rnd.IntN(len(lives))].now.Agent]++
+					boots[lives[rnd.IntN(len(lives))].latest.Agent]++
 				}
 				round()
 			}
@@ -82,9 +82,9 @@
 			time.Sleep(time.Second)
 			for name, table := range p.tables {
 				for _, l := range lives {
-					got, want := table.Of(l.now.Agent).Report, l.now
-					want.Relay = false
-					if !reflect.DeepEqual(sorted(got), sorted(want)) {
+					got, want := table.Get(l.latest.Agent).Report, l.latest
+					want.RelayRequested = false
+					if !reflect.DeepEqual(canonical(got), canonical(want)) {
 						t.Fatalf("seed %d: %s has %+v, want %+v", seed, name, got, want)
 					}
 				}
@@ -94,7 +94,7 @@
 }
 
 // sorted is a report as its bytes, which are the same for reports that are.
-func sorted(r report.Report) []byte {
+func canonical(r report.Report) []byte {
 	if len(r.Waiting) == 0 {
 		r.Waiting = nil
 	}
@@ -102,39 +102,39 @@
 }
 
 // tell lays an agent's report in the relay's core, as the difference or whole, and tells the relay.
-func (p *peers) tell(t *testing.T, l *life, rnd *rand.Rand) {
+func (p *testPeers) reportRandomly(t *testing.T, l *simulatedAgent, rnd *rand.Rand) {
 	t.Helper()
-	sent := l.now
+	sent := l.latest
 	if l.base.Version != 0 && rnd.IntN(5) > 0 {
-		sent = l.now.SinceInflight(l.base)
+		sent = l.latest.DeltaWithInflight(l.base)
 	}
-	l.base = l.now
-	p.take(t, sent)
+	l.base = l.latest
+	p.putAndRelay(t, sent)
 }
 
 // FuzzTake holds that no batch breaks a core, and that what is not taken is named once, of the batch's reports.
-func FuzzTake(f *testing.F) {
+func FuzzApply(f *testing.F) {
 	whole := report.Report{Agent: "e", Boot: "x", Version: 2, Demand: map[string]uint64{"m": 1}}
-	f.Add(wire.Marshal(whole), wire.Marshal(whole.Since(report.Report{Agent: "e", Boot: "x", Version: 1})))
+	f.Add(wire.Marshal(whole), wire.Marshal(whole.DeltaFrom(report.Report{Agent: "e", Boot: "x", Version: 1})))
 	f.Add([]byte{}, []byte{0xff})
 	f.Add([]byte{0xa0}, wire.Marshal("no report"))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		table := report.NewTable()
 		b := Batch{}
 		b.Reports = append(b.Reports, first, second, wire.Marshal(whole))
-		got, err := Take(t.Context(), b, into(table))
+		got, err := Apply(t.Context(), b, putInto(table))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, i := range got.NotTaken {
+		for _, i := range got.Rejected {
 			if i < 0 || i >= len(b.Reports) {
 				t.Errorf("report %d of %d was not taken", i, len(b.Reports))
 			}
 		}
-		if len(got.NotTaken) > len(b.Reports) {
-			t.Errorf("%d of %d were not taken", len(got.NotTaken), len(b.Reports))
+		if len(got.Rejected) > len(b.Reports) {
+			t.Errorf("%d of %d were not taken", len(got.Rejected), len(b.Reports))
 		}
-		if d := table.Of("e"); d.Version == 0 && !bytes.Contains(append(first, second...), []byte("e")) {
+		if d := table.Get("e"); d.Version == 0 && !bytes.Contains(append(first, second...), []byte("e")) {
 			t.Error("a sound report was not taken")
 		}
 	})
--- a/internal/place/report/relay/relay.go
+++ b/internal/place/report/relay/relay.go
@@ -24,15 +24,15 @@
 const (
 	// roundEvery is the time between two rounds of batches. A report by which requests wait for
 	// an item that they did not wait for in the one before does not wait for the next.
-	roundEvery = 100 * time.Millisecond
+	roundInterval = 100 * time.Millisecond
 	// answerWithin is how long a core may take to answer a batch.
-	answerWithin = 900 * time.Millisecond
+	sendTimeout = 900 * time.Millisecond
 	// askedFor is how long an agent's report is passed on after the agent last asked for it.
-	askedFor = 1500 * time.Millisecond
+	requestTTL = 1500 * time.Millisecond
 	// vouchedFor is how long after a core has taken an agent's report it is vouched for.
-	vouchedFor = 1200 * time.Millisecond
+	confirmationTTL = 1200 * time.Millisecond
 	// batchBytes is the size from which a batch takes no more reports; the rest goes with the next.
-	batchBytes = 256 << 10
+	batchSizeLimit = 256 << 10
 )
 
 // Deps is what a relay needs from its core.
@@ -43,36 +43,36 @@
 	Cores func() []member.Node
 	Self  string // this core's name
 	// Newest is the newest report of an agent.
-	Newest func(agent string) report.Dated
-	Send   func(ctx context.Context, addr string, b Batch) (Taken, error)
+	LatestReport func(agent string) report.Received
+	Send         func(ctx context.Context, addr string, b Batch) (Response, error)
 	// Busy says that this core has no processor time to spare; nil is never.
 	Busy func() bool
 }
 
 // Relay passes on the reports of the agents that ask this core for it.
 type Relay struct {
-	d     Deps
-	actor *run.Actor
-	soon  *run.Trigger
-	asked map[string]time.Duration // by agent: when it last asked
-	waits map[string]waiting       // by agent that asks
-	peers map[string]*peer         // the other cores, by address
-	count atomic.Int64             // of the agents that ask
+	deps          Deps
+	actor         *run.Actor
+	earlyRound    *run.Trigger
+	lastRequested map[string]time.Duration // by agent: when it last asked
+	waiting       map[string]waitCounts    // by agent that asks
+	peers         map[string]*peer         // the other cores, by address
+	agentCount    atomic.Int64             // of the agents that ask
 }
 
 // peer is another core as the relay knows it.
 type peer struct {
-	name string
-	busy bool             // a batch is under way
-	late bool             // a round has passed it over for that
-	has  map[string]taken // by agent
+	name         string
+	sending      bool                // a batch is under way
+	skippedRound bool                // a round has passed it over for that
+	delivered    map[string]delivery // by agent
 }
 
 // waiting is how many requests wait for each item at an edge.
-type waiting map[string]int
+type waitCounts map[string]int
 
 // isNew says that an item is waited for that was not in the report before.
-func (w waiting) isNew(before waiting) bool {
+func (w waitCounts) hasNewItem(before waitCounts) bool {
 	for item := range w {
 		if before[item] == 0 {
 			return true
@@ -82,76 +82,76 @@
 }
 
 // taken is the newest report of an agent that a peer has taken.
-type taken struct {
+type delivery struct {
 	report report.Report
-	at     time.Duration // when it was sent
+	sentAt time.Duration // when it was sent
 }
 
 // New passes nothing on until an agent asks.
 func New(d Deps) *Relay {
-	r := &Relay{d: d, asked: map[string]time.Duration{}, waits: map[string]waiting{}, peers: map[string]*peer{}}
-	r.actor = run.NewActor(d.Group, 256, roundEvery, r.round)
-	r.soon = run.NewTrigger(r.actor, r.round)
+	r := &Relay{deps: d, lastRequested: map[string]time.Duration{}, waiting: map[string]waitCounts{}, peers: map[string]*peer{}}
+	r.actor = run.NewActor(d.Group, 256, roundInterval, r.round)
+	r.earlyRound = run.NewTrigger(r.actor, r.round)
 	return r
 }
 
 // Agents is how many agents' reports are passed on.
-func (r *Relay) Agents() int64 { return r.count.Load() }
+func (r *Relay) Agents() int64 { return r.agentCount.Load() }
 
 // Reported is told of a report that this core has taken from its agent, and gives the
 // keys of the cores that it vouches for: they have the agent's report of a moment before.
-func (r *Relay) Reported(ctx context.Context, rep report.Report) ([]uint32, error) {
+func (r *Relay) OnReport(ctx context.Context, rep report.Report) ([]uint32, error) {
 	// Why: in a small fleet nobody asks, and there is nothing to forget.
-	if !rep.Relay && r.Agents() == 0 {
+	if !rep.RelayRequested && r.Agents() == 0 {
 		return nil, nil
 	}
 	var vouched []uint32
 	urgent := false
 	err := r.actor.Do(ctx, func() {
-		defer func() { r.count.Store(int64(len(r.asked))) }()
-		if !rep.Relay {
-			delete(r.asked, rep.Agent)
-			delete(r.waits, rep.Agent)
+		defer func() { r.agentCount.Store(int64(len(r.lastRequested))) }()
+		if !rep.RelayRequested {
+			delete(r.lastRequested, rep.Agent)
+			delete(r.waiting, rep.Agent)
 			return
 		}
-		now := r.d.Clock.Since()
-		r.asked[rep.Agent] = now
-		urgent = waiting(rep.Waiting).isNew(r.waits[rep.Agent])
-		r.waits[rep.Agent] = rep.Waiting
+		now := r.deps.Clock.Since()
+		r.lastRequested[rep.Agent] = now
+		urgent = waitCounts(rep.Waiting).hasNewItem(r.waiting[rep.Agent])
+		r.waiting[rep.Agent] = rep.Waiting
 		if rep.Base == 0 {
 			// Why: whatever went wrong with differences ends with a whole report, at every core.
-			r.forget(rep.Agent)
+			r.discardBase(rep.Agent)
 		}
-		vouched = r.vouched(rep.Agent, now)
+		vouched = r.confirmedCores(rep.Agent, now)
 	})
 	if err == nil && urgent {
-		r.outOfTurn()
+		r.requestEarlyRound()
 	}
 	return vouched, err
 }
 
 // outOfTurn has a round at once. Why: where most reports tell of a miss, a batch for each is more work than all of them
 // in the next round; a core without time to spare sends no more than its rounds.
-func (r *Relay) outOfTurn() {
-	if r.d.Busy == nil || !r.d.Busy() {
-		r.soon.Fire()
+func (r *Relay) requestEarlyRound() {
+	if r.deps.Busy == nil || !r.deps.Busy() {
+		r.earlyRound.Fire()
 	}
 }
 
 // forget has a whole report of an agent sent next. The cores are vouched for all the same.
-func (r *Relay) forget(agent string) {
+func (r *Relay) discardBase(agent string) {
 	for _, p := range r.peers {
-		if has, found := p.has[agent]; found {
-			p.has[agent] = taken{at: has.at}
+		if has, found := p.delivered[agent]; found {
+			p.delivered[agent] = delivery{sentAt: has.sentAt}
 		}
 	}
 }
 
-func (r *Relay) vouched(agent string, now time.Duration) []uint32 {
+func (r *Relay) confirmedCores(agent string, now time.Duration) []uint32 {
 	var out []uint32
 	for _, p := range r.peers {
-		if has, found := p.has[agent]; found && now-has.at < vouchedFor {
-			out = append(out, Key(p.name))
+		if has, found := p.delivered[agent]; found && now-has.sentAt < confirmationTTL {
+			out = append(out, CoreKey(p.name))
 		}
 	}
 	return out
@@ -159,55 +159,55 @@
 
 // round sends every other core what it does not have.
 func (r *Relay) round() {
-	if len(r.asked) == 0 {
+	if len(r.lastRequested) == 0 {
 		return
 	}
-	now := r.d.Clock.Since()
-	newest := r.newest(now)
-	r.follow()
-	packed := map[variant]cbor.RawMessage{}
+	now := r.deps.Clock.Since()
+	newest := r.reportsToRelay(now)
+	r.updatePeers()
+	packed := map[encodingKey]cbor.RawMessage{}
 	for addr, p := range r.peers {
-		if p.busy {
-			p.late = true
+		if p.sending {
+			p.skippedRound = true
 			continue
 		}
-		if b, of := p.batch(newest, packed); len(of) > 0 {
+		if b, of := p.nextBatch(newest, packed); len(of) > 0 {
 			r.send(addr, p, b, of, now)
 		}
 	}
 }
 
 // newest is the reports that are to be passed on.
-func (r *Relay) newest(now time.Duration) []report.Report {
+func (r *Relay) reportsToRelay(now time.Duration) []report.Report {
 	var out []report.Report
-	for agent, at := range r.asked {
-		if now-at >= askedFor {
-			delete(r.asked, agent)
-			delete(r.waits, agent)
+	for agent, at := range r.lastRequested {
+		if now-at >= requestTTL {
+			delete(r.lastRequested, agent)
+			delete(r.waiting, agent)
 			for _, p := range r.peers {
-				delete(p.has, agent)
+				delete(p.delivered, agent)
 			}
 			continue
 		}
 		// Why: a core that stood still must not pass on what was true before.
-		if d := r.d.Newest(agent); d.Version > 0 && now-d.At < askedFor {
+		if d := r.deps.LatestReport(agent); d.Version > 0 && now-d.At < requestTTL {
 			out = append(out, d.Report)
 		}
 	}
-	r.count.Store(int64(len(r.asked)))
+	r.agentCount.Store(int64(len(r.lastRequested)))
 	return out
 }
 
 // follow takes up the cores that are new and lets go of those that are gone.
-func (r *Relay) follow() {
+func (r *Relay) updatePeers() {
 	live := map[string]bool{}
-	for _, n := range r.d.Cores() {
-		if n.Name == r.d.Self {
+	for _, n := range r.deps.Cores() {
+		if n.Name == r.deps.Self {
 			continue
 		}
 		live[n.Addr] = true
 		if p := r.peers[n.Addr]; p == nil || p.name != n.Name {
-			r.peers[n.Addr] = &peer{name: n.Name, has: map[string]taken{}}
+			r.peers[n.Addr] = &peer{name: n.Name, delivered: map[string]delivery{}}
 		}
 	}
 	for addr := range r.peers {
@@ -218,25 +218,25 @@
 }
 
 // variant is a form of an agent's report: whole, or the difference from a version.
-type variant struct {
+type encodingKey struct {
 	agent string
 	base  uint64 // 0 is the whole report
 }
 
 // batch is what a peer does not have, and the reports that are in it.
-func (p *peer) batch(newest []report.Report, packed map[variant]cbor.RawMessage) (b Batch, of []report.Report) {
+func (p *peer) nextBatch(newest []report.Report, packed map[encodingKey]cbor.RawMessage) (b Batch, of []report.Report) {
 	size := 0
 	for _, latest := range newest {
-		base := p.has[latest.Agent].report
+		base := p.delivered[latest.Agent].report
 		if base.Boot != latest.Boot {
 			base = report.Report{}
 		}
-		if base.Version == latest.Version || size >= batchBytes {
+		if base.Version == latest.Version || size >= batchSizeLimit {
 			continue
 		}
-		form := variant{latest.Agent, base.Version}
+		form := encodingKey{latest.Agent, base.Version}
 		if _, done := packed[form]; !done {
-			packed[form] = pack(latest, base)
+			packed[form] = encode(latest, base)
 		}
 		b.Reports, of = append(b.Reports, packed[form]), append(of, latest)
 		size += len(packed[form])
@@ -245,46 +245,46 @@
 }
 
 // pack packs a report for a core that has another, or none.
-func pack(latest, base report.Report) cbor.RawMessage {
-	latest.Relay = false // it goes no further
+func encode(latest, base report.Report) cbor.RawMessage {
+	latest.RelayRequested = false // it goes no further
 	if base.Version == 0 {
 		return wire.Marshal(latest)
 	}
-	return wire.Marshal(latest.SinceInflight(base))
+	return wire.Marshal(latest.DeltaWithInflight(base))
 }
 
 // send sends a batch with the reports of it.
 func (r *Relay) send(addr string, p *peer, b Batch, of []report.Report, now time.Duration) {
-	p.busy = true
-	r.d.Group.Go(func(ctx context.Context) {
-		one, cancel := context.WithTimeout(ctx, answerWithin)
-		got, err := r.d.Send(one, addr, b)
+	p.sending = true
+	r.deps.Group.Go(func(ctx context.Context) {
+		one, cancel := context.WithTimeout(ctx, sendTimeout)
+		got, err := r.deps.Send(one, addr, b)
 		cancel()
 		_ = r.actor.Do(ctx, func() {
-			p.busy = false
-			if p.late {
-				p.late = false
-				r.outOfTurn()
+			p.sending = false
+			if p.skippedRound {
+				p.skippedRound = false
+				r.requestEarlyRound()
 			}
 			// Why: whether it was taken is not known without an answer; the next batch shows it.
 			if err == nil {
-				p.settle(of, got, now)
+				p.recordDelivery(of, got, now)
 			}
 		})
 	})
 }
 
 // settle notes what a peer has taken of a batch.
-func (p *peer) settle(of []report.Report, got Taken, at time.Duration) {
+func (p *peer) recordDelivery(of []report.Report, got Response, at time.Duration) {
 	not := map[int]bool{}
-	for _, i := range got.NotTaken {
+	for _, i := range got.Rejected {
 		not[i] = true
 	}
 	for i, rep := range of {
 		if not[i] {
-			delete(p.has, rep.Agent)
+			delete(p.delivered, rep.Agent)
 			continue
 		}
-		p.has[rep.Agent] = taken{rep, at}
+		p.delivered[rep.Agent] = delivery{rep, at}
 	}
 }
--- a/internal/place/report/relay/relay_test.go
+++ b/internal/place/report/relay/relay_test.go
@@ -22,39 +22,39 @@
 )
 
 // peers are cores without relays of their own, by address.
-type peers struct {
-	mu      sync.Mutex
-	relay   *Relay
-	group   *run.Group
-	clock   simhost.Clock
-	own     *report.Table
-	tables  map[string]*report.Table
-	silent  map[string]bool
-	slow    time.Duration              // a batch takes to be answered
-	busy    atomic.Bool                // the relay's own core has no time to spare
-	got     map[string][]report.Report // as they were sent
-	gotAt   map[string]time.Duration
-	batches map[string]int
-	largest int // bytes of a batch
-	version uint64
+type testPeers struct {
+	mu             sync.Mutex
+	relay          *Relay
+	group          *run.Group
+	clock          simhost.Clock
+	own            *report.Table
+	tables         map[string]*report.Table
+	silent         map[string]bool
+	responseDelay  time.Duration              // a batch takes to be answered
+	busy           atomic.Bool                // the relay's own core has no time to spare
+	received       map[string][]report.Report // as they were sent
+	lastReceivedAt map[string]time.Duration
+	batches        map[string]int
+	largestBatch   int // bytes of a batch
+	version        uint64
 }
 
 // among runs a relay beside the cores b and c.
-func among(t *testing.T, do func(t *testing.T, p *peers)) {
+func runWithPeers(t *testing.T, do func(t *testing.T, p *testPeers)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		p := &peers{group: run.NewGroup(t.Context()), clock: simhost.NewClock(), own: report.NewTable(), tables: map[string]*report.Table{},
-			silent: map[string]bool{}, got: map[string][]report.Report{}, gotAt: map[string]time.Duration{}, batches: map[string]int{}}
+		p := &testPeers{group: run.NewGroup(t.Context()), clock: simhost.NewClock(), own: report.NewTable(), tables: map[string]*report.Table{},
+			silent: map[string]bool{}, received: map[string][]report.Report{}, lastReceivedAt: map[string]time.Duration{}, batches: map[string]int{}}
 		for _, name := range []string{"b", "c"} {
 			p.tables[name] = report.NewTable()
 		}
-		p.relay = New(Deps{Group: p.group, Clock: p.clock, Cores: p.cores, Self: "a", Newest: p.own.Of, Send: p.send, Busy: p.busy.Load})
+		p.relay = New(Deps{Group: p.group, Clock: p.clock, Cores: p.cores, Self: "a", LatestReport: p.own.Get, Send: p.send, Busy: p.busy.Load})
 		do(t, p)
 		p.group.Stop()
 	})
 }
 
-func (p *peers) cores() []member.Node {
+func (p *testPeers) cores() []member.Node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := []member.Node{{Name: "a", Addr: "a"}}
@@ -64,50 +64,50 @@
 	return out
 }
 
-func (p *peers) isSilent(addr string) bool {
+func (p *testPeers) isSilent(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.silent[addr]
 }
 
-func (p *peers) setSilent(addr string, silent bool) {
+func (p *testPeers) setSilent(addr string, silent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silent[addr] = silent
 }
 
 // batchesTo counts the batches that a core has taken.
-func (p *peers) batchesTo(addr string) int {
+func (p *testPeers) batchesTo(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.batches[addr]
 }
 
 // lose has a core start anew, without any reports.
-func (p *peers) lose(name string) {
+func (p *testPeers) restart(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tables[name] = report.NewTable()
 }
 
-func (p *peers) send(ctx context.Context, addr string, b Batch) (Taken, error) {
+func (p *testPeers) send(ctx context.Context, addr string, b Batch) (Response, error) {
 	if p.isSilent(addr) {
 		<-ctx.Done()
-		return Taken{}, errors.Wrap(wire.ErrUnreachable, addr)
+		return Response{}, errors.Wrap(wire.ErrUnreachable, addr)
 	}
-	time.Sleep(p.slow)
+	time.Sleep(p.responseDelay)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	size := 0
 	for _, packed := range b.Reports {
 		size += len(packed)
 	}
-	p.largest = max(p.largest, size)
+	p.largestBatch = max(p.largestBatch, size)
 	p.batches[addr]++
-	return Take(ctx, b, func(_ context.Context, all []report.Report) (out []report.Outcome, err error) {
+	return Apply(ctx, b, func(_ context.Context, all []report.Report) (out []report.Outcome, err error) {
 		for _, r := range all {
-			p.got[addr] = append(p.got[addr], r)
-			p.gotAt[addr] = p.clock.Since()
+			p.received[addr] = append(p.received[addr], r)
+			p.lastReceivedAt[addr] = p.clock.Since()
 			out = append(out, p.tables[addr].Put(r, p.clock.Since()))
 		}
 		return out, nil
@@ -115,12 +115,12 @@
 }
 
 // take lays a report in the table of the relay's core and tells the relay, which gives the keys of those it vouches for.
-func (p *peers) take(t *testing.T, r report.Report) []uint32 {
+func (p *testPeers) putAndRelay(t *testing.T, r report.Report) []uint32 {
 	t.Helper()
-	if p.own.Put(r, p.clock.Since()) != report.Kept {
+	if p.own.Put(r, p.clock.Since()) != report.Stored {
 		t.Fatalf("report %d of %s was not kept", r.Version, r.Agent)
 	}
-	vouched, err := p.relay.Reported(t.Context(), r)
+	vouched, err := p.relay.OnReport(t.Context(), r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,24 +128,24 @@
 }
 
 // reportDifference has an agent report what differs from its report before: that so many requests were counted.
-func (p *peers) reportDifference(t *testing.T, agent string, n uint64) {
+func (p *testPeers) reportDifference(t *testing.T, agent string, n uint64) {
 	t.Helper()
 	p.version++
-	before := p.own.Of(agent).Report
+	before := p.own.Get(agent).Report
 	next := before
 	next.Version, next.Demand = p.version, map[string]uint64{"m": n, "other": 1}
-	p.take(t, next.Since(before))
+	p.putAndRelay(t, next.DeltaFrom(before))
 }
 
 // report has an agent report to the relay's core, and gives the names of the cores that are vouched for.
-func (p *peers) report(t *testing.T, r report.Report) string {
+func (p *testPeers) report(t *testing.T, r report.Report) string {
 	t.Helper()
 	p.version++
 	r.Boot, r.Version = "x", p.version
-	vouched := p.take(t, r)
+	vouched := p.putAndRelay(t, r)
 	var names []string
 	for _, name := range []string{"b", "c"} {
-		if slices.Contains(vouched, Key(name)) {
+		if slices.Contains(vouched, CoreKey(name)) {
 			names = append(names, name)
 		}
 	}
@@ -153,88 +153,88 @@
 }
 
 // counted is a report of requests that were counted, to be passed on.
-func counted(agent string, n uint64) report.Report {
-	return report.Report{Agent: agent, Relay: true, Demand: map[string]uint64{"m": n, "other": 1}}
+func demandReport(agent string, n uint64) report.Report {
+	return report.Report{Agent: agent, RelayRequested: true, Demand: map[string]uint64{"m": n, "other": 1}}
 }
 
 // have checks what the cores know of an agent's requests.
-func (p *peers) have(t *testing.T, agent string, want map[string]uint64) {
+func (p *testPeers) checkDemand(t *testing.T, agent string, want map[string]uint64) {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, n := range want {
-		if got := p.tables[name].Of(agent).Demand["m"]; got != n {
+		if got := p.tables[name].Get(agent).Demand["m"]; got != n {
 			t.Errorf("%s has %d requests of %s, want %d", name, got, agent, n)
 		}
 	}
 }
 
-func TestReportsReachTheOtherCoresAsDifferences(t *testing.T) {
-	among(t, func(t *testing.T, p *peers) {
-		if got := p.report(t, counted("e", 1)); got != "" {
+func TestReportsAreRelayedAsDeltas(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, p *testPeers) {
+		if got := p.report(t, demandReport("e", 1)); got != "" {
 			t.Errorf("%s vouched for before anything was passed on", got)
 		}
 		// Between two rounds: a round at the same moment may find the report in the table before the relay is told of it.
-		time.Sleep(500*time.Millisecond + roundEvery/2)
-		if got := p.report(t, counted("e", 2)); got != "b c" {
+		time.Sleep(500*time.Millisecond + roundInterval/2)
+		if got := p.report(t, demandReport("e", 2)); got != "b c" {
 			t.Errorf("vouched for: %q", got)
 		}
 		time.Sleep(500 * time.Millisecond)
-		p.have(t, "e", map[string]uint64{"b": 2, "c": 2})
-		for name, got := range p.got {
-			if len(got) != 2 || got[0].Base != 0 || got[0].Relay || got[1].Relay {
+		p.checkDemand(t, "e", map[string]uint64{"b": 2, "c": 2})
+		for name, got := range p.received {
+			if len(got) != 2 || got[0].Base != 0 || got[0].RelayRequested || got[1].RelayRequested {
 				t.Fatalf("%s was sent %+v", name, got)
 			}
 		}
 		// The second report was whole at this core, so it was passed on whole.
 		p.reportDifference(t, "e", 3)
 		time.Sleep(200 * time.Millisecond)
-		p.have(t, "e", map[string]uint64{"b": 3, "c": 3})
-		if last := p.got["b"][2]; last.Base != 2 || len(last.Demand) != 1 {
+		p.checkDemand(t, "e", map[string]uint64{"b": 3, "c": 3})
+		if last := p.received["b"][2]; last.Base != 2 || len(last.Demand) != 1 {
 			t.Errorf("b was sent %+v", last)
 		}
 	})
 }
 
 // A report by which requests wait is passed on at once.
-func TestWhatIsWaitedForDoesNotWait(t *testing.T) {
-	among(t, func(t *testing.T, p *peers) {
+func TestNewlyWaitingRequestsAreRelayedImmediately(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		time.Sleep(10 * time.Millisecond)
-		r := counted("e", 1)
+		r := demandReport("e", 1)
 		r.Waiting = map[string]int{"m": 1}
 		now := p.clock.Since()
 		p.report(t, r)
 		synctest.Wait()
-		p.have(t, "e", map[string]uint64{"b": 1, "c": 1})
-		if took := p.gotAt["b"] - now; took != 0 {
+		p.checkDemand(t, "e", map[string]uint64{"b": 1, "c": 1})
+		if took := p.lastReceivedAt["b"] - now; took != 0 {
 			t.Errorf("it took %v", took)
 		}
 	})
 }
 
 // Cores that were short of processor time sent a batch for each report that told of a miss, to each other core.
-func TestACoreWithoutTimeToSparePassesMissesOnInItsRounds(t *testing.T) {
-	among(t, func(t *testing.T, p *peers) {
+func TestBusyCoreRelaysMissesInRegularRounds(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		p.busy.Store(true)
-		p.slow = 5 * time.Millisecond
+		p.responseDelay = 5 * time.Millisecond
 		const misses = 20
 		for i := range misses {
-			r := counted(fmt.Sprint("e", i), 1)
+			r := demandReport(fmt.Sprint("e", i), 1)
 			r.Waiting = map[string]int{"m": 1}
 			p.report(t, r)
-			time.Sleep(roundEvery / misses)
+			time.Sleep(roundInterval / misses)
 		}
-		time.Sleep(2 * roundEvery)
+		time.Sleep(2 * roundInterval)
 		if batches := p.batchesTo("b"); batches > 3 {
 			t.Errorf("%d batches for the misses of one round", batches)
 		}
-		p.have(t, fmt.Sprint("e", misses-1), map[string]uint64{"b": 1, "c": 1})
+		p.checkDemand(t, fmt.Sprint("e", misses-1), map[string]uint64{"b": 1, "c": 1})
 	})
 }
 
 // What is waited for still is told with the next round. Where requests wait all the time, each report of each edge
 // once had a batch of its own.
-func TestWhatIsWaitedForStillWaitsForTheRound(t *testing.T) {
+func TestOnlyNewlyWaitingItemsTriggerAnEarlyRound(t *testing.T) {
 	for name, c := range map[string]struct {
 		waiting map[string]int
 		atOnce  bool
@@ -245,18 +245,18 @@
 		"another too":      {map[string]int{"m": 1, "n": 1}, true},
 		"another":          {map[string]int{"n": 1}, true},
 	} {
-		among(t, func(t *testing.T, p *peers) {
-			r := counted("e", 1)
+		runWithPeers(t, func(t *testing.T, p *testPeers) {
+			r := demandReport("e", 1)
 			r.Waiting = map[string]int{"m": 1}
 			p.report(t, r)
-			time.Sleep(roundEvery + roundEvery/10)
-			r = counted("e", 2)
+			time.Sleep(roundInterval + roundInterval/10)
+			r = demandReport("e", 2)
 			r.Waiting = c.waiting
 			now := p.clock.Since()
 			p.report(t, r)
-			time.Sleep(roundEvery)
-			p.have(t, "e", map[string]uint64{"b": 2, "c": 2})
-			if took := p.gotAt["b"] - now; (took == 0) != c.atOnce {
+			time.Sleep(roundInterval)
+			p.checkDemand(t, "e", map[string]uint64{"b": 2, "c": 2})
+			if took := p.lastReceivedAt["b"] - now; (took == 0) != c.atOnce {
 				t.Errorf("%s: it took %v", name, took)
 			}
 		})
@@ -264,20 +264,20 @@
 }
 
 // Nor does it wait for the next round where a batch was under way.
-func TestWhatIsWaitedForFollowsTheBatchBefore(t *testing.T) {
-	among(t, func(t *testing.T, p *peers) {
-		p.slow = 20 * time.Millisecond
-		r := counted("e", 1)
+func TestEarlyRoundFollowsABatchInFlight(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, p *testPeers) {
+		p.responseDelay = 20 * time.Millisecond
+		r := demandReport("e", 1)
 		r.Waiting = map[string]int{"m": 1}
 		p.report(t, r)
 		time.Sleep(5 * time.Millisecond)
-		r = counted("f", 1)
+		r = demandReport("f", 1)
 		r.Waiting = map[string]int{"m": 1}
 		now := p.clock.Since()
 		p.report(t, r)
-		time.Sleep(3 * p.slow)
-		p.have(t, "f", map[string]uint64{"b": 1, "c": 1})
-		if took := p.gotAt["b"] - now; took > 2*p.slow {
+		time.Sleep(3 * p.responseDelay)
+		p.checkDemand(t, "f", map[string]uint64{"b": 1, "c": 1})
+		if took := p.lastReceivedAt["b"] - now; took > 2*p.responseDelay {
 			t.Errorf("it took %v", took)
 		}
 	})
@@ -285,14 +285,14 @@
 
 // A core that does not answer is not vouched for; when it answers again it gets what it lacks, whole where it
 // has lost what it had.
-func TestACoreThatIsSilentIsNotVouchedFor(t *testing.T) {
+func TestUnresponsiveCoreIsNotConfirmed(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		among(t, func(t *testing.T, p *peers) {
+		runWithPeers(t, func(t *testing.T, p *testPeers) {
 			n, vouched := uint64(0), ""
 			tell := func(seconds int) {
 				for range 2 * seconds {
 					n++
-					vouched = p.report(t, counted("e", n))
+					vouched = p.report(t, demandReport("e", n))
 					time.Sleep(500 * time.Millisecond)
 				}
 			}
@@ -305,65 +305,65 @@
 			if vouched != "c" {
 				t.Errorf("vouched for while b is silent: %q", vouched)
 			}
-			p.have(t, "e", map[string]uint64{"c": n})
+			p.checkDemand(t, "e", map[string]uint64{"c": n})
 			if p.setSilent("b", false); lost {
-				p.lose("b")
+				p.restart("b")
 			}
 			tell(3)
 			if vouched != "b c" {
 				t.Errorf("vouched for after b was silent: %q", vouched)
 			}
-			p.have(t, "e", map[string]uint64{"b": n, "c": n})
+			p.checkDemand(t, "e", map[string]uint64{"b": n, "c": n})
 		})
 	}
 }
 
 // A core that started anew in between has none of the reports, and says so.
-func TestACoreThatHasLostItsReportsGetsThemWhole(t *testing.T) {
-	among(t, func(t *testing.T, p *peers) {
-		first := counted("e", 1)
+func TestRestartedCoreReceivesFullReports(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, p *testPeers) {
+		first := demandReport("e", 1)
 		p.report(t, first)
 		time.Sleep(200 * time.Millisecond)
-		p.lose("b")
+		p.restart("b")
 		for n := uint64(2); n <= 4; n++ {
 			p.reportDifference(t, "e", n)
 			time.Sleep(300 * time.Millisecond)
 		}
-		p.have(t, "e", map[string]uint64{"b": 4, "c": 4})
-		if got := p.tables["b"].Of("e").Demand["other"]; got != 1 {
+		p.checkDemand(t, "e", map[string]uint64{"b": 4, "c": 4})
+		if got := p.tables["b"].Get("e").Demand["other"]; got != 1 {
 			t.Errorf("b has %d requests of what did not change", got)
 		}
 	})
 }
 
 // What an agent no longer asks for is not passed on, nor what was true before this core stood still.
-func TestWhatIsOldIsNotPassedOn(t *testing.T) {
-	among(t, func(t *testing.T, p *peers) {
-		p.report(t, counted("e", 1))
+func TestOutdatedReportsAreNotRelayed(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, p *testPeers) {
+		p.report(t, demandReport("e", 1))
 		time.Sleep(250 * time.Millisecond) // between two rounds
-		direct := counted("e", 2)
-		direct.Relay = false
+		direct := demandReport("e", 2)
+		direct.RelayRequested = false
 		if got := p.report(t, direct); got != "" {
 			t.Errorf("vouched for: %q", got)
 		}
 		time.Sleep(300 * time.Millisecond)
-		p.have(t, "e", map[string]uint64{"b": 1, "c": 1})
+		p.checkDemand(t, "e", map[string]uint64{"b": 1, "c": 1})
 
-		p.report(t, counted("f", 1))
+		p.report(t, demandReport("f", 1))
 		p.group.Freeze()
 		time.Sleep(3 * time.Second)
 		p.group.Thaw()
 		time.Sleep(time.Second)
-		p.have(t, "f", map[string]uint64{"b": 0, "c": 0})
+		p.checkDemand(t, "f", map[string]uint64{"b": 0, "c": 0})
 	})
 }
 
 // Many large reports go in several batches.
-func TestABatchIsBounded(t *testing.T) {
-	among(t, func(t *testing.T, p *peers) {
+func TestBatchSizeIsBounded(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, p *testPeers) {
 		const agents, items = 40, 2000
 		for a := range agents {
-			r := counted(fmt.Sprint("e", a), 1)
+			r := demandReport(fmt.Sprint("e", a), 1)
 			for i := range items {
 				r.Demand[fmt.Sprint("item-of-some-length-", i)] = uint64(i)
 			}
@@ -371,34 +371,34 @@
 		}
 		time.Sleep(time.Second)
 		for a := range agents {
-			p.have(t, fmt.Sprint("e", a), map[string]uint64{"b": 1, "c": 1})
+			p.checkDemand(t, fmt.Sprint("e", a), map[string]uint64{"b": 1, "c": 1})
 		}
-		one := len(wire.Marshal(p.own.Of("e1").Report))
-		if p.largest > batchBytes+one {
-			t.Errorf("a batch of %d bytes", p.largest)
+		one := len(wire.Marshal(p.own.Get("e1").Report))
+		if p.largestBatch > batchSizeLimit+one {
+			t.Errorf("a batch of %d bytes", p.largestBatch)
 		}
-		if p.largest < batchBytes/2 {
-			t.Errorf("the largest batch has %d bytes: the test does not reach the bound", p.largest)
+		if p.largestBatch < batchSizeLimit/2 {
+			t.Errorf("the largest batch has %d bytes: the test does not reach the bound", p.largestBatch)
 		}
 	})
 }
 
 // A batch that cannot be read in part is taken for the rest.
-func TestWhatCannotBeReadIsNotTaken(t *testing.T) {
+func TestUnreadableReportsAreRejected(t *testing.T) {
 	table := report.NewTable()
 	good := wire.Marshal(report.Report{Agent: "e", Boot: "x", Version: 1})
 	b := Batch{}
 	b.Reports = append(b.Reports, []byte{0x01}, good, wire.Marshal(report.Report{Agent: "f", Boot: "x", Version: 2, Base: 1}))
-	got, err := Take(t.Context(), b, into(table))
-	if err != nil || !slices.Equal(got.NotTaken, []int{0, 2}) || table.Of("e").Version != 1 {
+	got, err := Apply(t.Context(), b, putInto(table))
+	if err != nil || !slices.Equal(got.Rejected, []int{0, 2}) || table.Get("e").Version != 1 {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if _, err := Take(t.Context(), b, func(context.Context, []report.Report) ([]report.Outcome, error) { return nil, io.EOF }); err == nil {
+	if _, err := Apply(t.Context(), b, func(context.Context, []report.Report) ([]report.Outcome, error) { return nil, io.EOF }); err == nil {
 		t.Error("a core that could not keep them answered that it has")
 	}
 }
 
-func into(table *report.Table) func(context.Context, []report.Report) ([]report.Outcome, error) {
+func putInto(table *report.Table) func(context.Context, []report.Report) ([]report.Outcome, error) {
 	return func(_ context.Context, all []report.Report) (out []report.Outcome, err error) {
 		for _, r := range all {
 			out = append(out, table.Put(r, 0))
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -100,12 +100,12 @@
 		if d.attempts == 1 {
 			p.budget.RecordFirst(budgetKey, p.retryShare())
 		}
-		if failure == nil || !failure.Refused {
+		if failure == nil || !failure.NotConnected {
 			d.delivered++
 		}
 		if failure == nil {
 			a.Replica.Live.ObserveFirstChunk(time.Since(sentAt))
-			a.Begun()
+			a.OnFirstChunk()
 			if t.Route.Streaming && t.Route.Target > 0 && time.Since(sentAt) > t.Route.Target/pressureDivisor {
 				p.routes.RecordPressure(t.Item)
 			}
@@ -142,11 +142,11 @@
 		// silent forever.
 		r.Live.ObserveFirstChunk(time.Since(sentAt))
 		p.routes.RecordSilence(r)
-	case f.Missing:
+	case f.ItemMissing:
 		p.routes.RecordMissing(r, t.Item)
-	case f.Said:
+	case f.Rejected:
 		p.routes.RecordOverload(r)
-	case silent, f.Refused:
+	case silent, f.NotConnected:
 		p.routes.RecordConnectionRefused(r)
 	}
 	t.Avoid = r.Listed.ID
@@ -171,30 +171,30 @@
 	c, id := d.call, r.Listed.ID
 	cfg := d.proxy.Conf()
 	class := cfg.Classes[c.Target.Route.Class]
-	q := attempt.Request{ReplicaID: id, Addr: r.Listed.Addr, Identity: c.Identity, Item: c.Target.Item, Ticket: c.RequestID, ContentType: c.ContentType, Method: c.Method, Path: c.Path,
-		Host: c.Host, Header: c.Header, Body: c.Body, Number: d.delivered + 1, Rank: class.Rank, TimeLeft: time.Until(c.Deadline), Until: c.cutoff(),
-		LastEvent: c.LastEventID, FirstBy: firstByteDeadline, Sendable: func() bool { return d.proxy.routes.Sendable(id) }}
+	q := attempt.Request{ReplicaID: id, Addr: r.Listed.Addr, Identity: c.Identity, Item: c.Target.Item, RequestID: c.RequestID, ContentType: c.ContentType, Method: c.Method, Path: c.Path,
+		Host: c.Host, Header: c.Header, Body: c.Body, Number: d.delivered + 1, Rank: class.Rank, TimeLeft: time.Until(c.Deadline), Cutoff: c.cutoff(),
+		LastEventID: c.LastEventID, FirstByteDeadline: firstByteDeadline, Sendable: func() bool { return d.proxy.routes.Sendable(id) }}
 	if cfg.HasTenants() {
 		q.Tenant, q.Urgency = cfg.TenantOf(c.Target.Route.Class), class.Urgency()
 		q.Share = cfg.ShareOf(q.Tenant)
 	}
 	// A repeatable request is buffered so that a failure in mid-response can be retried; a partly relayed response
 	// would have to be cut off.
-	q.Whole = c.Target.Route.Service != "" && c.Target.Route.Repeatable && !c.Target.Route.Streaming
+	q.Buffered = c.Target.Route.Service != "" && c.Target.Route.Repeatable && !c.Target.Route.Streaming
 	q.CanRetry = c.Target.Route.Repeatable && d.attempts < c.Target.Route.Attempts
 	q.OnData = func() { d.proxy.routes.RecordChunk(r) }
 	if firstByteDeadline.Before(c.FirstByteDeadline) {
 		// Giving up when no other replica can respond would only lose the request's place in the replica's queue.
-		q.Only = func() bool { return d.proxy.routes.Serves(c.Target, id) && !d.canFailOver(r) }
-		q.OnlyUntil = c.FirstByteDeadline
+		q.OnlyReplica = func() bool { return d.proxy.routes.Serves(c.Target, id) && !d.canFailOver(r) }
+		q.OnlyReplicaDeadline = c.FirstByteDeadline
 	}
 	if c.Target.Route.Resumable && c.Target.Route.GapTarget > 0 {
 		// A gap beyond the target is late already. What matters is whether the replica hangs or is merely slow; data
 		// on its other responses shows which.
-		q.Stall = stallFactor * c.Target.Route.GapTarget
+		q.StallTimeout = stallFactor * c.Target.Route.GapTarget
 		q.Alive = func() bool { return d.stream.Load().isFailingOver(id) || d.proxy.routes.Alive(r) || !d.canFailOver(r) }
-		q.GoneOn = func() bool { return d.stream.Load().failOver() }
-		q.FirstAtLast = time.Now().Add(time.Until(c.FirstByteDeadline) / 2)
+		q.FailOver = func() bool { return d.stream.Load().failOver() }
+		q.AliveDeadline = time.Now().Add(time.Until(c.FirstByteDeadline) / 2)
 	}
 	return q
 }
--- a/internal/proxy/dispatch_test.go
+++ b/internal/proxy/dispatch_test.go
@@ -41,7 +41,7 @@
 		d := &dispatch{proxy: p, attempts: 1, call: Call{Target: target, FirstByteDeadline: now.Add(2 * time.Second)}}
 		q := d.attemptRequest(routes.Current().Replicas["r1"], now.Add(time.Second))
 		expectOnly := func(when string, want bool) {
-			if q.Only() != want {
+			if q.OnlyReplica() != want {
 				t.Errorf("%s: only replica: %v", when, !want)
 			}
 		}
@@ -55,7 +55,7 @@
 		expectOnly("the other is unreachable", true)
 		announce("r1", true)
 		expectOnly("it is unreachable itself", false)
-		if q := d.attemptRequest(routes.Current().Replicas["r1"], d.call.FirstByteDeadline); q.Only != nil {
+		if q := d.attemptRequest(routes.Current().Replicas["r1"], d.call.FirstByteDeadline); q.OnlyReplica != nil {
 			t.Error("Only is set although the attempt has the whole time until the deadline")
 		}
 	})
--- a/internal/proxy/failover_test.go
+++ b/internal/proxy/failover_test.go
@@ -75,7 +75,7 @@
 			sender: attempt.NewSender(p.fabric.Host("10.0.0.9"), attempt.Native{}, time.Minute)}
 		p.proxy.edgeCount.Store(1)
 		p.proxy.admission = admission.New(p.group, routes, time.Second, func() {})
-		kept := conf.Kept{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}
+		kept := conf.Stored{Serial: 1, Objects: map[string][]byte{"classes/c": []byte(`{}`)}}
 		p.table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: kept.Pack()})
 		listeners := []net.Listener{p.serve(0, first), p.serve(1, second)}
 		p.announce(0)
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -45,13 +45,13 @@
 	// Some peers may be down as well; one response is enough.
 	peers := sample.Of(known, peerPullCount)
 	askedAt := p.env.Clock.Since()
-	results := run.FanOut(p.group, len(peers), func(ctx context.Context, i int) touch.Word {
+	results := run.FanOut(p.group, len(peers), func(ctx context.Context, i int) touch.Age {
 		ctx, cancel := context.WithTimeout(ctx, peerPullInterval)
 		defer cancel()
-		return gossip.Mend(ctx, p.caller, p.gossip, peers[i], "")
+		return gossip.Reconcile(ctx, p.caller, p.gossip, peers[i], "")
 	})
 	for range peers {
-		p.contact.Told(askedAt, <-results)
+		p.contact.Observe(askedAt, <-results)
 	}
 }
 
@@ -61,8 +61,8 @@
 	defer cancel()
 	f := &p.feed
 	snap := p.routes.Current()
-	up := feed.Up{Boot: p.boot, AgentBoot: f.agentBoot, Cursor: f.cursor, Confirmed: p.confirmed.Load(), Conf: snap.Stamp}
-	fresh, cursor, _ := p.gossip.After(f.gossipCursor)
+	up := feed.Request{Boot: p.boot, AgentBoot: f.agentBoot, Cursor: f.cursor, Confirmed: p.confirmed.Load(), Conf: snap.Stamp}
+	fresh, cursor, _ := p.gossip.Since(f.gossipCursor)
 	for _, e := range fresh {
 		if f.sendAll || strings.HasPrefix(e.Key, inventory.MarkKey("")) || strings.HasPrefix(e.Key, route.TenantPrefix) {
 			up.Entries = append(up.Entries, e)
@@ -72,21 +72,21 @@
 	if time.Duration(p.agentSeenAt.Load()) < time.Duration(p.agentFirstSeenAt.Load())+time.Second {
 		up.Peers = *p.peers.Load()
 	}
-	up.HoldMs = int(feedHold.Milliseconds())
+	up.MaxWaitMs = int(feedHold.Milliseconds())
 	askedAt := p.env.Clock.Since()
 	var sent report.Report
 	if up.NoReport = !f.reportDue(snap, askedAt); !up.NoReport {
 		sent = p.buildReport()
 		up.Report = f.delta(sent)
 	}
-	down, err := wire.Call[feed.Up, feed.Down](ctx, p.caller, p.settings.Agent, feed.Path, up)
+	down, err := wire.Call[feed.Request, feed.Reply](ctx, p.caller, p.settings.Agent, feed.Path, up)
 	if err != nil {
 		f.reportedAt, f.base = 0, report.Report{}
 		return
 	}
-	f.updateBase(sent, down.Holds)
+	f.updateBase(sent, down.ReportVersion)
 	f.gossipCursor, f.sendAll = cursor, false
-	if down.WantAll {
+	if down.SendAll {
 		// The agent has lost its table; the entries here may be newer than any it can get elsewhere.
 		f.gossipCursor, f.sendAll = 0, true
 	}
@@ -109,7 +109,7 @@
 		p.peers.Store(&down.Peers)
 	}
 	p.agentSeenAt.Store(int64(askedAt))
-	p.contact.Told(askedAt, touch.Word(down.HeardMs+1))
+	p.contact.Observe(askedAt, touch.Age(down.SinceContactMs+1))
 	if !p.confirmed.Load() && isTableCurrent(down, p.routes.Current()) {
 		p.confirmed.Store(true)
 	}
@@ -119,7 +119,7 @@
 // isTableCurrent reports whether a newly started proxy may serve from a table: the agent knows the latest
 // configuration in effect, and the table was built from it or from a later one. A table without any configuration would
 // make the proxy report unknown routes to callers.
-func isTableCurrent(agent feed.Down, table *route.Snapshot) bool {
+func isTableCurrent(agent feed.Reply, table *route.Snapshot) bool {
 	return agent.Confirmed && table.Serial > 0 && !agent.Conf.Newer(table.Stamp)
 }
 
@@ -139,7 +139,7 @@
 	if f.base.Version == 0 {
 		return r
 	}
-	return r.Since(f.base)
+	return r.DeltaFrom(f.base)
 }
 
 // updateBase records which report the agent holds after an exchange, in which one may have been sent.
@@ -179,8 +179,8 @@
 func (p *Proxy) buildReport() report.Report {
 	snap := p.routes.Current()
 	tenants, version := p.tenantReport()
-	return report.Report{Boot: p.boot, Version: p.reports.Add(1), Conf: snap.Serial, Demand: p.demandCounts(), Inflight: p.routes.Inflight(),
-		Waiting: p.admission.Waiting(), Pressed: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
+	return report.Report{Boot: p.boot, Version: p.reports.Add(1), ConfigSerial: snap.Serial, Demand: p.demandCounts(), Inflight: p.routes.Inflight(),
+		Waiting: p.admission.Waiting(), Contended: p.routes.Pressure(), WorkMs: p.routes.PrefillWorkMs(), Acked: acknowledgedStatuses(p.replicas.Traits(), snap.Acked), Zone: p.settings.Zone, Serving: p.confirmed.Load(),
 		Tenants: tenants, TenantsVersion: version}
 }
 
@@ -188,7 +188,7 @@
 // for these only if replicas do not finish running requests before an unload; otherwise each change at a replica would
 // needlessly change the report of every edge.
 func acknowledgedStatuses(traits backend.Traits, versions map[string]state.Stamp) map[string]state.Stamp {
-	if traits.WaitsForRuns {
+	if traits.DrainsBeforeUnload {
 		return nil
 	}
 	return versions
@@ -199,7 +199,7 @@
 func (p *Proxy) sendUrgentReport() {
 	ctx, cancel := context.WithTimeout(p.group.Context(), feedTimeout)
 	defer cancel()
-	_, _ = wire.Call[report.Report, feed.Taken](ctx, p.caller, p.settings.Agent, feed.UrgentPath, p.buildReport())
+	_, _ = wire.Call[report.Report, feed.UrgentReply](ctx, p.caller, p.settings.Agent, feed.UrgentPath, p.buildReport())
 	run.Sleep(ctx, urgentReportGap)
 }
 
--- a/internal/proxy/feed_test.go
+++ b/internal/proxy/feed_test.go
@@ -61,16 +61,16 @@
 func TestProxyServesOnlyFromACurrentTable(t *testing.T) {
 	stamp := func(version uint64) state.Stamp { return state.Stamp{Epoch: 1, Version: version} }
 	for name, c := range map[string]struct {
-		agent feed.Down
+		agent feed.Reply
 		table route.Snapshot
 		want  bool
 	}{
-		"the table was built from it":            {feed.Down{Confirmed: true, Conf: stamp(4)}, route.Snapshot{Serial: 2, Stamp: stamp(4)}, true},
-		"the table was built from a newer one":   {feed.Down{Confirmed: true, Conf: stamp(4)}, route.Snapshot{Serial: 3, Stamp: stamp(5)}, true},
-		"the table is older":                     {feed.Down{Confirmed: true, Conf: stamp(4)}, route.Snapshot{Serial: 1, Stamp: stamp(3)}, false},
-		"the table is empty":                     {feed.Down{Confirmed: true, Conf: stamp(4)}, route.Snapshot{}, false},
-		"there is no configuration yet":          {feed.Down{Confirmed: true}, route.Snapshot{}, false},
-		"the agent does not have the latest yet": {feed.Down{Conf: stamp(4)}, route.Snapshot{Serial: 2, Stamp: stamp(4)}, false},
+		"the table was built from it":            {feed.Reply{Confirmed: true, Conf: stamp(4)}, route.Snapshot{Serial: 2, Stamp: stamp(4)}, true},
+		"the table was built from a newer one":   {feed.Reply{Confirmed: true, Conf: stamp(4)}, route.Snapshot{Serial: 3, Stamp: stamp(5)}, true},
+		"the table is older":                     {feed.Reply{Confirmed: true, Conf: stamp(4)}, route.Snapshot{Serial: 1, Stamp: stamp(3)}, false},
+		"the table is empty":                     {feed.Reply{Confirmed: true, Conf: stamp(4)}, route.Snapshot{}, false},
+		"there is no configuration yet":          {feed.Reply{Confirmed: true}, route.Snapshot{}, false},
+		"the agent does not have the latest yet": {feed.Reply{Conf: stamp(4)}, route.Snapshot{Serial: 2, Stamp: stamp(4)}, false},
 	} {
 		if got := isTableCurrent(c.agent, &c.table); got != c.want {
 			t.Errorf("%s: got %v", name, got)
@@ -82,7 +82,7 @@
 // fleet this was most of the report traffic to the cores.
 func TestStatusIsNotAcknowledgedWhenReplicasDrainOnUnload(t *testing.T) {
 	versions := map[string]state.Stamp{"m-1": {Epoch: 1, Version: 2}}
-	if got := acknowledgedStatuses(backend.Traits{WaitsForRuns: true}, versions); len(got) > 0 {
+	if got := acknowledgedStatuses(backend.Traits{DrainsBeforeUnload: true}, versions); len(got) > 0 {
 		t.Errorf("acknowledged needlessly: %v", got)
 	}
 	if got := acknowledgedStatuses(backend.Traits{}, versions); len(got) != 1 {
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, nil, (&Refusal{Reason: BadRequest, Detail: "the request body was incomplete or stalled", Outcome: attempt.NotRun}).goaError()
 	}
-	relay.BodyRead(ctx)
+	relay.EndReadLimit(ctx)
 	if int64(len(raw)) > target.Route.MaxBody {
 		detail := fmt.Sprintf("the request body exceeds the limit of %d bytes on this route", target.Route.MaxBody)
 		return nil, nil, (&Refusal{Reason: TooLarge, Detail: detail, Outcome: attempt.NotRun}).goaError()
@@ -60,7 +60,7 @@
 	}
 	call := Call{Target: target, Identity: identity, Deadline: startedAt.Add(target.Route.Deadline), ContentType: "application/json", Body: raw}
 	if q.DeadlineMs != nil {
-		call.Deadline = startedAt.Add(target.Route.Within(time.Duration(*q.DeadlineMs) * time.Millisecond))
+		call.Deadline = startedAt.Add(target.Route.EffectiveDeadline(time.Duration(*q.DeadlineMs) * time.Millisecond))
 	}
 	if q.Ticket != nil {
 		call.RequestID = *q.Ticket
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -73,17 +73,17 @@
 
 // Settings configures a proxy.
 type Settings struct {
-	Name     string
-	Zone     string
-	Callers  string // HTTP address for callers
-	Agent    string // loopback address of the agent
-	Platform string
-	Bounds   bounds.Bounds
-	Cadence  bounds.Cadence
-	Lister   inventory.Lister                     // nil lists replicas at Platform over the native API
-	Replicas backend.Client                       // nil uses the native API of replicas
-	Protocol attempt.Protocol                     // nil sends requests over the native API
-	Handlers map[string]func(*Proxy) http.Handler // additional APIs, by address
+	Name       string
+	Zone       string
+	CallerAddr string // HTTP address for callers
+	Agent      string // loopback address of the agent
+	Platform   string
+	Bounds     bounds.Bounds
+	Cadence    bounds.Cadence
+	Lister     inventory.Lister                     // nil lists replicas at Platform over the native API
+	Replicas   backend.Client                       // nil uses the native API of replicas
+	Protocol   attempt.Protocol                     // nil sends requests over the native API
+	Handlers   map[string]func(*Proxy) http.Handler // additional APIs, by address
 }
 
 // Proxy is a running dsproxy.
@@ -101,13 +101,13 @@
 	budget           *attempt.Budget
 	replicas         backend.Client
 	caller           *wire.Client
-	watch            *inventory.Watch
+	watch            *inventory.Watcher
 	servers          []*wire.Server
 	reports          atomic.Uint64 // version of the last report
 	urgentReport     *run.Trigger
 	startedAt        time.Duration
 	confirmed        atomic.Bool // the routing table is current enough to serve from
-	contact          *touch.Keeper
+	contact          *touch.Tracker
 	agentSeenAt      atomic.Int64
 	agentFirstSeenAt atomic.Int64 // when the current boot of the agent was first seen
 	edgeCount        atomic.Int64
@@ -127,7 +127,7 @@
 // Start starts a proxy. It opens all its addresses or returns an error.
 func Start(s Settings, env core.Env) (*Proxy, error) {
 	s.Bounds, s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
-	p := &Proxy{settings: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBoot(), rootGroup: run.NewGroup(context.Background()),
+	p := &Proxy{settings: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBootID(), rootGroup: run.NewGroup(context.Background()),
 		gossip: gossip.NewTable(), budget: attempt.NewBudget(s.Bounds.Retry.Ratio), replicas: s.Replicas,
 		caller: wire.NewClient(env.Net), demand: map[string]uint64{}}
 	p.group = p.rootGroup.Child()
@@ -143,13 +143,13 @@
 		s.Lister = inventory.NewLister(env.Net, s.Platform, p.log)
 	}
 	p.edgeCount.Store(initialEdgeCount)
-	p.watch = inventory.NewWatch(s.Lister, env.Clock, p.log, p.gossip)
-	p.contact = touch.New(env.Clock, func() time.Duration { return p.watch.HeardFor() })
+	p.watch = inventory.NewWatcher(s.Lister, env.Clock, p.log, p.gossip)
+	p.contact = touch.New(env.Clock, func() time.Duration { return p.watch.SinceContact() })
 	p.agentSeenAt.Store(-1 << 62)
 	p.agentFirstSeenAt.Store(-1 << 62)
 	p.peers.Store(&[]string{})
 	p.routes = route.NewRouter(route.Deps{Group: p.group, Gossip: p.gossip, Clock: env.Clock, Replicas: p.replicas, Zone: func() string { return s.Zone },
-		SinceContact: p.contact.For, Edges: func() int { return int(p.edgeCount.Load()) }, PollReplicas: s.Cadence.ProxiesAsk, Log: p.log, Deaf: s.Bounds.Drain - isolationMargin})
+		SinceContact: p.contact.SinceContact, Edges: func() int { return int(p.edgeCount.Load()) }, PollReplicas: s.Cadence.ProxiesAsk, Log: p.log, IsolationLimit: s.Bounds.Drain - isolationMargin})
 	p.watch.Start(p.group, s.Cadence.List, func() bool { return p.sinceAgentSeen() > agentTimeout })
 	misses := run.NewActor(p.group, 4, 0, nil)
 	p.urgentReport = run.NewTrigger(misses, p.sendUrgentReport)
@@ -170,10 +170,10 @@
 // listen opens the APIs for callers, including the native one.
 func (p *Proxy) listen() error {
 	at := map[string]http.Handler{}
-	if p.settings.Callers != "" {
+	if p.settings.CallerAddr != "" {
 		mux := httpapi.NewMuxer()
 		server.New(gen.NewEndpoints(p), mux, httpapi.Decoder, httpapi.Encoder, httpapi.Quiet, httpapi.Formatter).Mount(mux)
-		at[p.settings.Callers] = p.withResponseHeaders(relay.WithReadLimit(mux, bodyReadTimeout))
+		at[p.settings.CallerAddr] = p.withResponseHeaders(relay.WithReadLimit(mux, bodyReadTimeout))
 	}
 	for addr, f := range p.settings.Handlers {
 		at[addr] = f(p)
@@ -248,14 +248,14 @@
 
 // headerConfSerial names the response header that holds the serial of the configuration active here when the request
 // arrived.
-const headerConfSerial = "Drumstall-Conf"
+const headerConfVersion = "Drumstall-Conf"
 
 // withResponseHeaders adds the configuration serial to each response and, during a planned stop, closes the connection
 // after it.
 func (p *Proxy) withResponseHeaders(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if serial, serves := p.ActiveConfig(); serves {
-			w.Header().Set(headerConfSerial, strconv.FormatUint(serial, 10))
+			w.Header().Set(headerConfVersion, strconv.FormatUint(serial, 10))
 		}
 		if p.draining.Load() {
 			w.Header().Set("Connection", "close")
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -35,7 +35,7 @@
 	f.version++
 	f.latest = make(map[string]report.Tenant, len(stats))
 	for name, t := range stats {
-		f.latest[name] = report.Tenant{Share: t.Share, Kept: t.Prefixes, Evicted: t.Evicted, Tokens: t.Tokens, Warm: t.Warm, Bulk: t.IsBulk}
+		f.latest[name] = report.Tenant{Share: t.Share, CachedPrefixes: t.Prefixes, EvictedPrefixes: t.Evicted, PromptTokens: t.Tokens, WarmTokens: t.Warm, Bulk: t.IsBulk}
 	}
 	return f.latest, f.version
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -35,12 +35,12 @@
 
 // Answer ends a wait. It holds either a replica or an explanation why the request was rejected.
 type Answer struct {
-	Replica     *route.Replica
-	Begun       func() // called when the first chunk of the replica's answer arrives
-	Done        func()
-	Explanation string
-	Late        bool
-	RetryS      int
+	Replica      *route.Replica
+	OnFirstChunk func() // called when the first chunk of the replica's answer arrives
+	Done         func()
+	Explanation  string
+	Late         bool
+	RetryS       int
 }
 
 // NewWaiter returns a waiter that was enqueued at now and waits until the deadline.
@@ -60,16 +60,16 @@
 
 // Lane holds the waiters of one class that need the same item or service, in order of arrival.
 type Lane struct {
-	Key     string
-	Waiters deque.Deque[*Waiter]
-	Empty   time.Time // since when no replica has held what it needs; zero if one does
+	Key           string
+	Waiters       deque.Deque[*Waiter]
+	NoHolderSince time.Time // since when no replica has held what it needs; zero if one does
 }
 
 // Class is the queue of one request class.
 type Class struct {
 	Name           string
 	Conf           conf.Class
-	Of             *Tenant
+	Tenant         *Tenant
 	lanes          map[string]*Lane
 	laneOrder      []string
 	size           int
@@ -93,7 +93,7 @@
 		cl = &Class{Name: name, lanes: map[string]*Lane{}, weightedServed: q.minWeightedServed()}
 		q.classes[name] = cl
 	}
-	cl.Conf, cl.Of = c, q.tenantOf(c)
+	cl.Conf, cl.Tenant = c, q.tenantOf(c)
 	return cl
 }
 
@@ -120,7 +120,7 @@
 	if c.size == 0 {
 		c.weightedServed = max(c.weightedServed, q.minWeightedServed())
 	}
-	q.catchUp(c.Of)
+	q.catchUp(c.Tenant)
 	key := w.Target.Lane()
 	l := c.lanes[key]
 	if l == nil {
@@ -189,8 +189,8 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b *Class) int {
-		if a.Of != b.Of {
-			return cmp.Or(cmp.Compare(a.Of.weightedServed, b.Of.weightedServed), cmp.Compare(a.Of.Name, b.Of.Name))
+		if a.Tenant != b.Tenant {
+			return cmp.Or(cmp.Compare(a.Tenant.weightedServed, b.Tenant.weightedServed), cmp.Compare(a.Tenant.Name, b.Tenant.Name))
 		}
 		if a.Conf.Urgent != b.Conf.Urgent {
 			if a.Conf.Urgent {
@@ -226,7 +226,7 @@
 func (c *Class) Pop(l *Lane) *Waiter {
 	c.size--
 	c.weightedServed += 1 / float64(max(c.Conf.Weight, 1))
-	c.Of.weightedServed += 1 / float64(max(c.Of.share, 1))
+	c.Tenant.weightedServed += 1 / float64(max(c.Tenant.share, 1))
 	return l.Waiters.PopFront()
 }
 
--- a/internal/queue/tenant.go
+++ b/internal/queue/tenant.go
@@ -46,10 +46,10 @@
 	for _, c := range q.classes {
 		switch {
 		case c.size == 0:
-		case c.Of == t:
+		case c.Tenant == t:
 			return
-		case !others || c.Of.weightedServed < low:
-			low, others = c.Of.weightedServed, true
+		case !others || c.Tenant.weightedServed < low:
+			low, others = c.Tenant.weightedServed, true
 		}
 	}
 	t.weightedServed = max(t.weightedServed, low)
@@ -59,7 +59,7 @@
 func (q *Queue) sweepTenants() {
 	used := map[*Tenant]bool{}
 	for _, c := range q.classes {
-		used[c.Of] = true
+		used[c.Tenant] = true
 	}
 	for name, t := range q.tenants {
 		if !used[t] && t.Inflight.Load() == 0 {
--- a/internal/queue/tenant_test.go
+++ b/internal/queue/tenant_test.go
@@ -110,7 +110,7 @@
 	q.SetShares(map[string]int{"ours": 1, "other": 3})
 	pushWaiters(t, q, "ours", classOf("ours", false, 1), "m", 1)
 	pushWaiters(t, q, "theirs", classOf("other", false, 1), "m", 1)
-	of := q.Class("ours", classOf("ours", false, 1)).Of
+	of := q.Class("ours", classOf("ours", false, 1)).Tenant
 	if got := q.OthersFraction(of); got != 0.75 {
 		t.Errorf("the others' fraction is %v, want 0.75", got)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -14,41 +14,41 @@
 const (
 	// pieceLimit is how long a client may take over one piece, and limitEvery how often the limit is set anew, which
 	// may lengthen it by as much. Why: a stream has tens of pieces a second, and setting it costs as much as writing one.
-	pieceLimit = 30 * time.Second
-	limitEvery = 5 * time.Second
+	chunkTimeout     = 30 * time.Second
+	deadlineInterval = 5 * time.Second
 )
 
 // Stream is the body of an answer to a client.
 type Stream struct {
-	from  io.ReadCloser
-	until time.Time
-	done  func()
-	cut   *atomic.Int64 // counts streams that broke off
-	once  sync.Once
+	source      io.ReadCloser
+	deadline    time.Time
+	done        func()
+	interrupted *atomic.Int64 // counts streams that broke off
+	once        sync.Once
 }
 
 // New relays from a reply to a client that may take it until a moment; done is called once,
 // however it ends.
 func New(from io.ReadCloser, cut *atomic.Int64, until time.Time, done func()) *Stream {
-	return &Stream{from: from, until: until, done: done, cut: cut}
+	return &Stream{source: from, deadline: until, done: done, interrupted: cut}
 }
 
 // pieceBy is by when a piece that is written now must have been taken.
-func (s *Stream) pieceBy(now time.Time) time.Time {
-	by := now.Add(pieceLimit + limitEvery)
-	if s.until.Before(by) {
-		return s.until
+func (s *Stream) writeDeadline(now time.Time) time.Time {
+	by := now.Add(chunkTimeout + deadlineInterval)
+	if s.deadline.Before(by) {
+		return s.deadline
 	}
 	return by
 }
 
 // Read is for completeness; goa prefers WriteTo.
-func (s *Stream) Read(p []byte) (int, error) { return s.from.Read(p) }
+func (s *Stream) Read(p []byte) (int, error) { return s.source.Read(p) }
 
 // Close ends the attempt, and with it the replica's work where it still goes on.
 func (s *Stream) Close() error {
 	s.once.Do(func() {
-		_ = s.from.Close()
+		_ = s.source.Close()
 		s.done()
 	})
 	return nil
@@ -67,10 +67,10 @@
 	var total int64
 	var limitedAt time.Time // when the limit was set last
 	for {
-		n, err := s.from.Read(buf)
+		n, err := s.source.Read(buf)
 		if n > 0 {
-			if now := time.Now(); rc != nil && now.Sub(limitedAt) >= limitEvery {
-				_ = rc.SetWriteDeadline(s.pieceBy(now))
+			if now := time.Now(); rc != nil && now.Sub(limitedAt) >= deadlineInterval {
+				_ = rc.SetWriteDeadline(s.writeDeadline(now))
 				limitedAt = now
 			}
 			m, werr := w.Write(buf[:n])
@@ -87,14 +87,14 @@
 			return total, nil
 		}
 		if err != nil {
-			s.cut.Add(1)
+			s.interrupted.Add(1)
 			_ = s.Close()
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-type key struct{}
+type readLimitKey struct{}
 
 // WithReadLimit gives the handler a bound on how long the client may take to
 // send its body, and the means to end the bound.
@@ -103,13 +103,13 @@
 		rc := http.NewResponseController(w)
 		_ = rc.SetReadDeadline(time.Now().Add(limit))
 		end := func() { _ = rc.SetReadDeadline(time.Time{}) }
-		h.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), key{}, end)))
+		h.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), readLimitKey{}, end)))
 	})
 }
 
 // BodyRead ends the bound set by WithReadLimit.
-func BodyRead(ctx context.Context) {
-	if end, ok := ctx.Value(key{}).(func()); ok {
+func EndReadLimit(ctx context.Context) {
+	if end, ok := ctx.Value(readLimitKey{}).(func()); ok {
 		end()
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-type broken struct {
-	pieces []string
+type brokenReader struct {
+	chunks []string
 	err    error
 }
 
-func (b *broken) Read(p []byte) (int, error) {
-	if len(b.pieces) == 0 {
+func (b *brokenReader) Read(p []byte) (int, error) {
+	if len(b.chunks) == 0 {
 		return 0, b.err
 	}
-	n := copy(p, b.pieces[0])
-	b.pieces = b.pieces[1:]
+	n := copy(p, b.chunks[0])
+	b.chunks = b.chunks[1:]
 	return n, nil
 }
-func (*broken) Close() error { return nil }
+func (*brokenReader) Close() error { return nil }
 
 // However early a stream breaks off, the caller sees a broken answer: goa's
 // handler would end one cleanly that broke before its first byte.
-func TestABrokenStreamNeverEndsWell(t *testing.T) {
+func TestInterruptedStreamAbortsResponse(t *testing.T) {
 	for _, c := range []struct {
 		pieces string
 		err    error
@@ -37,7 +37,7 @@
 		var cut atomic.Int64
 		done := 0
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			s := New(&broken{strings.Fields(c.pieces), c.err}, &cut, time.Now().Add(time.Minute), func() { done++ })
+			s := New(&brokenReader{strings.Fields(c.pieces), c.err}, &cut, time.Now().Add(time.Minute), func() { done++ })
 			defer s.Close()
 			w.WriteHeader(http.StatusOK)
 			_, _ = s.WriteTo(w)
--- a/internal/replay/load.go
+++ b/internal/replay/load.go
@@ -25,7 +25,7 @@
 		i := number(c.Name)
 		p := r.reps[i]
 		v := penalty.Evaluate(p.used+size-capMib, wanted, r.c.Csf, pass || r.c.Policy != Paper, r.idle(i))
-		if v.Load && (best < 0 || v.Sum < victims.Sum) {
+		if v.Load && (best < 0 || v.VictimPenalty < victims.VictimPenalty) {
 			best, victims = i, v
 		}
 		if best >= 0 && !r.c.Least {
@@ -51,7 +51,7 @@
 		}
 		facts = append(facts, judge.Candidate{
 			Name: fmt.Sprintf("%03d", i), Inflight: len(p.busy), Slots: r.w.d.Replica.Slots, ServeTime: time.Duration(r.serveMs()) * time.Millisecond,
-			Fits: true, FreeMib: r.w.d.Replica.CapacityMib - p.used, NeedMib: r.w.size[q.item], AdFree: 1,
+			Fits: true, FreeMib: r.w.d.Replica.CapacityMib - p.used, NeedMib: r.w.size[q.item], FreeAdapterPlaces: 1,
 		})
 	}
 	return facts
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -45,7 +45,7 @@
 
 // Usual is the paper's rule with the starting values.
 func Usual(name string) Case {
-	w := maps.Clone(conf.Judges)
+	w := maps.Clone(conf.DefaultWeights)
 	return Case{Name: name, Policy: Paper, Ask: 4, Least: true, PassMin: 3, Slack: 0.75, Csf: 1, DayWeights: []float64{0.25, 0.1, 0.1, 0.1, 0.1, 0.1, 0.25}, Weights: w}
 }
 
--- a/internal/route/attempt.go
+++ b/internal/route/attempt.go
@@ -17,11 +17,11 @@
 func (rt *Router) StartAttempt(t Target, r *Replica) Attempt {
 	item, owner := t.Item.String(), rt.ownerOf(t)
 	tokens := 0
-	if t.Route.Kind == "model" && r.Told {
+	if t.Route.Kind == "model" && r.ViaController {
 		tokens = t.Prompt.uncachedTokens(rt.prefixes.warmFractions(t.Prompt)[r.Listed.ID])
 		r.Live.pendingPrefill.tokens.Add(int64(tokens))
 		pace, _ := rt.predictor.Pace()
-		if !t.Counted {
+		if !t.WorkCounted {
 			rt.addWork(t.Item.Model, time.Duration(tokens)*pace)
 		}
 	}
@@ -30,7 +30,7 @@
 			rt.countPrompt(owner, t.Prompt, r)
 		}
 		rt.prefixes.add(t.Prompt, r.Listed.ID, owner)
-		if r.Told && r.underPressure() {
+		if r.ViaController && r.underPressure() {
 			rt.recordPressure(t.Item.Model, rt.clock.Since())
 		}
 	}
--- a/internal/route/bulk.go
+++ b/internal/route/bulk.go
@@ -88,7 +88,7 @@
 func (b *bulkDetector) markPresent(p party, now time.Duration, interval time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.shares[p.Tenant] == 0 || p.Rank < 0 || p.Rank >= conf.Ranks {
+	if b.shares[p.Tenant] == 0 || p.Rank < 0 || p.Rank >= conf.UrgencyLevels {
 		return false
 	}
 	at, found := b.lastSeen[p]
@@ -114,9 +114,9 @@
 // reassess determines which of a tenant's parties send bulk.
 func (b *bulkDetector) reassess(tenant string, capacity float64, now time.Duration) {
 	allowed, total := b.allowance(tenant, capacity, now), 0.0
-	var flows [conf.Ranks]float64
-	first := conf.Ranks // the most urgent rank that is present
-	for rank := conf.Ranks - 1; rank >= 0; rank-- {
+	var flows [conf.UrgencyLevels]float64
+	first := conf.UrgencyLevels // the most urgent rank that is present
+	for rank := conf.UrgencyLevels - 1; rank >= 0; rank-- {
 		if p := (party{Tenant: tenant, Rank: rank}); b.isPresent(p, now) {
 			flows[rank], first = b.flows[p].decayed(now), rank
 			total += flows[rank]
@@ -128,7 +128,7 @@
 	// Only the least urgent ranks yield, and only as many as together send yieldFraction of the new tokens. Otherwise
 	// interactive requests of a middle rank that send no more than the urgent ones would share replicas with batch work.
 	lessUrgent := 0.0
-	for rank := conf.Ranks - 1; rank >= 0; rank-- {
+	for rank := conf.UrgencyLevels - 1; rank >= 0; rank-- {
 		yields := isBulk && rank > first && flows[rank] > 0 && lessUrgent < yieldFraction*total
 		lessUrgent += flows[rank]
 		b.setBulk(party{Tenant: tenant, Rank: rank}, yields, flows[rank], allowed)
--- a/internal/route/bulk_test.go
+++ b/internal/route/bulk_test.go
@@ -134,7 +134,7 @@
 			}
 		}
 		for tenant, share := range shares {
-			for rank := range conf.Ranks {
+			for rank := range conf.UrgencyLevels {
 				by := party{Tenant: tenant, Rank: rank}
 				got := b.divideReplicas(by, ids, 0)
 				whole, own := b.bulkParties[wholeTenant(tenant)] && len(shares) > 1, b.bulkParties[by]
--- a/internal/route/choose.go
+++ b/internal/route/choose.go
@@ -18,7 +18,7 @@
 // othersInflight returns the number of requests of other edges on the replica.
 func (r *Replica) othersInflight() int {
 	switch {
-	case !r.Told:
+	case !r.ViaController:
 		return r.reportedOthers
 	case r.Unreachable:
 		return 0
@@ -29,7 +29,7 @@
 // inflightLimit returns how many requests this proxy may have in flight on the replica.
 func (r *Replica) inflightLimit() int {
 	switch {
-	case !r.Told:
+	case !r.ViaController:
 		return r.quota
 	case r.Unreachable:
 		return 0
@@ -40,7 +40,7 @@
 // lastReportAt returns the time of the last report on a replica; for a reachable replica that is not
 // polled, this is the last renewal of the table.
 func (rt *Router) lastReportAt(r *Replica) time.Duration {
-	if r.Told && !r.Unreachable {
+	if r.ViaController && !r.Unreachable {
 		return time.Duration(rt.renewedAt.Load())
 	}
 	return r.reportedAt
@@ -124,7 +124,7 @@
 // addPromptCosts adds the warm fraction of the prompt and the predicted wait to each candidate,
 // and drops candidates whose prefill backlog is full.
 func (rt *Router) addPromptCosts(t Target, s *Snapshot, ranked []judge.Candidate, now time.Duration) []judge.Candidate {
-	viaController := s.Replicas[ranked[0].Name].Told
+	viaController := s.Replicas[ranked[0].Name].ViaController
 	// Many requests have a single candidate; the prefix lookup is skipped for those.
 	if len(ranked) == 1 && !viaController {
 		return ranked
@@ -132,8 +132,8 @@
 	warm, home := rt.prefixes.warmFractions(t.Prompt), binary.LittleEndian.AppendUint64(nil, t.Prompt.homeDigest())
 	out := ranked[:0]
 	for _, f := range ranked {
-		f.WarmShare, f.Home = warm[f.Name], float64(share.Score(home, f.Name)>>11)/(1<<53)
-		if r := s.Replicas[f.Name]; r.Told {
+		f.WarmShare, f.RendezvousShare = warm[f.Name], float64(share.Score(home, f.Name)>>11)/(1<<53)
+		if r := s.Replicas[f.Name]; r.ViaController {
 			uncached := t.Prompt.uncachedTokens(f.WarmShare)
 			if rt.prefillBacklogged(r, uncached, t.Route.GapTarget, now) {
 				continue
@@ -173,10 +173,10 @@
 		return false
 	case !t.selects(r):
 		return false
-	case isModel && r.Told && r.Live.reportedMissing(item, now):
+	case isModel && r.ViaController && r.Live.reportedMissing(item, now):
 		return false
 	}
-	return !inventory.Marked(rt.gossip, id)
+	return !inventory.MarkedLeaving(rt.gossip, id)
 }
 
 // holds reports whether a replica holds the model that a request needs, and its adapter.
--- a/internal/route/conf_rest_test.go
+++ b/internal/route/conf_rest_test.go
@@ -25,7 +25,7 @@
 	clock, table := &steppingClock{manualClock{time.Hour}}, gossip.NewTable()
 	router := NewRouter(Deps{Group: stoppedGroup(), Gossip: table, Clock: clock, Zone: func() string { return "z" }, SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 1 }})
 	apply := func(version uint64) {
-		table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: version}, Value: conf.Kept{Serial: version, Objects: map[string][]byte{}}.Pack()})
+		table.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: version}, Value: conf.Stored{Serial: version, Objects: map[string][]byte{}}.Pack()})
 		router.renew()
 	}
 	checkSerial := func(when string, want uint64) {
@@ -40,7 +40,7 @@
 	checkSerial("while the router rests", 1)
 	apply(3)
 	checkSerial("while the router rests", 1)
-	clock.now += time.Duration(conf.ReadingRest().Times) * clockStep
+	clock.now += time.Duration(conf.ReadBackoff().Times) * clockStep
 	router.renew()
 	checkSerial("after the rest", 3)
 	clock.now += time.Second
@@ -52,7 +52,7 @@
 func TestConfigurationRestIsBoundedOnSlowMachine(t *testing.T) {
 	r := NewRouter(Deps{Group: stoppedGroup(), Gossip: gossip.NewTable(), Clock: &manualClock{}, Zone: func() string { return "z" }}).confRest
 	r.Worked(0, time.Second)
-	if left := r.Left(time.Second); left != conf.ReadingRest().Most {
+	if left := r.Left(time.Second); left != conf.ReadBackoff().Most {
 		t.Errorf("the rest is %v after reading for a second", left)
 	}
 }
--- a/internal/route/live.go
+++ b/internal/route/live.go
@@ -109,7 +109,7 @@
 // isResponsive reports whether a report that was requested after the last silence has arrived or,
 // for a replica that is not polled, whether the penalty for the silence is over.
 func (r *Replica) isResponsive(now time.Duration) bool {
-	if r.Told {
+	if r.ViaController {
 		return now-time.Duration(r.Live.silentAt.Load()) > failurePenalty
 	}
 	return time.Duration(r.Live.silentAt.Load()) < r.reportedAt
@@ -118,7 +118,7 @@
 // isOverloaded reports whether the replica refused to run a request and has not reported since or,
 // if it is not polled, whether the penalty for that is still in force.
 func (r *Replica) isOverloaded(now time.Duration) bool {
-	if r.Told {
+	if r.ViaController {
 		return now-time.Duration(r.Live.overloadedAt.Load()) < failurePenalty/4
 	}
 	return time.Duration(r.Live.overloadedAt.Load()) >= r.reportedAt
--- a/internal/route/owner.go
+++ b/internal/route/owner.go
@@ -51,7 +51,7 @@
 func (rt *Router) applyPresence(d *draft, e gossip.Entry) {
 	tenant, rank, found := strings.Cut(strings.TrimPrefix(e.Key, TenantPrefix), "/")
 	n, err := strconv.Atoi(rank)
-	if e.Gone || !found || err != nil {
+	if e.Deleted || !found || err != nil {
 		return
 	}
 	rt.bulk.markPresent(party{Tenant: tenant, Rank: n}, d.now, 0)
--- a/internal/route/poll.go
+++ b/internal/route/poll.go
@@ -59,7 +59,7 @@
 		}
 		received = append(received, a)
 		if a.r.status.Leaving {
-			inventory.Mark(rt.gossip, a.id)
+			inventory.MarkLeaving(rt.gossip, a.id)
 		}
 	}
 	_ = rt.actor.TryEnqueue(func() {
--- a/internal/route/pressure.go
+++ b/internal/route/pressure.go
@@ -45,12 +45,12 @@
 // as counted. The requests that wait for the first copy of a model show how many copies are needed;
 // otherwise their work would be counted only once that copy is loaded and already overloaded.
 func (rt *Router) CountWaitingWork(t *Target) {
-	if rt.deps.PollReplicas || t.Route.Kind != "model" || t.Counted {
+	if rt.deps.PollReplicas || t.Route.Kind != "model" || t.WorkCounted {
 		return
 	}
 	pace, _ := rt.predictor.Pace()
 	rt.addWork(t.Item.Model, time.Duration(t.Prompt.Size())*pace)
-	t.Counted = true
+	t.WorkCounted = true
 }
 
 func (rt *Router) addWork(model string, d time.Duration) {
--- a/internal/route/pressure_test.go
+++ b/internal/route/pressure_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("work while the request waits: got %d ms, want %d", got, want)
 	}
 	router.CountWaitingWork(&target)
-	replica := &Replica{Listed: inventory.Listed{ID: "r"}, Slots: 8, Told: true, Live: &Live{itemInflight: map[string]int{}}}
+	replica := &Replica{Listed: inventory.Listed{ID: "r"}, Slots: 8, ViaController: true, Live: &Live{itemInflight: map[string]int{}}}
 	router.StartAttempt(target, replica)
 	if got := router.PrefillWorkMs()["m"]; got != want {
 		t.Errorf("work once the request is sent: got %d ms, want %d", got, want)
@@ -35,7 +35,7 @@
 func TestWorkIsCountedWhenRequestIsSentWithoutWaiting(t *testing.T) {
 	router := newControllerRouter()
 	target := Target{Route: conf.Route{Kind: "model"}, Item: conf.Item{Model: "m"}, Prompt: PromptFromParts("m", []Part{{ID: "p", Tokens: 3000}})}
-	router.StartAttempt(target, &Replica{Listed: inventory.Listed{ID: "r"}, Slots: 8, Told: true, Live: &Live{itemInflight: map[string]int{}}})
+	router.StartAttempt(target, &Replica{Listed: inventory.Listed{ID: "r"}, Slots: 8, ViaController: true, Live: &Live{itemInflight: map[string]int{}}})
 	if got, want := router.PrefillWorkMs()["m"], uint64((3000 * defaultPrefillPace).Milliseconds()); got != want {
 		t.Errorf("got %d ms, want %d", got, want)
 	}
@@ -51,7 +51,7 @@
 		router.deps.PollReplicas = c.ask
 		target := Target{Route: conf.Route{Kind: c.kind}, Item: conf.Item{Model: "m"}, Prompt: PromptFromParts("m", []Part{{ID: "p", Tokens: 3000}})}
 		router.CountWaitingWork(&target)
-		if len(router.PrefillWorkMs()) != 0 || target.Counted {
+		if len(router.PrefillWorkMs()) != 0 || target.WorkCounted {
 			t.Errorf("%+v: %v", c, router.PrefillWorkMs())
 		}
 	}
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -36,7 +36,7 @@
 
 func newDraft(s *Snapshot, now time.Duration) *draft {
 	return &draft{next: *s, now: now, replicas: copyOnWrite[*Replica]{entries: s.Replicas}, acked: copyOnWrite[state.Stamp]{entries: s.Acked},
-		predictions: sharded.NewBuilder(s.Expect),
+		predictions: sharded.NewBuilder(s.Expectations),
 		index:       indexDraft{holders: sharded.NewBuilder(s.index.holders), services: s.index.services}}
 }
 
@@ -48,7 +48,7 @@
 // snapshot returns the finished snapshot.
 func (d *draft) snapshot() *Snapshot {
 	s := d.next
-	s.Replicas, s.Acked, s.Expect = d.replicas.entries, d.acked.entries, d.predictions.Map()
+	s.Replicas, s.Acked, s.Expectations = d.replicas.entries, d.acked.entries, d.predictions.Map()
 	s.index = index{holders: d.index.holders.Map(), services: d.index.services}
 	return &s
 }
@@ -57,7 +57,7 @@
 // only the rows that they affect.
 func (rt *Router) renew() {
 	d := newDraft(rt.Current(), rt.clock.Since())
-	newEntries, cursor, _ := rt.gossip.After(rt.cursor)
+	newEntries, cursor, _ := rt.gossip.Since(rt.cursor)
 	rt.cursor = cursor
 	if rt.applyConf(d, newEntries) || rt.deps.PollReplicas {
 		rt.rebuildRows(d)
@@ -74,7 +74,7 @@
 	}
 	rt.predictionExpiry.expire(d)
 	if d.readyAtChanged {
-		d.next.Coming = rt.earliestReady(d)
+		d.next.LoadingReadyAt = rt.earliestReady(d)
 	}
 	rt.refreshLive(d)
 	if d.changed() {
@@ -131,7 +131,7 @@
 func (rt *Router) applyReplica(d *draft, e gossip.Entry) {
 	before := rt.entries[e.Key]
 	var after *entry
-	if !e.Gone {
+	if !e.Deleted {
 		after = decodeEntry(e, d.now)
 	}
 	if before == nil && after == nil {
@@ -193,7 +193,7 @@
 func (rt *Router) refreshLive(d *draft) {
 	cacheTokens := 0
 	for _, r := range d.replicas.entries {
-		if r.Told {
+		if r.ViaController {
 			r.Live.othersInflight.Store(int64(r.Live.hintedOthers(d.now)))
 		}
 		if !r.Listed.Leaving {
@@ -239,7 +239,7 @@
 func (rt *Router) applyPrediction(d *draft, e gossip.Entry) {
 	item := e.Key[len(predictionPrefix):]
 	var prediction plan.Expectation
-	if e.Gone || wire.Unmarshal(e.Value, &prediction) != nil {
+	if e.Deleted || wire.Unmarshal(e.Value, &prediction) != nil {
 		delete(rt.predictionExpiry.latest, item)
 		d.predictions.Delete(item)
 		return
--- a/internal/route/renew_fixture_test.go
+++ b/internal/route/renew_fixture_test.go
@@ -74,7 +74,7 @@
 
 // configuration returns a configuration that drains the replicas of one service, or of none.
 func (w *fixture) configuration() []byte {
-	kept := conf.Kept{Serial: w.version, Objects: map[string][]byte{}}
+	kept := conf.Stored{Serial: w.version, Objects: map[string][]byte{}}
 	if w.rng.IntN(2) == 0 {
 		kept.Objects["drains/one"] = fmt.Appendf(nil, `{"selector":"service=s%d"}`, 1+w.rng.IntN(2))
 	}
@@ -88,13 +88,13 @@
 		id := w.id()
 		w.gossip.Put(gossip.Entry{Key: order.Key(id), Stamp: w.stamp(), Value: w.replicaStatus(id)})
 	case 4:
-		w.gossip.Put(gossip.Entry{Key: order.Key(w.id()), Stamp: w.stamp(), Gone: true})
+		w.gossip.Put(gossip.Entry{Key: order.Key(w.id()), Stamp: w.stamp(), Deleted: true})
 	case 5, 6:
-		w.gossip.Put(gossip.Entry{Key: plan.ExpectationKey(w.item()), Stamp: w.stamp(), Value: wire.Marshal(plan.Expectation{ReadyMs: w.rng.IntN(9)}), Gone: w.rng.IntN(4) == 0})
+		w.gossip.Put(gossip.Entry{Key: plan.ExpectationKey(w.item()), Stamp: w.stamp(), Value: wire.Marshal(plan.Expectation{ReadyMs: w.rng.IntN(9)}), Deleted: w.rng.IntN(4) == 0})
 	case 7:
-		inventory.Mark(w.gossip, w.id())
+		inventory.MarkLeaving(w.gossip, w.id())
 	case 8:
-		inventory.Unmark(w.gossip, w.id())
+		inventory.UnmarkLeaving(w.gossip, w.id())
 	case 9:
 		if w.rng.IntN(4) == 0 {
 			w.gossip.Put(gossip.Entry{Key: conf.Key, Stamp: w.stamp(), Value: w.configuration()})
--- a/internal/route/renew_reference_test.go
+++ b/internal/route/renew_reference_test.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		if ref.conf, err = conf.Effect(kept); err != nil {
+		if ref.conf, err = conf.Compile(kept); err != nil {
 			w.t.Fatal(err)
 		}
 		ref.confStamp = e.Stamp
@@ -154,10 +154,10 @@
 	s, out := w.router.Current(), emptyTable()
 	for id, r := range s.Replicas {
 		out.Rows[id] = expectedRow{Listed: r.Listed, Slots: r.Slots, OthersInflight: r.othersInflight(), InflightLimit: r.inflightLimit(), ServiceTime: r.ServiceTime, Ready: joinReadyItems(r.Ready),
-			ReportedAt: w.router.lastReportAt(r), ViaController: r.Told}
+			ReportedAt: w.router.lastReportAt(r), ViaController: r.ViaController}
 	}
-	maps.Insert(out.Predictions, s.Expect.All())
-	maps.Copy(out.ReadyAt, s.Coming)
+	maps.Insert(out.Predictions, s.Expectations.All())
+	maps.Copy(out.ReadyAt, s.LoadingReadyAt)
 	maps.Copy(out.Acked, s.Acked)
 	out.Stamp = s.Stamp
 	return out
--- a/internal/route/renew_test.go
+++ b/internal/route/renew_test.go
@@ -17,7 +17,7 @@
 // checkIndex compares the replicas found by the index with those found by a scan of all replicas.
 func (w *fixture) checkIndex(step int) {
 	s := w.router.Current()
-	targets := []Target{{Route: conf.Route{Kind: "service", Service: "s1", Selector: conf.OfService("s1")}}, {Route: conf.Route{Kind: "service", Selector: conf.OfService("s2")}}}
+	targets := []Target{{Route: conf.Route{Kind: "service", Service: "s1", Selector: conf.ServiceSelector("s1")}}, {Route: conf.Route{Kind: "service", Selector: conf.ServiceSelector("s2")}}}
 	for _, item := range []string{"a", "b", "c", "a/x", "b/y", "nobody has it"} {
 		targets = append(targets, Target{Route: conf.Route{Kind: "model"}, Item: conf.ParseItem(item)})
 	}
@@ -38,7 +38,7 @@
 			w.t.Fatalf("step %d: %v can serve %s, the index finds %v", step, all, t.Lane(), found)
 		}
 		for _, id := range found {
-			if inventory.Marked(w.gossip, id) {
+			if inventory.MarkedLeaving(w.gossip, id) {
 				w.t.Fatalf("step %d: %s is leaving, and the index finds it", step, id)
 			}
 		}
@@ -80,7 +80,7 @@
 
 // checkUnmodified checks that a published snapshot has not been modified.
 func (w *fixture) checkUnmodified(before *Snapshot, was expectedTable) {
-	if !maps.Equal(before.Acked, was.Acked) || !maps.Equal(maps.Collect(before.Expect.All()), was.Predictions) || !maps.Equal(before.Coming, was.ReadyAt) || len(before.Replicas) != len(was.Rows) {
+	if !maps.Equal(before.Acked, was.Acked) || !maps.Equal(maps.Collect(before.Expectations.All()), was.Predictions) || !maps.Equal(before.LoadingReadyAt, was.ReadyAt) || len(before.Replicas) != len(was.Rows) {
 		w.t.Fatal("a snapshot was modified after it was published")
 	}
 	for id, r := range before.Replicas {
@@ -135,7 +135,7 @@
 	w.router.renew()
 	live := w.router.Current().Replicas["r3"].Live
 	live.Inflight.Add(1)
-	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Gone: true})
+	w.gossip.Put(gossip.Entry{Key: order.Key("r3"), Stamp: w.stamp(), Deleted: true})
 	w.router.renew()
 	if w.router.lives["r3"] != live {
 		t.Error("the live state of a replica was dropped before its last request ended")
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -51,7 +51,7 @@
 	ServiceTime    time.Duration
 	Ready          map[string]bool
 	reportedAt     time.Duration
-	Told           bool // its state comes from its controller and from its answers, not from reports to this proxy
+	ViaController  bool // its state comes from its controller and from its answers, not from reports to this proxy
 	Unreachable    bool // its controller cannot reach it
 	Live           *Live
 	// cacheTokens is the size of its prefix cache where tenants share the cache and it evicts in LRU order only; otherwise 0.
@@ -60,15 +60,15 @@
 
 // Snapshot is one immutable version of the table.
 type Snapshot struct {
-	Conf     conf.Effective
-	Serial   uint64
-	Stamp    state.Stamp
-	Replicas map[string]*Replica
-	Expect   sharded.Map[plan.Expectation] // predictions of the planners, for items that no replica holds
-	Coming   map[string]time.Duration      // when each loading item should be ready, on this proxy's clock
-	Acked    map[string]state.Stamp
-	Version  uint64 // rises when the configuration or the status of a replica changes
-	index    index
+	Conf           conf.Effective
+	Serial         uint64
+	Stamp          state.Stamp
+	Replicas       map[string]*Replica
+	Expectations   sharded.Map[plan.Expectation] // predictions of the planners, for items that no replica holds
+	LoadingReadyAt map[string]time.Duration      // when each loading item should be ready, on this proxy's clock
+	Acked          map[string]state.Stamp
+	Version        uint64 // rises when the configuration or the status of a replica changes
+	index          index
 }
 
 // Router keeps the table up to date and chooses replicas from it.
@@ -120,16 +120,16 @@
 	// Log receives infrequent decisions; nil discards them.
 	Log *slog.Logger
 	// Deaf is how long contact may be lost before no more requests are sent; 0 is the default.
-	Deaf time.Duration
+	IsolationLimit time.Duration
 }
 
 // NewRouter starts a Router, which renews its table until the group stops.
 func NewRouter(d Deps) *Router {
-	if d.Deaf == 0 {
-		d.Deaf = defaultIsolationLimit
+	if d.IsolationLimit == 0 {
+		d.IsolationLimit = defaultIsolationLimit
 	}
 	rt := &Router{deps: d, gossip: d.Gossip, clock: d.Clock, group: d.Group, lives: map[string]*Live{}, reports: map[string]report{},
-		entries: map[string]*entry{}, loadingEntries: map[string]*entry{}, confRest: conf.ReadingRest(),
+		entries: map[string]*entry{}, loadingEntries: map[string]*entry{}, confRest: conf.ReadBackoff(),
 		departed: map[string]struct{}{},
 		lastFull: map[bool]time.Duration{true: -1 << 61, false: -1 << 61},
 		prefixes: newPrefixMemory(), bulk: newBulkDetector(d.Log), pressure: map[string]pressureCount{}, work: map[string]time.Duration{}}
@@ -138,7 +138,7 @@
 	// A new configuration or a withdrawn item takes effect at once, not at the next interval. Entries that arrive
 	// together lead to a single renewal.
 	rt.renewSoon = run.NewTrigger(rt.actor, rt.renew)
-	d.Gossip.OnNew(func(gossip.Entry) { rt.renewSoon.Fire() })
+	d.Gossip.OnUpdate(func(gossip.Entry) { rt.renewSoon.Fire() })
 	if !d.PollReplicas {
 		return rt
 	}
@@ -163,7 +163,7 @@
 	Prompt Prompt
 	Avoid  string // a replica that is chosen only if no other can be
 	// Counted is set once the work of this request has been counted while it waited.
-	Counted bool
+	WorkCounted bool
 }
 
 // Lane is the key of requests that need the same item or service.
@@ -181,11 +181,11 @@
 // Sendable reports whether a request may be sent to a replica right now.
 func (rt *Router) Sendable(id string) bool {
 	// A leaving mark may have arrived since the table was built, and an isolated proxy receives no marks.
-	return !inventory.Marked(rt.gossip, id) && !rt.Isolated()
+	return !inventory.MarkedLeaving(rt.gossip, id) && !rt.Isolated()
 }
 
 // MonotonicNow reads the clock that the times in Snapshot.Coming refer to.
 func (rt *Router) MonotonicNow() time.Duration { return rt.clock.Since() }
 
 // Isolated reports whether contact with all sources that announce leaving replicas has been lost for too long.
-func (rt *Router) Isolated() bool { return rt.deps.SinceContact() >= rt.deps.Deaf }
+func (rt *Router) Isolated() bool { return rt.deps.SinceContact() >= rt.deps.IsolationLimit }
--- a/internal/route/steer_test.go
+++ b/internal/route/steer_test.go
@@ -19,9 +19,9 @@
 // tenantFixture is a router with replicas of one model and a manual clock, renewed by hand.
 type tenantFixture struct {
 	*Router
-	clock  *manualClock
-	gossip *gossip.Table
-	serial uint64
+	clock   *manualClock
+	gossip  *gossip.Table
+	version uint64
 }
 
 const (
@@ -62,9 +62,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.serial++
-	kept.Serial = s.serial
-	s.gossip.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: s.serial}, Value: kept.Pack()})
+	s.version++
+	kept.Serial = s.version
+	s.gossip.Put(gossip.Entry{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: s.version}, Value: kept.Pack()})
 	s.renew()
 }
 
@@ -140,7 +140,7 @@
 func TestPresenceReachesOtherProxies(t *testing.T) {
 	a, b := newTenantFixture(t, fmt.Sprintf(withTenants, "")), newTenantFixture(t, fmt.Sprintf(withTenants, ""))
 	a.send("plates", 0)
-	fresh, _, _ := a.gossip.After(0)
+	fresh, _, _ := a.gossip.Since(0)
 	announced := 0
 	for _, e := range fresh {
 		if e.Key == presenceKey(party{Tenant: "ours"}) {
@@ -211,7 +211,7 @@
 	for _, c := range []struct{ share, replicas int }{{1, 2}, {3, 3}, {1, 2}} {
 		s.configure(t, fmt.Sprintf(withTenants, "")[:len(`{"tenants":{"ours":{},"other":{`)]+fmt.Sprintf(`"share":%d`, c.share)+fmt.Sprintf(withTenants, "")[len(`{"tenants":{"ours":{},"other":{`):])
 		s.spread("plates", 0, 1)
-		if got := s.spread("bulk", 10_000*int(s.serial), 300); len(got) != c.replicas {
+		if got := s.spread("bulk", 10_000*int(s.version), 300); len(got) != c.replicas {
 			t.Errorf("share %d: the bulk goes to %v, want %d replicas", c.share, got, c.replicas)
 		}
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -107,7 +107,7 @@
 // fillFromController fills a row from the status that the replica's controller publishes. The load
 // hints of its answers and the time of the last renewal are read where they are used.
 func (r *Replica) fillFromController(e *entry) {
-	r.Told = true
+	r.ViaController = true
 	if r.Unreachable = e.status.Stale; r.Unreachable {
 		return
 	}
--- a/internal/runbook/dayend.go
+++ b/internal/runbook/dayend.go
@@ -7,8 +7,8 @@
 
 // DayEnd reads the newest acknowledged configuration back from every core and
 // compares it, byte for byte, with what was sent last.
-func DayEnd(c Control, sent []byte) Book {
-	return Book{Name: "end-of-day read-back",
+func DayEnd(c Control, sent []byte) Procedure {
+	return Procedure{Name: "end-of-day read-back",
 		Check: func(s Status) (missing []string) {
 			if s.Conf == 0 {
 				missing = append(missing, "there is no configuration to read back")
@@ -16,16 +16,16 @@
 			return missing
 		},
 		Steps: []Step{
-			settled(),
+			settledStep(),
 			{Name: "every core reads back the same bytes", Done: func(ctx context.Context, s Status) (bool, string) {
-				return readsBackAlike(ctx, c, s, sent)
+				return sameReadBack(ctx, c, s, sent)
 			}},
 		}}
 }
 
 // readsBackAlike says whether every live core has the same submission, and sent
 // where that is given.
-func readsBackAlike(ctx context.Context, c Control, s Status, sent []byte) (bool, string) {
+func sameReadBack(ctx context.Context, c Control, s Status, sent []byte) (bool, string) {
 	first := ""
 	for _, m := range s.Members {
 		if m.Role != "core" || m.State != "alive" || m.Operator == "" {
--- a/internal/runbook/replace.go
+++ b/internal/runbook/replace.go
@@ -6,10 +6,10 @@
 )
 
 // ReplaceCore gives the place of a lost core machine to an empty one.
-func ReplaceCore(name string) Book {
-	return Book{Name: "replace core machine " + name,
+func ReplaceCore(name string) Procedure {
+	return Procedure{Name: "replace core machine " + name,
 		Check: func(s Status) (missing []string) {
-			if !s.inSet(name) {
+			if !s.isVoter(name) {
 				missing = append(missing, name+" is not a member of the core set; look at coreSet in dsctl status")
 			}
 			rest := 0
@@ -27,15 +27,15 @@
 			{Name: "an empty machine runs in its place", Hint: "stop the old process if it runs; start dscore with --name " + name + " and an empty --folder, at any address",
 				Done: func(_ context.Context, s Status) (bool, string) {
 					m, found := s.Member(name)
-					if !found || !s.there(m) {
+					if !found || !s.isAlive(m) {
 						return false, name + " is not there"
 					}
 					return true, ""
 				}},
 			{Name: "it is filled and votes", Done: func(_ context.Context, s Status) (bool, string) {
 				m, _ := s.Member(name)
-				return m.Phase == "voter" && s.inSet(name) && s.there(m), name + " is " + m.Phase
+				return m.Phase == "voter" && s.isVoter(name) && s.isAlive(m), name + " is " + m.Phase
 			}},
-			settled(),
+			settledStep(),
 		}}
 }
--- a/internal/runbook/rescue.go
+++ b/internal/runbook/rescue.go
@@ -8,9 +8,9 @@
 
 // Rescue makes one surviving core the only voter, after the disks of a
 // majority are lost for good. What only they had synced is lost.
-func Rescue(c Control, addr string, lost []string) Book {
-	return Book{Name: "rescue after quorum loss",
-		Check: func(s Status) []string { return notLost(s, lost) },
+func Rescue(c Control, addr string, lost []string) Procedure {
+	return Procedure{Name: "rescue after quorum loss",
+		Check: func(s Status) []string { return rescueBlockers(s, lost) },
 		Steps: []Step{
 			{Name: "the survivor is the only voter", Do: func(ctx context.Context) error {
 				s, err := c.StatusOf(ctx, addr)
@@ -20,10 +20,10 @@
 				return c.Rescue(ctx, addr, lost, s.CoreMembers.Serial)
 			}, Done: func(ctx context.Context, _ Status) (bool, string) {
 				s, err := c.StatusOf(ctx, addr)
-				return err == nil && s.inSet(s.Core) && (len(s.CoreMembers.Cores) == 1 || s.CoreMembers.Serial > 1000), "not yet"
+				return err == nil && s.isVoter(s.Core) && (len(s.CoreMembers.Cores) == 1 || s.CoreMembers.Serial > 1000), "not yet"
 			}},
 			{Name: "every slot is held again", Done: func(_ context.Context, s Status) (bool, string) {
-				return s.held() >= slots, fmt.Sprintf("%d of %d slots are held", s.held(), slots)
+				return s.held() >= slotCount, fmt.Sprintf("%d of %d slots are held", s.held(), slotCount)
 			}},
 			{Name: "the set is whole again", Hint: "start empty cores under the lost names", Done: func(_ context.Context, s Status) (bool, string) {
 				n := len(s.healthyCores())
@@ -33,7 +33,7 @@
 }
 
 // notLost says why the core that made the status should not go on alone.
-func notLost(s Status, lost []string) (missing []string) {
+func rescueBlockers(s Status, lost []string) (missing []string) {
 	if len(s.CoreMembers.Cores) == 1 && s.CoreMembers.Cores[0].Name == s.Core {
 		return nil
 	}
--- a/internal/runbook/roll.go
+++ b/internal/runbook/roll.go
@@ -6,12 +6,12 @@
 )
 
 // Roll waits while every process comes to run a build, cores first and one at a time.
-func Roll(s Status, build string) Book {
-	b := Book{Name: "roll build " + build, Check: func(s Status) (missing []string) {
+func Roll(s Status, build string) Procedure {
+	b := Procedure{Name: "roll build " + build, Check: func(s Status) (missing []string) {
 		if n := len(s.healthyCores()); n < len(s.CoreMembers.Cores) {
 			missing = append(missing, fmt.Sprintf("%d of %d cores are alive and vote; bring all back before one is stopped on purpose", n, len(s.CoreMembers.Cores)))
 		}
-		if ok, why := quiet(s); !ok {
+		if ok, why := isSettled(s); !ok {
 			missing = append(missing, why+"; wait until it is so")
 		}
 		return missing
@@ -29,7 +29,7 @@
 			Done: func(_ context.Context, s Status) (bool, string) {
 				m, found := s.Member(name)
 				switch {
-				case !found || !s.there(m):
+				case !found || !s.isAlive(m):
 					return false, name + " is not there"
 				case m.Build != build:
 					return false, name + " runs build " + m.Build
@@ -39,7 +39,7 @@
 				if e, edge := s.Edges[name]; edge && !e.Serving {
 					return false, name + " does not serve yet"
 				}
-				return quiet(s)
+				return isSettled(s)
 			}})
 	}
 	return b
--- a/internal/runbook/runbook.go
+++ b/internal/runbook/runbook.go
@@ -37,7 +37,7 @@
 }
 
 // Book is a runbook made out for one case.
-type Book struct {
+type Procedure struct {
 	Name  string
 	Check func(s Status) []string // what is missing, and what to do about it
 	Steps []Step
@@ -61,19 +61,19 @@
 // Run carries a book out and shows each step on out. Each step may take up to
 // limit. ErrPrecondition says that nothing was changed; after any other error it
 // may be run again.
-func Run(ctx context.Context, c Control, b Book, limit time.Duration, out io.Writer) error {
+func Run(ctx context.Context, c Control, b Procedure, limit time.Duration, out io.Writer) error {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return errors.Wrapf(ErrPrecondition, "no core answers: %v; give --cores the operator address of a running core", err)
 	}
 	fmt.Fprintf(out, "runbook %s\n", b.Name)
-	if missing := stillMissing(ctx, c, b, s); len(missing) > 0 {
+	if missing := unmetPreconditions(ctx, c, b, s); len(missing) > 0 {
 		return errors.Wrap(ErrPrecondition, "nothing was changed\n  "+strings.Join(missing, "\n  "))
 	}
 	fmt.Fprintln(out, "  precondition holds")
 	for i, st := range b.Steps {
 		fmt.Fprintf(out, "  %d/%d %s\n", i+1, len(b.Steps), st.Name)
-		if err := step(ctx, c, st, limit, out); err != nil {
+		if err := runStep(ctx, c, st, limit, out); err != nil {
 			return errors.Wrapf(err, "step %d (%s); run it again to go on from here", i+1, st.Name)
 		}
 	}
@@ -84,17 +84,17 @@
 const (
 	// checkFor is how long a precondition may be missed before a runbook refuses: a slot that goes from one core to
 	// another is held by nobody for a moment.
-	checkFor = 3 * time.Second
+	preconditionTimeout = 3 * time.Second
 	// lookEvery is the time between two looks at the status.
-	lookEvery = 500 * time.Millisecond
+	pollInterval = 500 * time.Millisecond
 )
 
 // stillMissing is what a book's precondition lacks, by a status and by those of the next few seconds.
-func stillMissing(ctx context.Context, c Control, b Book, s Status) []string {
-	ctx, cancel := context.WithTimeout(ctx, checkFor)
+func unmetPreconditions(ctx context.Context, c Control, b Procedure, s Status) []string {
+	ctx, cancel := context.WithTimeout(ctx, preconditionTimeout)
 	defer cancel()
 	missing := b.Check(s)
-	for len(missing) > 0 && run.Sleep(ctx, lookEvery) {
+	for len(missing) > 0 && run.Sleep(ctx, pollInterval) {
 		if now, err := c.Status(ctx); err == nil {
 			missing = b.Check(now)
 		}
@@ -103,7 +103,7 @@
 }
 
 // step does one step and waits until its aim is reached.
-func step(ctx context.Context, c Control, st Step, limit time.Duration, out io.Writer) error {
+func runStep(ctx context.Context, c Control, st Step, limit time.Duration, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	did, said := false, ""
@@ -140,20 +140,20 @@
 				did = true
 			}
 		}
-		if !run.Sleep(ctx, lookEvery) {
+		if !run.Sleep(ctx, pollInterval) {
 			return errors.Errorf("gave up: %s", what)
 		}
 	}
 }
 
 // slots is how many there are in the control state.
-const slots = 16
+const slotCount = 16
 
 // quiet says whether every slot is held and every edge up to date, and what is missing.
-func quiet(s Status) (bool, string) {
+func isSettled(s Status) (bool, string) {
 	switch {
-	case s.held() < slots:
-		return false, fmt.Sprintf("%d of %d slots are held", s.held(), slots)
+	case s.held() < slotCount:
+		return false, fmt.Sprintf("%d of %d slots are held", s.held(), slotCount)
 	case len(s.Laggards) > 0:
 		return false, "the configuration is not in force at " + strings.Join(s.Laggards, ", ")
 	}
@@ -161,8 +161,8 @@
 }
 
 // settled is the step that waits until the system is quiet.
-func settled() Step {
-	return Step{Name: "every slot is held and every edge up to date", Done: func(_ context.Context, s Status) (bool, string) { return quiet(s) }}
+func settledStep() Step {
+	return Step{Name: "every slot is held and every edge up to date", Done: func(_ context.Context, s Status) (bool, string) { return isSettled(s) }}
 }
 
 // claimsMet says whether all claims are met, and names the first that is not.
@@ -174,8 +174,8 @@
 }
 
 // slotsMissing is the precondition that every slot is held.
-func slotsMissing(s Status) []string {
-	if s.held() < slots {
+func requireAllSlots(s Status) []string {
+	if s.held() < slotCount {
 		return []string{"not every slot is held; wait until dsctl status shows all"}
 	}
 	return nil
--- a/internal/runbook/status.go
+++ b/internal/runbook/status.go
@@ -39,7 +39,7 @@
 
 // there says whether a node is alive; a core must have answered while the
 // status was made. Why: one that just died is thought to be alive for some seconds more.
-func (s Status) there(m Member) bool {
+func (s Status) isAlive(m Member) bool {
 	_, answered := s.Slots[m.Name]
 	return m.State == "alive" && (m.Role != "core" || answered)
 }
@@ -55,7 +55,7 @@
 }
 
 // inSet says whether a core of this name is a voter.
-func (s Status) inSet(name string) bool {
+func (s Status) isVoter(name string) bool {
 	for _, c := range s.CoreMembers.Cores {
 		if c.Name == name {
 			return true
@@ -80,7 +80,7 @@
 func (s Status) healthyCores() []string {
 	var out []string
 	for _, m := range s.Members {
-		if m.Role == "core" && m.Phase == "voter" && s.inSet(m.Name) && s.there(m) {
+		if m.Role == "core" && m.Phase == "voter" && s.isVoter(m.Name) && s.isAlive(m) {
 			out = append(out, m.Name)
 		}
 	}
--- a/internal/runbook/takeover.go
+++ b/internal/runbook/takeover.go
@@ -6,13 +6,13 @@
 )
 
 // TakeOver follows replicas that have been labelled until all count of them are in use.
-func TakeOver(matches func(labels map[string]string) bool, selector string, count int) Book {
-	return Book{Name: fmt.Sprintf("take over %d replicas with %s", count, selector),
+func TakeOver(matches func(labels map[string]string) bool, selector string, count int) Procedure {
+	return Procedure{Name: fmt.Sprintf("take over %d replicas with %s", count, selector),
 		Check: func(s Status) (missing []string) {
 			if s.Conf == 0 {
 				missing = append(missing, "there is no configuration; dsctl config put FILE")
 			}
-			return append(missing, slotsMissing(s)...)
+			return append(missing, requireAllSlots(s)...)
 		},
 		Steps: []Step{
 			{Name: "they are listed and controlled", Hint: "label the replicas on the platform so that the selector matches them", Done: func(_ context.Context, s Status) (bool, string) {
@@ -37,7 +37,7 @@
 				if ok, what := claimsMet(s); !ok {
 					return false, what
 				}
-				return quiet(s)
+				return isSettled(s)
 			}},
 		}}
 }
--- a/internal/runbook/zone.go
+++ b/internal/runbook/zone.go
@@ -6,7 +6,7 @@
 )
 
 // DrainZone takes a zone's replicas out of use, so that its machines may be stopped.
-func DrainZone(c Control, zone string) Book {
+func DrainZone(c Control, zone string) Procedure {
 	inZone := func(s Status) (ids []string) {
 		for _, r := range s.Replicas {
 			if r.Listed.Zone == zone {
@@ -15,8 +15,8 @@
 		}
 		return ids
 	}
-	return Book{Name: "drain zone " + zone,
-		Check: func(s Status) []string { return neededIn(s, zone) },
+	return Procedure{Name: "drain zone " + zone,
+		Check: func(s Status) []string { return drainBlockers(s, zone) },
 		Steps: []Step{
 			{Name: "the drain is in force", Do: func(ctx context.Context) error {
 				return c.Patch(ctx, []byte(fmt.Sprintf(`{"replace":{"drains":{"zone-%s":{"selector":"zone=%s"}}}}`, zone, zone)))
@@ -26,7 +26,7 @@
 						return false, r.Listed.ID + " is still in use"
 					}
 				}
-				return quiet(s)
+				return isSettled(s)
 			}},
 			{Name: "no request is on its replicas", Done: func(_ context.Context, s Status) (bool, string) {
 				for _, id := range inZone(s) {
@@ -41,7 +41,7 @@
 }
 
 // neededIn says why a zone cannot be done without just now.
-func neededIn(s Status, zone string) (missing []string) {
+func drainBlockers(s Status, zone string) (missing []string) {
 	rest, cores := 0, 0
 	for _, r := range s.Replicas {
 		if r.Listed.Zone != zone && !r.Listed.Leaving && !r.Dark && r.Listed.Model {
@@ -52,7 +52,7 @@
 		missing = append(missing, "no model replica outside "+zone+" is in use; take some over first")
 	}
 	for _, m := range s.Members {
-		if m.Role == "core" && m.Zone != zone && m.Phase == "voter" && s.there(m) {
+		if m.Role == "core" && m.Zone != zone && m.Phase == "voter" && s.isAlive(m) {
 			cores++
 		}
 	}
@@ -63,9 +63,9 @@
 }
 
 // UndrainZone brings a zone back into use.
-func UndrainZone(c Control, zone string) Book {
-	return Book{Name: "bring back zone " + zone,
-		Check: slotsMissing,
+func UndrainZone(c Control, zone string) Procedure {
+	return Procedure{Name: "bring back zone " + zone,
+		Check: requireAllSlots,
 		Steps: []Step{{Name: "the drain is lifted", Do: func(ctx context.Context) error {
 			return c.Patch(ctx, []byte(fmt.Sprintf(`{"remove":{"drains":["zone-%s"]}}`, zone)))
 		}, Done: func(_ context.Context, s Status) (bool, string) {
@@ -74,6 +74,6 @@
 					return false, r.Listed.ID + " is not in use yet"
 				}
 			}
-			return quiet(s)
+			return isSettled(s)
 		}}}}
 }
--- a/internal/sim/capacity/agents_test.go
+++ b/internal/sim/capacity/agents_test.go
@@ -38,7 +38,7 @@
 	}
 	var cs []*core.Core
 	for i, a := range addrs {
-		c, err := core.Start(core.Settings{Fleet: "x", Name: fmt.Sprintf("core-%d", i), Zone: zone(i), Addr: a, Seeds: addrs, Folder: "d", Founders: addrs, MayFound: true, Cadence: Cadence(), Lister: list{replicas}, Replicas: fake{}}, env())
+		c, err := core.Start(core.Settings{Fleet: "x", Name: fmt.Sprintf("core-%d", i), Zone: zone(i), Addr: a, Seeds: addrs, Folder: "d", InitialAddrs: addrs, MayBootstrap: true, Cadence: Cadence(), Lister: list{replicas}, Replicas: fake{}}, env())
 		if err != nil {
 			fmt.Println(err)
 			return
@@ -60,10 +60,10 @@
 		as = append(as, a)
 		caller := wire.NewClient(wire.HostNetwork())
 		g.Go(func(ctx context.Context) {
-			up := feed.Up{Boot: "0123456789abcdef", Report: aReport(i, replicas, items, 8), HoldMs: 200}
+			up := feed.Request{Boot: "0123456789abcdef", Report: aReport(i, replicas, items, 8), MaxWaitMs: 200}
 			for ctx.Err() == nil {
 				up.Report.Version++
-				d, err := wire.Call[feed.Up, feed.Down](ctx, caller, f, feed.Path, up)
+				d, err := wire.Call[feed.Request, feed.Reply](ctx, caller, f, feed.Path, up)
 				if err == nil {
 					up.AgentBoot, up.Cursor, up.Confirmed = d.AgentBoot, d.Cursor, d.Confirmed
 				}
--- a/internal/sim/capacity/document_test.go
+++ b/internal/sim/capacity/document_test.go
@@ -36,11 +36,11 @@
 	return []byte(b.String())
 }
 
-func kept(models, adapters, routes, services int) conf.Kept {
-	var k conf.Kept
-	got, err := k.Apply(conf.Change{Manner: conf.Whole, ContentType: contentType, Body: document(models, adapters, routes, services)})
+func kept(models, adapters, routes, services int) conf.Stored {
+	var k conf.Stored
+	got, err := k.Apply(conf.Change{Mode: conf.Whole, ContentType: contentType, Body: document(models, adapters, routes, services)})
 	if err != nil {
 		panic(err)
 	}
-	return got.Kept
+	return got.Stored
 }
--- a/internal/sim/capacity/memory_test.go
+++ b/internal/sim/capacity/memory_test.go
@@ -15,11 +15,11 @@
 	fmt.Println("== heap, bytes")
 	fit("conf.Effective", "model (no adapter)", []int{12, 120, 600, 1200}, func(x int) float64 {
 		k := kept(x, 0, 200, 12)
-		return heap(func() any { e, _ := conf.Effect(k); return e })
+		return heap(func() any { e, _ := conf.Compile(k); return e })
 	})
 	fit("conf.Effective (1200 models)", "adapter", []int{0, 4800, 12000, 40000}, func(x int) float64 {
 		k := kept(1200, x, 200, 12)
-		return heap(func() any { e, _ := conf.Effect(k); return e })
+		return heap(func() any { e, _ := conf.Compile(k); return e })
 	})
 	fit("news table (10 items a replica)", "replica", reps, func(x int) float64 { return heap(func() any { return gossipTable(x, 10, 0, nil) }) })
 	fit("news table", "expect entry", its, func(x int) float64 { return heap(func() any { return gossipTable(0, 0, x, nil) }) })
@@ -29,7 +29,7 @@
 	})
 	fit("member table (rolls)", "node", nodes, func(x int) float64 {
 		b := wire.Marshal(roll(x))
-		return heap(func() any { var r member.Roll; _ = wire.Unmarshal(b, &r); return r })
+		return heap(func() any { var r member.SyncMessage; _ = wire.Unmarshal(b, &r); return r })
 	})
 	read := func(b []byte) any { var r report.Report; _ = wire.Unmarshal(b, &r); return r }
 	fit("a report at a core", "replica acked", reps, func(x int) float64 {
--- a/internal/sim/capacity/messages_test.go
+++ b/internal/sim/capacity/messages_test.go
@@ -35,7 +35,7 @@
 }
 
 func aReport(node, replicas, demand, inflight int) report.Report {
-	r := report.Report{Agent: NodeName(node), Boot: "0123456789abcdef", Version: 100000, Conf: 1000, Demand: map[string]uint64{}, Inflight: map[string]map[string]int{},
+	r := report.Report{Agent: NodeName(node), Boot: "0123456789abcdef", Version: 100000, ConfigSerial: 1000, Demand: map[string]uint64{}, Inflight: map[string]map[string]int{},
 		Waiting: map[string]int{}, Acked: map[string]state.Stamp{}, Zone: zone(node), Serving: true}
 	for i := range replicas {
 		r.Acked[ReplicaID(i)] = stamp(i)
@@ -75,8 +75,8 @@
 	return member.Node{Name: NodeName(i), Role: member.RoleAgent, Zone: zone(i), Addr: fmt.Sprintf("10.2.%d.%d:7000", i/200, i%200), Inc: 1764650000000, Boot: "0123456789abcdef", Build: "5fe69a9"}
 }
 
-func roll(n int) member.Roll {
-	var r member.Roll
+func roll(n int) member.SyncMessage {
+	var r member.SyncMessage
 	for i := range n {
 		r.Nodes = append(r.Nodes, aNode(i))
 	}
@@ -91,7 +91,7 @@
 	Name   string        `cbor:"4,keyasint,omitempty"`
 	Boot   string        `cbor:"5,keyasint,omitempty"`
 	Nodes  []member.Node `cbor:"6,keyasint,omitempty"`
-	Touch  touch.Word    `cbor:"7,keyasint,omitempty"`
+	Touch  touch.Age     `cbor:"7,keyasint,omitempty"`
 }
 type bundle struct {
 	From    string         `cbor:"1,keyasint"`
--- a/internal/sim/capacity/onecore_test.go
+++ b/internal/sim/capacity/onecore_test.go
@@ -36,7 +36,7 @@
 	addr := ln.Addr().String()
 	_ = ln.Close()
 	cad := Cadence()
-	c, err := core.Start(core.Settings{Fleet: "x", Name: "core-1", Zone: "r0-z0", Addr: addr, Seeds: []string{addr}, Folder: "d", Founders: []string{addr}, MayFound: true, Cadence: cad, Lister: list{replicas}, Replicas: fake{}}, env)
+	c, err := core.Start(core.Settings{Fleet: "x", Name: "core-1", Zone: "r0-z0", Addr: addr, Seeds: []string{addr}, Folder: "d", InitialAddrs: []string{addr}, MayBootstrap: true, Cadence: cad, Lister: list{replicas}, Replicas: fake{}}, env)
 	if err != nil {
 		fmt.Println("core:", err)
 		return
@@ -52,7 +52,7 @@
 	ctx := context.Background()
 	k := kept(1200, 40000, 200, 12)
 	ent := bundle{Entries: []gossip.Entry{{Key: conf.Key, Stamp: state.Stamp{Epoch: 1, Version: 1}, Value: k.Pack()}}}
-	if _, err := wire.Call[bundle, gossip.Pushed](ctx, caller, addr, "/news/push", ent); err != nil {
+	if _, err := wire.Call[bundle, gossip.PushReply](ctx, caller, addr, "/news/push", ent); err != nil {
 		fmt.Println(err)
 	}
 	idle0, at := cpu(), time.Now()
@@ -69,7 +69,7 @@
 					r.Demand[i] += serial
 				}
 			}
-			if _, err := wire.Call[report.Report, report.Taken](ctx, caller, addr, "/place/report", r); err != nil {
+			if _, err := wire.Call[report.Report, report.Response](ctx, caller, addr, "/place/report", r); err != nil {
 				fmt.Println(err)
 				return
 			}
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -31,11 +31,11 @@
 	fmt.Println("== processor time, us a call")
 	costs("conf.Effect", "model (33 adapters)", []int{12, 120, 600, 1200}, func(x int) func() {
 		k := kept(x, x*33, 200, 12)
-		return func() { sink, _ = conf.Effect(k) }
+		return func() { sink, _ = conf.Compile(k) }
 	})
 	costs("conf.Unpack+Effect", "route", []int{10, 50, 100, 400}, func(x int) func() {
 		b := kept(120, 4000, x, 12).Pack()
-		return func() { k, _ := conf.Unpack(b); sink, _ = conf.Effect(k) }
+		return func() { k, _ := conf.Unpack(b); sink, _ = conf.Compile(k) }
 	})
 	costs("report packed", "replica acked", reps, func(x int) func() { r := aReport(1, x, 0, 8); return func() { sink = wire.Marshal(r) } })
 	costs("report packed", "item counted", its, func(x int) func() { r := aReport(1, 0, x, 8); return func() { sink = wire.Marshal(r) } })
@@ -65,7 +65,7 @@
 	costs("plan.Views (10 items each)", "replica", reps, func(x int) func() { t := gossipTable(x, 10, 0, nil); return func() { sink = plan.DecodeStatuses(t) } })
 	costs("plan.Views (600 replicas)", "item held", []int{2, 10, 20, 40}, func(x int) func() { t := gossipTable(600, x, 0, nil); return func() { sink = plan.DecodeStatuses(t) } })
 	costs("plan.Views (75 replicas)", "expect entry", its, func(x int) func() { t := gossipTable(75, 10, x, nil); return func() { sink = plan.DecodeStatuses(t) } })
-	cfg, _ := conf.Effect(kept(1200, 40000, 200, 12))
+	cfg, _ := conf.Compile(kept(1200, 40000, 200, 12))
 	costs("order.Cheapest, 417 nodes, 1 holder in 100", "replica", reps, func(x int) func() {
 		views := plan.DecodeStatuses(gossipTable(x, 10, 0, nil))
 		for i := 0; i < x; i += 100 {
@@ -99,7 +99,7 @@
 		for m := range int64(8 * 1440) {
 			s.Add(m, 2)
 		}
-		r := demand.Params{Day: 1440, DayWeights: []float64{0.4, 0.2, 0.12, 0.1, 0.08, 0.06, 0.04}, WarmupMinutes: 2, HorizonMinutes: x}
+		r := demand.Params{UnitsPerDay: 1440, DayWeights: []float64{0.4, 0.2, 0.12, 0.1, 0.08, 0.06, 0.04}, WarmupMinutes: 2, HorizonMinutes: x}
 		return func() { sink = s.PredictHorizon(r, 8*1440-200, 0) }
 	})
 	costs("news.Put (stamp newer)", "key in table", its, func(x int) func() {
@@ -113,11 +113,11 @@
 	costs("news.After(last)", "key in table", its, func(x int) func() {
 		t := gossipTable(600, 10, x, nil)
 		n, v := uint64(1<<20), wire.Marshal(replicaStatus(1, 10))
-		_, c, _ := t.After(0)
+		_, c, _ := t.Since(0)
 		return func() {
 			n++
 			t.Put(gossip.Entry{Key: order.Key(ReplicaID(1)), Stamp: state.Stamp{Epoch: 40, Version: n}, Value: v})
-			sink, c, _ = t.After(c)
+			sink, c, _ = t.Since(c)
 		}
 	})
 	g := run.NewGroup(context.Background())
@@ -126,7 +126,7 @@
 		pc, _ := net.ListenPacket("udp", "127.0.0.1:0")
 		mux := wire.NewMux()
 		t := gossipTable(600, 10, x, nil)
-		gossip.NewSpreader(g.Child(), t, env.Log.Logger(), wire.NewDatagramSocket(pc), wire.NewClient(env.Net), mux, func() string { return "" }, func() []string { return nil }, nil, touch.New(env.Clock))
+		gossip.NewDisseminator(g.Child(), t, env.Log.Logger(), wire.NewDatagramSocket(pc), wire.NewClient(env.Net), mux, func() string { return "" }, func() []string { return nil }, nil, touch.New(env.Clock))
 		var d gossip.Digest
 		for range 64 {
 			d.Sums = append(d.Sums, make([]byte, 16))
--- a/internal/sim/capacity/sizes_test.go
+++ b/internal/sim/capacity/sizes_test.go
@@ -25,8 +25,8 @@
 	fit("report", "item counted", its, func(x int) float64 { return size(aReport(1, 0, x, 0)) })
 	fit("report", "replica in use", reps, func(x int) float64 { return size(aReport(1, 0, 0, x)) })
 	base := aReport(1, 600, 4120, 8)
-	fit("report by difference", "item counted since", []int{1, 4, 16, 64}, func(x int) float64 { return size(countedSince(base, x).Since(base)) })
-	fit("report by difference", "replica acked since", []int{1, 4, 16, 64}, func(x int) float64 { return size(ackedSince(base, x).Since(base)) })
+	fit("report by difference", "item counted since", []int{1, 4, 16, 64}, func(x int) float64 { return size(countedSince(base, x).DeltaFrom(base)) })
+	fit("report by difference", "replica acked since", []int{1, 4, 16, 64}, func(x int) float64 { return size(ackedSince(base, x).DeltaFrom(base)) })
 	fit("replica's news", "item held", []int{2, 10, 20, 40}, func(x int) float64 { return size(replicaStatus(1, x)) })
 	fit("roll", "node", nodes, func(x int) float64 { return size(roll(x)) })
 	fit("probe", "node told along", []int{1, 2, 4, 6}, func(x int) float64 {
@@ -38,11 +38,11 @@
 	fit("kept configuration", "change remembered", []int{1, 32, 128, 512}, func(x int) float64 {
 		k := kept(12, 12, 1, 1)
 		for i := 1; i < x; i++ {
-			got, err := k.Apply(conf.Change{Manner: conf.Partial, ContentType: contentType, Body: fmt.Appendf(nil, `{"version":%d}`, 1001+i)})
+			got, err := k.Apply(conf.Change{Mode: conf.Partial, ContentType: contentType, Body: fmt.Appendf(nil, `{"version":%d}`, 1001+i)})
 			if err != nil {
 				panic(err)
 			}
-			k = got.Kept
+			k = got.Stored
 		}
 		return float64(len(k.Pack()))
 	})
@@ -52,16 +52,16 @@
 	}
 	fmt.Printf("news digest %d bytes, fixed\n", len(wire.Marshal(d)))
 	fit("news heads", "key in buckets", []int{10, 100, 600, 3000}, func(x int) float64 {
-		h := gossip.Heads{Bucket: []int{1}, Have: map[string]state.Stamp{}}
+		h := gossip.BucketStamps{Buckets: []int{1}, Stamps: map[string]state.Stamp{}}
 		for i := range x {
-			h.Have[order.Key(ReplicaID(i))] = stamp(i)
+			h.Stamps[order.Key(ReplicaID(i))] = stamp(i)
 		}
 		return size(h)
 	})
 	fit("headline in a datagram", "headline", []int{1, 5, 10, 20}, func(x int) float64 {
 		b := bundle{From: "10.2.1.1:7000"}
 		for i := range x {
-			b.Entries = append(b.Entries, gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), Head: true})
+			b.Entries = append(b.Entries, gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), ValueOmitted: true})
 		}
 		return size(b)
 	})
@@ -101,13 +101,13 @@
 		return size(s)
 	})
 	fit("feed.Up", "replica acked", reps, func(x int) float64 {
-		return size(feed.Up{Boot: "0123456789abcdef", AgentBoot: "0123456789abcdef", Cursor: 100000, Confirmed: true, Conf: stamp(1), Report: aReport(1, x, 0, 8), HoldMs: 200})
+		return size(feed.Request{Boot: "0123456789abcdef", AgentBoot: "0123456789abcdef", Cursor: 100000, Confirmed: true, Conf: stamp(1), Report: aReport(1, x, 0, 8), MaxWaitMs: 200})
 	})
 	fit("feed.Up", "item counted", its, func(x int) float64 {
-		return size(feed.Up{Boot: "0123456789abcdef", AgentBoot: "0123456789abcdef", Cursor: 100000, Confirmed: true, Conf: stamp(1), Report: aReport(1, 0, x, 8), HoldMs: 200})
+		return size(feed.Request{Boot: "0123456789abcdef", AgentBoot: "0123456789abcdef", Cursor: 100000, Confirmed: true, Conf: stamp(1), Report: aReport(1, 0, x, 8), MaxWaitMs: 200})
 	})
 	fit("feed.Down", "entry", []int{0, 1, 4, 16}, func(x int) float64 {
-		d := feed.Down{AgentBoot: "0123456789abcdef", Cursor: 1, Confirmed: true, Conf: stamp(1), HeardMs: 12, Edges: 410, Agent: NodeName(1), Zone: zone(1)}
+		d := feed.Reply{AgentBoot: "0123456789abcdef", Cursor: 1, Confirmed: true, Conf: stamp(1), SinceContactMs: 12, Edges: 410, Agent: NodeName(1), Zone: zone(1)}
 		for i := range 16 {
 			d.Peers = append(d.Peers, aNode(i).Addr)
 		}
--- a/internal/sim/capacity/tables_test.go
+++ b/internal/sim/capacity/tables_test.go
@@ -16,12 +16,12 @@
 
 func fill(t *gossip.Table, replicas, items, expects int, cfg []byte) {
 	for i := range replicas {
-		t.Learn(gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), Value: wire.Marshal(replicaStatus(i, items))})
+		t.PutRemote(gossip.Entry{Key: order.Key(ReplicaID(i)), Stamp: stamp(i), Value: wire.Marshal(replicaStatus(i, items))})
 	}
 	for i := range expects {
-		t.Learn(gossip.Entry{Key: plan.ExpectationKey(ItemName(i)), Stamp: stamp(i), Value: wire.Marshal(plan.Expectation{ReadyMs: 43000, Reason: "no replica can load it now"})})
+		t.PutRemote(gossip.Entry{Key: plan.ExpectationKey(ItemName(i)), Stamp: stamp(i), Value: wire.Marshal(plan.Expectation{ReadyMs: 43000, Reason: "no replica can load it now"})})
 	}
 	if cfg != nil {
-		t.Learn(gossip.Entry{Key: conf.Key, Stamp: stamp(1), Value: cfg})
+		t.PutRemote(gossip.Entry{Key: conf.Key, Stamp: stamp(1), Value: cfg})
 	}
 }
--- a/internal/sim/fleet/callers_test.go
+++ b/internal/sim/fleet/callers_test.go
@@ -119,7 +119,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				eff, err := conf.Effect(kept)
+				eff, err := conf.Compile(kept)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/sim/fleet/fleet.go
+++ b/internal/sim/fleet/fleet.go
@@ -209,7 +209,7 @@
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	eff, err := conf.Effect(kept)
+	eff, err := conf.Compile(kept)
 	if err != nil {
 		f.T.Fatal(err)
 	}
--- a/internal/sim/fleet/helpers_test.go
+++ b/internal/sim/fleet/helpers_test.go
@@ -40,7 +40,7 @@
 }
 
 // newestWithin asks a core for the newest configuration and waits so long for it.
-func newestWithin(ctx context.Context, n *Node, within time.Duration) (conf.Kept, bool, error) {
+func newestWithin(ctx context.Context, n *Node, within time.Duration) (conf.Stored, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	return n.Core.Newest(ctx)
--- a/internal/sim/fleet/process.go
+++ b/internal/sim/fleet/process.go
@@ -16,7 +16,7 @@
 	settings := core.Settings{Name: n.Name, Zone: n.Zone, Addr: n.IP + ":7000", Operator: n.IP + ":7001", Seeds: f.seeds.now(),
 		Folder: "data", Cores: f.D.Cores, Platform: platformAddr, Cadence: f.D.Cadence}
 	if f.D.Unattended {
-		settings.Cores, settings.Founders, settings.MayFound = 0, f.founders(), !f.formed
+		settings.Cores, settings.InitialAddrs, settings.MayBootstrap = 0, f.founders(), !f.formed
 	}
 	c, err := core.Start(settings, f.env(n, 0))
 	if err != nil {
@@ -48,7 +48,7 @@
 
 // StartProxy starts the proxy of an edge.
 func (f *Fleet) StartProxy(n *Node) {
-	p, err := proxy.Start(proxy.Settings{Name: n.Name, Zone: n.Zone, Callers: n.IP + ":8080", Agent: n.IP + ":7002", Platform: platformAddr, Cadence: f.D.Cadence}, f.env(n, 2))
+	p, err := proxy.Start(proxy.Settings{Name: n.Name, Zone: n.Zone, CallerAddr: n.IP + ":8080", Agent: n.IP + ":7002", Platform: platformAddr, Cadence: f.D.Cadence}, f.env(n, 2))
 	if err != nil {
 		f.T.Fatalf("%s: %v", n.Name, err)
 	}
--- a/internal/sim/fleet/relay_test.go
+++ b/internal/sim/fleet/relay_test.go
@@ -55,7 +55,7 @@
 		if testing.Short() {
 			while = 4 * time.Second // with the race detector the whole is slow
 		}
-		if oldest, edge, core := f.oldestReport(f.Cores, while); oldest > report.Fresh/2 {
+		if oldest, edge, core := f.oldestReport(f.Cores, while); oldest > report.FreshFor/2 {
 			t.Errorf("the report of %s was %v old at %s", edge, oldest, core)
 		}
 		perSecond := float64(f.calls()-before) / while.Seconds() / float64(len(f.Edges))
@@ -134,7 +134,7 @@
 					f.StartCore(lost)
 				}
 				time.Sleep(10 * time.Second)
-				if oldest, edge, core := f.oldestReport(f.Cores, 3*time.Second); oldest > report.Fresh/2 {
+				if oldest, edge, core := f.oldestReport(f.Cores, 3*time.Second); oldest > report.FreshFor/2 {
 					t.Errorf("after it: the report of %s was %v old at %s", edge, oldest, core)
 				}
 			})
--- a/internal/sim/fleet/runbook_test.go
+++ b/internal/sim/fleet/runbook_test.go
@@ -38,7 +38,7 @@
 	return h
 }
 
-func (f *Fleet) book(b runbook.Book, limit time.Duration) (string, error) {
+func (f *Fleet) book(b runbook.Procedure, limit time.Duration) (string, error) {
 	var out strings.Builder
 	err := runbook.Run(context.Background(), f.control(), b, limit, &out)
 	return out.String(), err
--- a/internal/sim/hollow/hollow_test.go
+++ b/internal/sim/hollow/hollow_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	effective, err := conf.Effect(kept)
+	effective, err := conf.Compile(kept)
 	if err != nil || len(effective.Models) != 40 || len(effective.Routes) != 5 {
 		t.Errorf("%d models, %d routes, %v", len(effective.Models), len(effective.Routes), err)
 	}
--- a/internal/sim/hollow/node.go
+++ b/internal/sim/hollow/node.go
@@ -39,7 +39,7 @@
 	shared  *knowledge
 	callers callers
 	boot    string
-	up      feed.Up
+	up      feed.Request
 	now     report.Report // of the moment; its maps are not changed once sent
 	base    report.Report // what the agent holds
 	sentAt  time.Time
@@ -50,7 +50,7 @@
 func (p *process) startNode(i int) error {
 	l := p.spec.Layout
 	ip := l.NodeIP(i)
-	n := &node{name: capacity.NodeName(i), feed: at(ip, feedPort), caller: wire.NewClient(wire.HostNetwork()), shared: p.shared, boot: core.NewBoot()}
+	n := &node{name: capacity.NodeName(i), feed: at(ip, feedPort), caller: wire.NewClient(wire.HostNetwork()), shared: p.shared, boot: core.NewBootID()}
 	n.callers = callers{load: p.spec.Load, share: p.spec.Load.Misses / float64(max(l.Nodes, 1)), catalogue: p.spec.Catalogue,
 		rnd: rand.New(rand.NewPCG(uint64(i), 1))}
 	n.now = report.Report{Boot: n.boot, Zone: l.ZoneName(i), Serving: true, Demand: map[string]uint64{}, WorkMs: map[string]uint64{}, Acked: map[string]state.Stamp{}}
@@ -76,22 +76,22 @@
 	ctx, cancel := context.WithTimeout(ctx, feedLimit)
 	defer cancel()
 	up := n.up
-	up.Boot, up.HoldMs, up.NoReport = n.boot, feedHoldMs, true
+	up.Boot, up.MaxWaitMs, up.NoReport = n.boot, feedHoldMs, true
 	var sent report.Report
 	if elapsed := time.Since(n.sentAt); elapsed >= reportEvery {
 		sent = n.report(min(elapsed, time.Second))
 		up.NoReport, up.Report = false, sent
 		if n.base.Version != 0 {
-			up.Report = sent.Since(n.base)
+			up.Report = sent.DeltaFrom(n.base)
 		}
 		n.sentAt = time.Now()
 	}
-	down, err := wire.Call[feed.Up, feed.Down](ctx, n.caller, n.feed, feed.Path, up)
+	down, err := wire.Call[feed.Request, feed.Reply](ctx, n.caller, n.feed, feed.Path, up)
 	if err != nil {
 		n.base, n.sentAt = report.Report{}, time.Time{}
 		return
 	}
-	n.settle(sent, down.Holds)
+	n.settle(sent, down.ReportVersion)
 	n.take(down)
 }
 
@@ -106,7 +106,7 @@
 }
 
 // take takes what the agent answered.
-func (n *node) take(d feed.Down) {
+func (n *node) take(d feed.Reply) {
 	n.up.AgentBoot, n.up.Cursor, n.up.Confirmed = d.AgentBoot, d.Cursor, n.up.Confirmed || d.Confirmed
 	acked := n.now.Acked
 	changed := false
@@ -117,20 +117,20 @@
 		switch {
 		case e.Key == conf.Key && e.Stamp.Newer(n.up.Conf):
 			n.up.Conf, n.state.ConfAt = e.Stamp, time.Now()
-			n.now.Conf++
+			n.now.ConfigSerial++
 		case isReplica:
 			if !changed {
 				acked, changed = maps.Clone(acked), true
 			}
 			n.shared.learn(id, e)
 			acked[id] = e.Stamp
-			if e.Gone {
+			if e.Deleted {
 				delete(acked, id)
 			}
 		}
 	}
 	n.now.Acked = acked
-	n.state.Name, n.state.Edges, n.state.Heard = n.name, d.Edges, d.HeardMs
+	n.state.Name, n.state.Edges, n.state.Heard = n.name, d.Edges, d.SinceContactMs
 	n.state.Items, n.state.Acked = len(n.now.Demand), len(acked)
 }
 
@@ -191,7 +191,7 @@
 	k.stamps[id], k.current = e.Stamp, nil
 	delete(k.items, id)
 	var n order.Status
-	if e.Gone || wire.Unmarshal(e.Value, &n) != nil {
+	if e.Deleted || wire.Unmarshal(e.Value, &n) != nil {
 		return
 	}
 	for item, st := range n.Items {
--- a/internal/sim/hollow/process.go
+++ b/internal/sim/hollow/process.go
@@ -138,7 +138,7 @@
 func (p *process) startProxy(i int) error {
 	l := p.spec.Layout
 	ip := l.NodeIP(i)
-	x, err := proxy.Start(proxy.Settings{Name: capacity.NodeName(i), Zone: l.ZoneName(i), Callers: at(ip, callerPort), Agent: at(ip, feedPort),
+	x, err := proxy.Start(proxy.Settings{Name: capacity.NodeName(i), Zone: l.ZoneName(i), CallerAddr: at(ip, callerPort), Agent: at(ip, feedPort),
 		Platform: l.PlatformAddr(), Cadence: p.cadence()}, p.env(ip))
 	if err != nil {
 		return err
--- a/internal/sim/simnode/simnode.go
+++ b/internal/sim/simnode/simnode.go
@@ -25,7 +25,7 @@
 	Mux     *wire.Mux
 	Post    *wire.DatagramSocket
 	Caller  *wire.Client
-	Touch   *touch.Keeper
+	Touch   *touch.Tracker
 	Members *member.Table
 	server  *wire.Server
 }
--- a/internal/sim/simstate/simstate.go
+++ b/internal/sim/simstate/simstate.go
@@ -62,7 +62,7 @@
 		return nil, acc, err
 	}
 	own := owner.New(owner.Deps{Self: func() state.Core { return self }, Group: g, Clock: clock, Log: log, Caller: wire.NewClient(fabric.Host("10.0.0.1")), Acceptor: acc,
-		Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, Behind: func(state.Core) {}})
+		Addr: func(state.Core) (string, bool) { return "", false }, Rank: func(int) []state.Core { return []state.Core{self} }, OnVoterBehind: func(state.Core) {}})
 	for range int(takenBy / lookEvery) {
 		if len(own.Held()) == state.SlotCount {
 			return own, acc, nil
--- a/internal/state/coremembers/admission.go
+++ b/internal/state/coremembers/admission.go
@@ -75,7 +75,7 @@
 		replaced = true
 	}
 	// After a rescue the set is smaller than configured, and admits any core.
-	if !replaced && k.d.Replaces == "" && len(set.Cores) < k.d.Want {
+	if !replaced && k.d.Replaces == "" && len(set.Cores) < k.d.FormationSize {
 		next.Cores = append(next.Cores, q.Core)
 		replaced = true
 	}
--- a/internal/state/coremembers/bootstrap.go
+++ b/internal/state/coremembers/bootstrap.go
@@ -88,7 +88,7 @@
 		for c := range live {
 			cores = append(cores, c)
 		}
-		return cores, len(live) == k.d.Want
+		return cores, len(live) == k.d.FormationSize
 	}
 	// A core that starts empty later must never form a second set; one that has agreed to a formation continues with it.
 	if !st.MayBootstrap && st.Phase != acceptor.Pending {
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -35,22 +35,22 @@
 
 // Deps holds the dependencies and settings of a Manager.
 type Deps struct {
-	Self         func() state.Core
-	Want         int      // how many cores form the first set; 0 means the cores at InitialAddrs, and changes of the set without an operator
-	InitialAddrs []string // addresses of the cores that form the first set
-	MayBootstrap bool     // this may be the first start of the fleet
-	TargetSize   int      // size that a set without an operator is reduced to
-	Replaces     string   // name of the member that this core replaces
-	Group        *run.Group
-	Log          *slog.Logger
-	Caller       *wire.Client
-	Acceptor     *acceptor.Acceptor
-	Owner        *owner.Owner
+	Self          func() state.Core
+	FormationSize int      // how many cores form the first set; 0 means the cores at InitialAddrs, and changes of the set without an operator
+	InitialAddrs  []string // addresses of the cores that form the first set
+	MayBootstrap  bool     // this may be the first start of the fleet
+	TargetSize    int      // size that a set without an operator is reduced to
+	Replaces      string   // name of the member that this core replaces
+	Group         *run.Group
+	Log           *slog.Logger
+	Caller        *wire.Client
+	Acceptor      *acceptor.Acceptor
+	Owner         *owner.Owner
 	// Live returns the cores that are believed to be alive, with the phase that each reports.
 	Live func() map[state.Core]acceptor.Phase
 	Addr func(state.Core) (string, bool)
 	// Gone reports whether a voter has left deliberately, and how long it has been absent.
-	Gone func(state.Core) (left bool, away time.Duration)
+	Absence func(state.Core) (left bool, away time.Duration)
 	// SinceContact returns the time since a voter last answered this core; an hour or more means never.
 	SinceContact func(state.Core) time.Duration
 }
@@ -105,7 +105,7 @@
 func (k *Manager) Stop() { k.stopped.Store(true) }
 
 // unattended reports whether the set changes without an operator.
-func (k *Manager) unattended() bool { return k.d.Want == 0 }
+func (k *Manager) unattended() bool { return k.d.FormationSize == 0 }
 
 // onTick runs one round, depending on the phase of this core.
 func (k *Manager) onTick() {
--- a/internal/state/coremembers/trim.go
+++ b/internal/state/coremembers/trim.go
@@ -43,7 +43,7 @@
 		if c.SameVoter(k.d.Self()) {
 			continue
 		}
-		if left, away := k.d.Gone(c); (left || away > lostAfter) && away > longest {
+		if left, away := k.d.Absence(c); (left || away > lostAfter) && away > longest {
 			lost, longest = c, away
 		}
 	}
--- a/internal/state/owner/acquire.go
+++ b/internal/state/owner/acquire.go
@@ -44,8 +44,8 @@
 		return
 	}
 	o.d.Log.Info("slot taken", "slot", s.index, "epoch", q.Epoch, "records", len(recs))
-	if o.d.OnTake != nil {
-		o.d.OnTake(s.index, recs)
+	if o.d.OnAcquire != nil {
+		o.d.OnAcquire(s.index, recs)
 	}
 }
 
@@ -87,7 +87,7 @@
 	case epoch == 1:
 		orderFrom = wonAt
 	case s.lastHeldByThisCore(accepted):
-		orderFrom = max(wonAt, o.startedAt+o.d.OwnQuarantine)
+		orderFrom = max(wonAt, o.startedAt+o.d.RestartQuarantine)
 	}
 	// Whatever the core did before its restart ended when this process started; leases held by this process did not.
 	if firstTime && (epoch == 1 || s.lastHeldByThisCore(accepted)) {
--- a/internal/state/owner/missed_test.go
+++ b/internal/state/owner/missed_test.go
@@ -75,7 +75,7 @@
 	v.owner = New(Deps{
 		Self: func() state.Core { return set.Cores[0] }, Group: v.group, Clock: clk, Log: log, Caller: v.caller, Acceptor: v.acceptors[0],
 		Addr: func(c state.Core) (string, bool) { return c.Addr, true },
-		Rank: func(int) []state.Core { return set.Cores }, Behind: func(state.Core) {}, HandbackDelay: time.Second,
+		Rank: func(int) []state.Core { return set.Cores }, OnVoterBehind: func(state.Core) {}, HandbackDelay: time.Second,
 	})
 	waitFor(t, 10*time.Second, func() bool { return v.owner.Holds(testKey) })
 	return v
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -49,18 +49,18 @@
 	// Rank lists the live voters in order of preference for the slot, the preferred holder first.
 	Rank func(slot int) []state.Core
 	// Behind is called when a voter refuses a request because its core set is older.
-	Behind func(state.Core)
+	OnVoterBehind func(state.Core)
 	// Quarantine is how long a new holder of a slot sends no orders, because orders of the
 	// previous holder may still be in flight.
 	Quarantine time.Duration
 	// OwnQuarantine is how long after its start a core sends no orders for slots that
 	// it held before the restart; 0 where replicas identify a controller by its name alone.
-	OwnQuarantine time.Duration
+	RestartQuarantine time.Duration
 	// HandbackDelay is how long a slot is kept after another core has become its preferred holder. A slot that was
 	// idle for Quarantine is kept for at most idleHandbackDelay, because its next holder may send orders at once.
 	HandbackDelay time.Duration
 	// OnTake is called in the slot's actor after the slot has been acquired.
-	OnTake func(slot int, records []state.Record)
+	OnAcquire func(slot int, records []state.Record)
 }
 
 // Owner manages the slots that this core holds. Its methods are safe for concurrent use.
--- a/internal/state/owner/owner_test.go
+++ b/internal/state/owner/owner_test.go
@@ -43,8 +43,8 @@
 	}
 	owner := New(Deps{
 		Self: func() state.Core { return self }, Group: group, Clock: clk, Log: log, Acceptor: acc,
-		Rank:   func(int) []state.Core { return set.Cores },
-		Behind: func(state.Core) {}, Quarantine: quarantine, OwnQuarantine: restartQuarantine, HandbackDelay: time.Second,
+		Rank:          func(int) []state.Core { return set.Cores },
+		OnVoterBehind: func(state.Core) {}, Quarantine: quarantine, RestartQuarantine: restartQuarantine, HandbackDelay: time.Second,
 	})
 	return process{group: group, acceptor: acc, owner: owner}
 }
--- a/internal/state/owner/poll.go
+++ b/internal/state/owner/poll.go
@@ -61,7 +61,7 @@
 		default:
 			refused = append(refused, a.reply)
 			if a.reply.Reason == state.ReasonBehindCoreSet {
-				o.d.Behind(set.Cores[a.voter])
+				o.d.OnVoterBehind(set.Cores[a.voter])
 			}
 		}
 		if early && len(accepted) >= set.Quorum() {
--- a/internal/state/owner/renew.go
+++ b/internal/state/owner/renew.go
@@ -46,7 +46,7 @@
 	} else {
 		r, err = callVoter[state.RenewRequest, state.RenewReply](ctx, o, c, "/state/renew", q)
 		if wire.Code(err) == state.ReasonBehindCoreSet {
-			o.d.Behind(c)
+			o.d.OnVoterBehind(c)
 		}
 	}
 	if err != nil {
--- a/internal/state/owner/repair.go
+++ b/internal/state/owner/repair.go
@@ -53,7 +53,7 @@
 	r, err := callVoter[state.Request, state.Reply](ctx, o, c, "/state/digest", q)
 	if err != nil || !r.OK {
 		if err == nil && r.Reason == state.ReasonBehindCoreSet {
-			o.d.Behind(c)
+			o.d.OnVoterBehind(c)
 		}
 		return repairResult{voter: c}
 	}
