--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -59,10 +59,10 @@
 	spread       *gossip.Disseminator
 	members      *member.Table
 	watch        *inventory.Watcher
-	caller       *wire.Caller
+	caller       *wire.Client
 	mux          *wire.Mux
 	feedMux      *wire.Mux
-	post         *wire.Post
+	post         *wire.DatagramSocket
 	servers      []*wire.Server
 	confirmed    atomic.Bool
 	confirmation confirmation
@@ -73,7 +73,7 @@
 	reportActor  *run.Actor    // runs report and owns reports
 	reportSeq    atomic.Uint64 // sequence number of the newest report
 	lastExchange atomic.Int64  // time of the last exchange, by the local clock
-	urgentNudge  *run.Nudge
+	urgentNudge  *run.Trigger
 }
 
 // receivedReport is a report of the proxy with its time of arrival and sequence number.
@@ -86,7 +86,7 @@
 // Start opens the listeners and joins the cluster.
 func Start(s Settings, env core.Env) (*Agent, error) {
 	a := &Agent{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: core.NewBootID(), base: run.NewGroup(context.Background()),
-		gossip: gossip.NewTable(), caller: wire.NewCaller(env.Net), mux: wire.NewMux(), feedMux: wire.NewMux()}
+		gossip: gossip.NewTable(), caller: wire.NewClient(env.Net), mux: wire.NewMux(), feedMux: wire.NewMux()}
 	a.group = a.base.Child()
 	a.s.Bounds, a.s.Cadence = s.Bounds.OrDefault(), s.Cadence.OrDefault()
 	s = a.s
@@ -110,7 +110,7 @@
 		return nil, errors.Wrap(err, "agent: feed address")
 	}
 	a.gossip.OnUpdate(a.onGossip)
-	a.post = wire.NewPost(pc)
+	a.post = wire.NewDatagramSocket(pc)
 	self := member.Node{Name: s.Name, Role: member.RoleAgent, Zone: s.Zone, Addr: s.Addr, Boot: a.boot, Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), Build: env.BuildName()}
 	a.members = member.New(a.group, env.Clock, a.log, a.post, a.caller, a.mux, self, s.Seeds, a.touch)
 	a.spread = gossip.NewDisseminator(a.group, a.gossip, a.log, a.post, a.caller, a.mux, func() string { return s.Addr }, a.members.Peers, a.gossipTree, a.touch)
@@ -118,9 +118,9 @@
 	wire.Handle(a.feedMux, feed.Path, a.exchange)
 	wire.Handle(a.feedMux, feed.UrgentPath, a.handleUrgent)
 	a.reportActor = run.NewActor(a.group, 32, s.Cadence.Report, a.report)
-	a.urgentNudge = run.NewNudge(a.reportActor, a.report)
+	a.urgentNudge = run.NewTrigger(a.reportActor, a.report)
 	a.group.Every(confirmInterval, a.confirm)
-	load.Watch(a.group, a.log, a.mux.Served, a.feedMux.Served, a.post.Served)
+	load.StartLogging(a.group, a.log, a.mux.Stats, a.feedMux.Stats, a.post.Stats)
 	a.base.Go(a.post.Run)
 	for _, srv := range []*wire.Server{wire.NewServer(ln, a.mux), wire.NewServer(fl, a.feedMux)} {
 		a.servers = append(a.servers, srv)
@@ -145,7 +145,7 @@
 // Stop shuts down cleanly: it waits until the proxy is quiet, leaves the cluster and drains the servers.
 func (a *Agent) Stop(ctx context.Context) error {
 	// A proxy that is stopped together with this agent still needs current state while it drains.
-	for a.env.Clock.Since()-time.Duration(a.lastExchange.Load()) < proxyIdleTime && run.Wait(ctx, proxyIdleTime/10) {
+	for a.env.Clock.Since()-time.Duration(a.lastExchange.Load()) < proxyIdleTime && run.Sleep(ctx, proxyIdleTime/10) {
 	}
 	a.members.Leave(ctx)
 	for _, s := range a.servers {
@@ -189,7 +189,7 @@
 // handleUrgent stores a report and sends it to the cores at once.
 func (a *Agent) handleUrgent(_ context.Context, r report.Report) (feed.UrgentReply, error) {
 	a.storeReport(r)
-	a.urgentNudge.Now()
+	a.urgentNudge.Fire()
 	return feed.UrgentReply{}, nil
 }
 
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -100,7 +100,7 @@
 			began := a.env.Clock.Since()
 			got := a.sendToCore(ctx, r, core, payloads[i], within)
 			got.took = a.env.Clock.Since() - began
-			_ = a.reportActor.Ask(ctx, func() { a.onDelivery(r, core, got, others, now) })
+			_ = a.reportActor.Do(ctx, func() { a.onDelivery(r, core, got, others, now) })
 		})
 	}
 }
@@ -147,7 +147,7 @@
 	}
 	if err == nil && got.NeedsFullReport {
 		r.RelayRequested = b.relay
-		packed := wire.Pack(r)
+		packed := wire.Marshal(r)
 		whole = len(packed)
 		got, err = a.callReport(ctx, core.Addr, packed, within)
 	}
@@ -263,9 +263,9 @@
 func encode(latest report.Report, base ackedReport) cbor.RawMessage {
 	switch {
 	case base.report.Version == 0:
-		return wire.Pack(latest)
+		return wire.Marshal(latest)
 	case base.inflight:
-		return wire.Pack(latest.DeltaWithInflight(base.report))
+		return wire.Marshal(latest.DeltaWithInflight(base.report))
 	}
-	return wire.Pack(latest.DeltaFrom(base.report))
+	return wire.Marshal(latest.DeltaFrom(base.report))
 }
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -51,12 +51,12 @@
 )
 
 // Pack encodes the configuration for the control state and the gossip.
-func (k Stored) Pack() []byte { return wire.Pack(k) }
+func (k Stored) Pack() []byte { return wire.Marshal(k) }
 
 // Unpack decodes what Pack encoded, or returns an error for anything else.
 func Unpack(b []byte) (Stored, error) {
 	var k Stored
-	err := wire.Unpack(b, &k)
+	err := wire.Unmarshal(b, &k)
 	return k, err
 }
 
--- a/internal/core/consider.go
+++ b/internal/core/consider.go
@@ -40,7 +40,7 @@
 		a order.ConsiderResponse
 	}
 	answers := make([]order.ConsiderResponse, len(q.Replicas))
-	ch := run.Fan(c.group, len(q.Replicas), func(_ context.Context, i int) answered {
+	ch := run.FanOut(c.group, len(q.Replicas), func(_ context.Context, i int) answered {
 		one := q.Request
 		one.Replica, one.DryRun = q.Replicas[i], true
 		a, err := ask(one)
@@ -92,7 +92,7 @@
 	case err != nil:
 		return unanswered(q, err)
 	case len(got.Answers) != len(q.Replicas):
-		return unanswered(q, wire.ErrGarbled)
+		return unanswered(q, wire.ErrMalformed)
 	}
 	return got.Answers
 }
--- a/internal/core/controllers.go
+++ b/internal/core/controllers.go
@@ -31,7 +31,7 @@
 // sharePredictions sends predictions to all other live cores and waits for their answers.
 func (c *Core) sharePredictions(ctx context.Context, s plan.SharedPredictions) {
 	to := c.otherCores()
-	ch := run.Fan(c.group, len(to), func(ctx context.Context, i int) bool {
+	ch := run.FanOut(c.group, len(to), func(ctx context.Context, i int) bool {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		_, err := wire.Call[plan.SharedPredictions, empty](ctx, c.caller, to[i].Addr, "/place/share", s)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -66,7 +66,7 @@
 
 // Env is the environment that a core runs in, real or simulated.
 type Env struct {
-	Net   wire.Net
+	Net   wire.Network
 	Clock tick.Clock
 	FS    vfs.FS
 	Log   *ring.Ring
@@ -100,19 +100,19 @@
 	planner             *plan.Planner
 	reports             *report.Table
 	relay               *relay.Relay
-	lag                 *load.Lag
+	lag                 *load.LagMonitor
 	views               *plan.StatusCache
 	watch               *inventory.Watcher
 	replicas            backend.Client
-	caller              *wire.Caller
+	caller              *wire.Client
 	mux                 *wire.Mux
-	post                *wire.Post
+	post                *wire.DatagramSocket
 	servers             []*wire.Server
 	conf                atomic.Pointer[conf.Effective]
 	serial              atomic.Uint64
 	checked             atomic.Pointer[checkedConf]
 	confPending         atomic.Bool // a configuration has arrived and is not read yet
-	confNudge           *run.Nudge
+	confNudge           *run.Trigger
 	newestStamp         *flight.Shared[Newest] // coalesces queries to the owner for the newest stamp
 	readBackoff         rest.Rest              // between reads of configurations; owned by the actor of confNudge
 	controllers         map[string]*controlled // owned by the actor of reconcileControllers
@@ -120,7 +120,7 @@
 	absentSince         map[string]time.Duration
 	preferred           preference
 	// reconcileNudge triggers reconcileControllers at once.
-	reconcileNudge *run.Nudge
+	reconcileNudge *run.Trigger
 	lastHolders    [state.SlotCount]atomic.Pointer[string] // name of the last known holder of each slot
 }
 
@@ -145,7 +145,7 @@
 func Start(s Settings, env Env) (*Core, error) {
 	c := &Core{s: s, env: env, log: env.Log.Logger().With("node", s.Name), boot: NewBootID(),
 		base: run.NewGroup(context.Background()), gossip: gossip.NewTable(), reports: report.NewTable(),
-		caller: wire.NewCaller(env.Net), mux: wire.NewMux(),
+		caller: wire.NewClient(env.Net), mux: wire.NewMux(),
 		controllers: map[string]*controlled{}, absentSince: map[string]time.Duration{}}
 	c.group = c.base.Child()
 	c.startedAt = env.Clock.Since()
@@ -182,14 +182,14 @@
 		c.base.Stop()
 		return nil, err
 	}
-	c.post = wire.NewPost(pc)
+	c.post = wire.NewDatagramSocket(pc)
 	c.watch = inventory.NewWatcher(s.Lister, env.Clock, c.log, c.gossip)
 	c.touch = touch.New(env.Clock, func() time.Duration { return c.watch.SinceContact() }, c.sinceQuorumContact)
 	self := member.Node{Name: s.Name, Role: member.RoleCore, Zone: s.Zone, Addr: s.Addr, Boot: c.boot, Disk: c.acceptor.DiskID(),
 		Phase: string(c.acceptor.Membership().Phase), Inc: uint64(max(env.Clock.Wall().UnixMilli(), 1)), API: s.Operator, Build: env.BuildName()}
 	c.members = member.New(c.group, env.Clock, c.log, c.post, c.caller, c.mux, self, s.Seeds, c.touch)
 	c.readBackoff = conf.ReadBackoff()
-	c.confNudge = run.NewNudge(run.NewActor(c.group, 4, confReadInterval, c.applyConf), c.applyConf)
+	c.confNudge = run.NewTrigger(run.NewActor(c.group, 4, confReadInterval, c.applyConf), c.applyConf)
 	c.gossip.OnUpdate(c.onGossip)
 	c.views = plan.NewStatusCache(c.gossip)
 	c.spread = gossip.NewDisseminator(c.group, c.gossip, c.log, c.post, c.caller, c.mux, func() string { return s.Addr }, c.members.Peers, c.gossipTree, c.touch)
@@ -200,12 +200,12 @@
 	}
 	c.owner = owner.New(owner.Deps{Self: c.self, Group: c.group, Clock: env.Clock, Log: c.log, Caller: c.caller, Acceptor: c.acceptor,
 		Addr: c.addrOf, Rank: c.voters, OnVoterBehind: func(v state.Core) { c.coreSet.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, RestartQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnAcquire: c.onSlotAcquired})
-	c.lag = load.NewLag(c.group, env.Clock)
+	c.lag = load.NewLagMonitor(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.owner, Gossip: c.gossip,
 		Reports: c.reports, Conf: c.effective, Statuses: c.views.Statuses, Consider: c.consider, ConsiderAll: c.considerAll, SharePredictions: c.sharePredictions, Busy: c.lag.Busy})
 	c.relay = relay.New(relay.Deps{Group: c.group, Clock: env.Clock, Cores: func() []member.Node { return c.members.Live(member.RoleCore) }, Self: s.Name, LatestReport: c.reports.Get,
 		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Response, error) {
-			return wire.CallLarge[relay.Response](ctx, c.caller, addr, relay.Path, wire.Prepare(b))
+			return wire.CallEncoded[relay.Response](ctx, c.caller, addr, relay.Path, wire.EncodeMessage(b))
 		}, Busy: c.lag.Busy})
 	c.coreSet = coremembers.New(coremembers.Deps{Self: c.self, FormationSize: s.Cores, InitialAddrs: s.InitialAddrs, MayBootstrap: s.MayBootstrap, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
 		Acceptor: c.acceptor, Owner: c.owner, Live: c.liveCores, Addr: c.addrOf, Absence: c.absence, SinceContact: c.sinceContact}, c.mux)
@@ -217,7 +217,7 @@
 	})
 	c.registerHandlers()
 	tending := run.NewActor(c.group, 4, reconcileInterval, func() { c.reconcileControllers(c.group.Context()) })
-	c.reconcileNudge = run.NewNudge(tending, func() { c.reconcileControllers(c.group.Context()) })
+	c.reconcileNudge = run.NewTrigger(tending, func() { c.reconcileControllers(c.group.Context()) })
 	c.group.Every(200*time.Millisecond, func(context.Context) {
 		phase := string(c.acceptor.Membership().Phase)
 		if c.acceptor.DiskFailed() {
@@ -226,7 +226,7 @@
 		disk := c.acceptor.DiskID()
 		c.members.SetSelf(func(n *member.Node) { n.Phase, n.Disk = phase, disk })
 	})
-	load.Watch(c.group, c.log, c.mux.Served, c.post.Served)
+	load.StartLogging(c.group, c.log, c.mux.Stats, c.post.Stats)
 	c.base.Go(c.post.Run)
 	for _, srv := range append([]*wire.Server{wire.NewServer(ln, c.mux)}, servers...) {
 		c.servers = append(c.servers, srv)
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -15,7 +15,7 @@
 // onSlotAcquired is called with the records of a slot when this core has acquired it.
 func (c *Core) onSlotAcquired(slot int, recs []state.Record) {
 	if c.reconcileNudge != nil {
-		c.reconcileNudge.Now()
+		c.reconcileNudge.Fire()
 	}
 	epoch := c.owner.Held()[slot]
 	c.planner.OnSlotAcquired(slot, epoch, recs)
@@ -64,7 +64,7 @@
 		epoch uint64
 	}
 	// All voters are asked concurrently: a preferred core may be reachable by the edges but not from here, and must not delay the answer.
-	ch := run.Fan(c.group, len(voters), func(_ context.Context, i int) claim {
+	ch := run.FanOut(c.group, len(voters), func(_ context.Context, i int) claim {
 		one, cancel := context.WithTimeout(ctx, holderProbeTimeout)
 		defer cancel()
 		if voters[i].Name == c.s.Name {
--- a/internal/core/serve.go
+++ b/internal/core/serve.go
@@ -22,11 +22,11 @@
 		a, err := c.submit(ctx, s)
 		return a, toRefusal(err)
 	})
-	wire.HandleLarge(c.mux, newestPath, func(ctx context.Context, q NewestQuery) (Newest, error) {
+	wire.HandleCompressed(c.mux, newestPath, func(ctx context.Context, q NewestQuery) (Newest, error) {
 		a, err := c.newest(ctx, q)
 		return a, toRefusal(err)
 	})
-	wire.HandleLarge(c.mux, ConfirmPath, func(ctx context.Context, q NewestQuery) (Newest, error) {
+	wire.HandleCompressed(c.mux, ConfirmPath, func(ctx context.Context, q NewestQuery) (Newest, error) {
 		a, err := c.confirm(ctx, q)
 		return a, toRefusal(err)
 	})
@@ -49,7 +49,7 @@
 		return empty{}, c.planner.MergePredictions(ctx, s)
 	})
 	wire.Handle(c.mux, "/place/report", c.handleReport)
-	wire.HandleLarge(c.mux, relay.Path, func(ctx context.Context, b relay.Batch) (relay.Response, error) {
+	wire.HandleCompressed(c.mux, relay.Path, func(ctx context.Context, b relay.Batch) (relay.Response, error) {
 		return relay.Apply(ctx, b, c.planner.ApplyReports)
 	})
 }
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -39,11 +39,11 @@
 // answered, one second has passed or ctx is done. Unreachable nodes get the entries later by gossip.
 // It returns the number of nodes that answered.
 func (s *Disseminator) Push(ctx context.Context, to []string, entries ...Entry) int {
-	message := wire.Prepare(bundle{From: s.self(), Entries: entries})
-	ch := run.Fan(s.group, len(to), func(_ context.Context, i int) bool {
+	message := wire.EncodeMessage(bundle{From: s.self(), Entries: entries})
+	ch := run.FanOut(s.group, len(to), func(_ context.Context, i int) bool {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		_, err := wire.CallLarge[PushReply](callCtx, s.caller, to[i], "/news/push", message)
+		_, err := wire.CallEncoded[PushReply](callCtx, s.caller, to[i], "/news/push", message)
 		return err == nil
 	})
 	reached := 0
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -50,7 +50,7 @@
 
 // hashOf returns the hash that an entry contributes to the sum of its bucket.
 func hashOf(e Entry) [sha256.Size]byte {
-	return sha256.Sum256(wire.Pack([]any{e.Key, e.Stamp.Epoch, e.Stamp.Version}))
+	return sha256.Sum256(wire.Marshal([]any{e.Key, e.Stamp.Epoch, e.Stamp.Version}))
 }
 
 // xorInto adds b to a sum, or removes it again.
@@ -158,7 +158,7 @@
 
 // Reconcile exchanges missing entries between a table and a peer's in both directions. It returns the
 // peer's statement of how long it has been out of touch, or 0 if the exchange failed.
-func Reconcile(ctx context.Context, caller *wire.Caller, t *Table, addr, self string) touch.Age {
+func Reconcile(ctx context.Context, caller *wire.Client, t *Table, addr, self string) touch.Age {
 	d, err := wire.Call[Digest, DigestReply](ctx, caller, addr, digestPath, Digest{Total: t.total()})
 	if err == nil && !d.ComparesTotal {
 		d, err = wire.Call[Digest, DigestReply](ctx, caller, addr, digestPath, t.digest())
@@ -183,7 +183,7 @@
 		b := t.entriesOf(g.Wanted)
 		b.From = self
 		// A failure is ignored: this table is up to date already, and the peer gets the entries later.
-		_, _ = wire.CallLarge[PushReply](ctx, caller, addr, "/news/push", wire.Prepare(b))
+		_, _ = wire.CallEncoded[PushReply](ctx, caller, addr, "/news/push", wire.EncodeMessage(b))
 	}
 	return d.Touch
 }
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -22,7 +22,7 @@
 		}
 		return table.compareDigest(d), nil
 	})
-	wire.HandleLarge(mux, "/news/gap", func(_ context.Context, h BucketStamps) (Delta, error) { return table.delta(h), nil })
+	wire.HandleCompressed(mux, "/news/gap", func(_ context.Context, h BucketStamps) (Delta, error) { return table.delta(h), nil })
 	wire.Handle(mux, "/news/push", func(_ context.Context, b bundle) (PushReply, error) {
 		for _, e := range b.Entries {
 			table.PutRemote(e)
@@ -49,7 +49,7 @@
 			}
 		}
 		addr, asked := digestPeer(t, b, earlier)
-		caller := wire.NewCaller(wire.Host())
+		caller := wire.NewClient(wire.HostNetwork())
 		t.Cleanup(caller.Close)
 		Reconcile(t.Context(), caller, a, addr, "a")
 		if !bytes.Equal(a.total(), b.total()) || fmt.Sprint(a.digest()) != fmt.Sprint(b.digest()) {
--- a/internal/gossip/disseminator.go
+++ b/internal/gossip/disseminator.go
@@ -28,8 +28,8 @@
 	table      *Table
 	group      *run.Group
 	log        *slog.Logger
-	post       *wire.Post
-	caller     *wire.Caller
+	post       *wire.DatagramSocket
+	caller     *wire.Client
 	self       func() string
 	peers      func() []string
 	tree       func() Tree          // nil for a fleet without a tree
@@ -42,23 +42,23 @@
 // NewDisseminator starts to send and receive entries until g stops. self and peers
 // return current addresses, and tree returns the nodes to send to in a large fleet; in states
 // how long this node has been out of touch.
-func NewDisseminator(g *run.Group, t *Table, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Tracker) *Disseminator {
+func NewDisseminator(g *run.Group, t *Table, log *slog.Logger, post *wire.DatagramSocket, caller *wire.Client, mux *wire.Mux, self func() string, peers func() []string, tree func() Tree, in *touch.Tracker) *Disseminator {
 	s := &Disseminator{table: t, group: g, log: log, post: post, caller: caller, self: self, peers: peers, tree: tree, pullTokens: make(chan struct{}, maxConcurrentPulls)}
 	for range maxConcurrentPulls {
 		s.pullTokens <- struct{}{}
 	}
-	post.On("news", func(body []byte) {
+	post.Handle("news", func(body []byte) {
 		var b bundle
-		if wire.Unpack(body, &b) != nil {
-			post.Bad()
+		if wire.Unmarshal(body, &b) != nil {
+			post.CountMalformed()
 			return
 		}
 		s.receive(b)
 	})
 	s.registerHandlers(mux, in)
 	actor := run.NewActor(g, 16, interval, func() { s.propagate(false) })
-	nudge := run.NewNudge(actor, func() { s.propagate(true) })
-	notify := nudge.Now
+	nudge := run.NewTrigger(actor, func() { s.propagate(true) })
+	notify := nudge.Fire
 	t.localPutFunc.Store(&notify)
 	g.Every(digestInterval, s.reconcileWithPeer)
 	g.Every(time.Minute, func(context.Context) { t.Purge(purgeAfter) })
@@ -77,7 +77,7 @@
 		}
 		return p, nil
 	})
-	wire.HandlePrepared(mux, pullPath, func(_ context.Context, g Delta) (wire.Large, error) {
+	wire.HandleEncoded(mux, pullPath, func(_ context.Context, g Delta) (wire.EncodedMessage, error) {
 		return s.replyCache.prepare(t.entriesOf(g.Wanted)), nil
 	})
 	wire.Handle(mux, digestPath, func(_ context.Context, d Digest) (DigestReply, error) {
@@ -85,7 +85,7 @@
 		out.Touch = in.Age()
 		return out, nil
 	})
-	wire.HandleLarge(mux, "/news/gap", func(_ context.Context, h BucketStamps) (Delta, error) { return t.delta(h), nil })
+	wire.HandleCompressed(mux, "/news/gap", func(_ context.Context, h BucketStamps) (Delta, error) { return t.delta(h), nil })
 }
 
 // propagate sends pending entries: to all peers in a small fleet, along the tree in a large
@@ -151,11 +151,11 @@
 func (s *Disseminator) send(to []string, out []Entry) {
 	for len(out) > 0 {
 		n, size := 0, 64
-		for n < len(out) && (n == 0 || size+len(out[n].Key)+len(out[n].Value)+40 < wire.MaxGram) {
+		for n < len(out) && (n == 0 || size+len(out[n].Key)+len(out[n].Value)+40 < wire.MaxDatagram) {
 			size += len(out[n].Key) + len(out[n].Value) + 40
 			n++
 		}
-		body := wire.Pack(bundle{From: s.self(), Entries: out[:n]})
+		body := wire.Marshal(bundle{From: s.self(), Entries: out[:n]})
 		for _, p := range to {
 			s.post.Send(p, "news", body)
 		}
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -111,7 +111,7 @@
 	if !s.group.Go(func(ctx context.Context) {
 		defer s.pulls.end(from, refs)
 		// A delayed pull must not hold a token.
-		run.Wait(ctx, s.pulls.delay(keysOf(refs)))
+		run.Sleep(ctx, s.pulls.delay(keysOf(refs)))
 		if !run.WaitOn(ctx, s.pullTokens, pullTimeout) {
 			return
 		}
@@ -167,7 +167,7 @@
 type replyCache struct {
 	mu    sync.Mutex
 	ref   entryRef
-	reply wire.Large
+	reply wire.EncodedMessage
 }
 
 // entryRef identifies a version of an entry by key and stamp.
@@ -177,15 +177,15 @@
 }
 
 // prepare encodes a reply; replies with the same single large entry are encoded once.
-func (p *replyCache) prepare(b bundle) wire.Large {
+func (p *replyCache) prepare(b bundle) wire.EncodedMessage {
 	if len(b.Entries) != 1 || len(b.Entries[0].Value) <= maxInlineBytes {
-		return wire.Prepare(b)
+		return wire.EncodeMessage(b)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ref := entryRef{b.Entries[0].Key, b.Entries[0].Stamp}
 	if p.ref != ref {
-		p.ref, p.reply = ref, wire.Prepare(b)
+		p.ref, p.reply = ref, wire.EncodeMessage(b)
 	}
 	return p.reply
 }
--- a/internal/gossip/push_test.go
+++ b/internal/gossip/push_test.go
@@ -27,7 +27,7 @@
 type testFleet struct {
 	group         *run.Group
 	cores         int
-	callers       []*wire.Caller
+	callers       []*wire.Client
 	fabric        *simnet.Fabric
 	addrs         []string
 	tables        []*Table
@@ -69,7 +69,7 @@
 	}
 	n.fabric.Rate(ip, rate)
 	host := n.fabric.Host(ip)
-	post, caller, mux, table := wire.NewPost(listenPacket(t, host, n.addrs[i])), wire.NewCaller(host), wire.NewMux(), NewTable()
+	post, caller, mux, table := wire.NewDatagramSocket(listenPacket(t, host, n.addrs[i])), wire.NewClient(host), wire.NewMux(), NewTable()
 	ln, err := host.Listen(n.addrs[i])
 	if err != nil {
 		t.Fatal(err)
--- a/internal/kernel/heap/heap_test.go
+++ b/internal/kernel/heap/heap_test.go
@@ -9,34 +9,34 @@
 
 const mib = 1 << 20
 
-var pace = Pace{Percent: 50, Most: 100, Least: 2 * mib}
+var testPolicy = Policy{Percent: 50, MaxPercent: 100, MinGrowth: 2 * mib}
 
-func TestASmallHeapMayGrowByMore(t *testing.T) {
+func TestSmallHeapMayGrowByMore(t *testing.T) {
 	for _, c := range []struct {
 		live uint64
 		want int
 	}{
 		{0, 100},
-		{mib / 2, 100}, // no more than the most
+		{mib / 2, 100}, // limited to MaxPercent
 		{2 * mib, 100},
 		{5 * mib / 2, 80},
 		{4 * mib, 50},
 		{40 * mib, 50},
 	} {
-		if got := pace.percent(c.live, false); got != c.want {
-			t.Errorf("%d bytes live: %d %%, not %d", c.live, got, c.want)
+		if got := testPolicy.percent(c.live, false); got != c.want {
+			t.Errorf("%d bytes live: %d %%, want %d", c.live, got, c.want)
 		}
 	}
 }
 
-// kept is what is live in a test beside the test itself.
-var kept []byte
+// liveBytes is the memory that a test keeps live.
+var liveBytes []byte
 
-// settles says whether collections settle on a percentage while so many bytes are kept.
-func settles(bytes, percent int) bool {
-	kept = make([]byte, bytes)
-	defer func() { kept = nil }()
-	// Why: the finalizer runs on a goroutine of its own, some time after the collection.
+// settlesAt reports whether the GC percentage settles at a value while the given number of bytes is live.
+func settlesAt(bytes, percent int) bool {
+	liveBytes = make([]byte, bytes)
+	defer func() { liveBytes = nil }()
+	// The finalizer runs on a separate goroutine, some time after the collection.
 	for range 100 {
 		runtime.GC()
 		runtime.Gosched()
@@ -49,43 +49,43 @@
 	return false
 }
 
-func TestABusyProcessCollectsLessOften(t *testing.T) {
-	defer debug.SetGCPercent(debug.SetGCPercent(pace.Percent))
-	spare := Pace{Percent: 50, Most: 100, Busy: 400}
+func TestBusyProcessCollectsLessOften(t *testing.T) {
+	defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
+	spare := Policy{Percent: 50, MaxPercent: 100, BusyPercent: 400}
 	var busy atomic.Bool
-	Keep(spare).WhenBusy(busy.Load)
-	if !settles(40*mib, spare.Percent) {
-		t.Errorf("a process with time to spare is not held to %d %%", spare.Percent)
+	StartTuning(spare).SetBusyFunc(busy.Load)
+	if !settlesAt(40*mib, spare.Percent) {
+		t.Errorf("the percentage of a process that is not busy is not %d %%", spare.Percent)
 	}
 	busy.Store(true)
-	if !settles(40*mib, spare.Busy) {
-		t.Errorf("a busy process is not given %d %%", spare.Busy)
+	if !settlesAt(40*mib, spare.BusyPercent) {
+		t.Errorf("the percentage of a busy process is not %d %%", spare.BusyPercent)
 	}
 	busy.Store(false)
-	if !settles(40*mib, spare.Percent) {
-		t.Errorf("a process that is busy no more is not held to %d %%", spare.Percent)
+	if !settlesAt(40*mib, spare.Percent) {
+		t.Errorf("the percentage of a process that is no longer busy is not %d %%", spare.Percent)
 	}
-	if got := pace.percent(40*mib, true); got != pace.Percent {
-		t.Errorf("%d %% while busy, where nothing is said of it", got)
+	if got := testPolicy.percent(40*mib, true); got != testPolicy.Percent {
+		t.Errorf("%d %% while busy, without a BusyPercent", got)
 	}
 }
 
-func TestAProcessIsHeldToItsPace(t *testing.T) {
-	defer debug.SetGCPercent(debug.SetGCPercent(pace.Percent))
-	Keep(pace)
-	if !settles(mib/2, pace.Most) {
-		t.Errorf("a small heap is not given %d %%", pace.Most)
+func TestPercentageFollowsLiveHeap(t *testing.T) {
+	defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
+	StartTuning(testPolicy)
+	if !settlesAt(mib/2, testPolicy.MaxPercent) {
+		t.Errorf("the percentage of a small heap is not %d %%", testPolicy.MaxPercent)
 	}
-	if !settles(40*mib, pace.Percent) {
-		t.Errorf("a large heap is not held to %d %%", pace.Percent)
+	if !settlesAt(40*mib, testPolicy.Percent) {
+		t.Errorf("the percentage of a large heap is not %d %%", testPolicy.Percent)
 	}
-	if !settles(mib/2, pace.Most) {
-		t.Errorf("a heap that is small again is not given %d %%", pace.Most)
+	if !settlesAt(mib/2, testPolicy.MaxPercent) {
+		t.Errorf("the percentage of a heap that is small again is not %d %%", testPolicy.MaxPercent)
 	}
 }
 
-// BenchmarkSmallHeap allocates as an agent does, 2 MB of small objects live, with the
-// collector as it was and as it is now.
+// BenchmarkSmallHeap allocates like an agent, with 2 MB of small objects live, with a fixed
+// percentage and with a tuned one.
 func BenchmarkSmallHeap(b *testing.B) {
 	run := func(b *testing.B) {
 		live := make([]*[64]byte, 2*mib/64)
@@ -95,25 +95,25 @@
 		runtime.KeepAlive(live)
 	}
 	b.Run("percentage alone", func(b *testing.B) {
-		defer debug.SetGCPercent(debug.SetGCPercent(pace.Percent))
+		defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
 		run(b)
 	})
 	b.Run("paced", func(b *testing.B) {
-		defer debug.SetGCPercent(debug.SetGCPercent(pace.Percent))
-		Keep(pace)
+		defer debug.SetGCPercent(debug.SetGCPercent(testPolicy.Percent))
+		StartTuning(testPolicy)
 		run(b)
 	})
 }
 
-func TestALimitHoldsForPartOfTheMemory(t *testing.T) {
+func TestMemoryLimitIsPartOfMemory(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(before)
-	Below(0)
+	SetMemoryLimit(0)
 	if got := debug.SetMemoryLimit(-1); got != before {
-		t.Errorf("without a limit: %d bytes", got)
+		t.Errorf("SetMemoryLimit(0) changed the limit to %d bytes", got)
 	}
-	Below(280 * mib)
-	if got, want := debug.SetMemoryLimit(-1), int64(280*mib/100*belowParts); got != want {
-		t.Errorf("%d bytes, not %d", got, want)
+	SetMemoryLimit(280 * mib)
+	if got, want := debug.SetMemoryLimit(-1), int64(280*mib/100*limitPercent); got != want {
+		t.Errorf("limit of %d bytes, want %d", got, want)
 	}
 }
--- a/internal/kernel/run/run.go
+++ b/internal/kernel/run/run.go
@@ -1,5 +1,5 @@
-// Package run is the one place that starts goroutines and the one place that
-// holds a select loop.
+// Package run owns the start of goroutines and the select loop of the system: groups of goroutines with a common
+// lifetime, actors that run commands one at a time, and helpers to wait.
 package run
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/pkg/errors"
 )
 
-// ErrStopped is given to whoever asks an actor whose group has stopped.
+// ErrStopped is returned by calls to an actor whose group has stopped.
 var ErrStopped = errors.New("run: stopped")
 
-// ErrFull is given when an actor's queue has no place left.
+// ErrFull is returned when an actor's queue is full.
 var ErrFull = errors.New("run: queue is full")
 
-// Group is a set of goroutines that live and end together.
+// Group is a set of goroutines with a common lifetime.
 type Group struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -28,27 +28,27 @@
 	parent *Group
 }
 
-// Child makes a group that freezes and ends with this one, or before it.
+// Child returns a group that freezes and stops with this one, or earlier.
 func (g *Group) Child() *Group {
 	c := NewGroup(g.ctx)
 	c.parent = g
 	return c
 }
 
-// NewGroup starts an empty group under ctx.
+// NewGroup returns an empty group whose context is derived from ctx.
 func NewGroup(ctx context.Context) *Group {
 	inner, cancel := context.WithCancel(ctx)
 	return &Group{ctx: inner, cancel: cancel}
 }
 
-// Context ends when the group stops.
+// Context returns a context that is cancelled when the group stops.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Go runs f until it returns; it is not started once the group has stopped.
+// Go runs f in a goroutine of the group and reports whether it was started; a stopped group starts none.
 func (g *Group) Go(f func(ctx context.Context)) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Why: a late start must not race with the wait in Stop.
+	// Checked under the mutex, so that a late start does not race with wg.Wait in Stop.
 	if g.ended {
 		return false
 	}
@@ -68,7 +68,7 @@
 	return true
 }
 
-// Stop ends the group and waits for every goroutine in it.
+// Stop cancels the group's context and waits until all its goroutines have returned.
 func (g *Group) Stop() {
 	g.mu.Lock()
 	g.ended = true
@@ -78,30 +78,30 @@
 	g.wg.Wait()
 }
 
-// Freeze makes every loop of the group stand still, as a stopped machine does.
+// Freeze suspends every loop of the group, like a stopped machine.
 func (g *Group) Freeze() {
 	gate := make(chan struct{})
 	g.frozen.CompareAndSwap(nil, &gate)
 }
 
-// Thaw lets a frozen group go on.
+// Thaw resumes a frozen group.
 func (g *Group) Thaw() {
 	if gate := g.frozen.Swap(nil); gate != nil {
 		close(*gate)
 	}
 }
 
-// Pass blocks while the group is frozen.
-func (g *Group) Pass() {
+// WaitWhileFrozen blocks while the group or one of its parents is frozen.
+func (g *Group) WaitWhileFrozen() {
 	if g.parent != nil {
-		g.parent.Pass()
+		g.parent.WaitWhileFrozen()
 	}
 	if gate := g.frozen.Load(); gate != nil {
 		<-*gate
 	}
 }
 
-// loop is the select loop; every other loop in the system is made of it.
+// loop runs commands from inbox and calls onTick at each interval until ctx ends.
 func (g *Group) loop(ctx context.Context, inbox <-chan func(), interval time.Duration, onTick func()) {
 	var ticks <-chan time.Time
 	if interval > 0 {
@@ -114,37 +114,37 @@
 		case <-ctx.Done():
 			return
 		case f := <-inbox:
-			g.Pass()
+			g.WaitWhileFrozen()
 			f()
 		case <-ticks:
-			g.Pass()
+			g.WaitWhileFrozen()
 			onTick()
 		}
 	}
 }
 
-// Every calls f at each interval until the group stops.
+// Every calls f at a fixed interval until the group stops.
 func (g *Group) Every(interval time.Duration, f func(ctx context.Context)) {
 	g.Go(func(ctx context.Context) {
 		g.loop(ctx, nil, interval, func() { f(ctx) })
 	})
 }
 
-// Actor owns a table: commands are worked off one at a time, in order.
+// Actor runs commands one at a time, in order, and so guards the state that they use.
 type Actor struct {
 	group *Group
 	inbox chan func()
 }
 
-// NewActor opens an actor with a queue of depth commands and an optional interval, at which it calls onTick.
+// NewActor starts an actor with a queue of depth commands. If interval is positive, the actor calls onTick at it.
 func NewActor(g *Group, depth int, interval time.Duration, onTick func()) *Actor {
 	a := &Actor{group: g, inbox: make(chan func(), depth)}
 	g.Go(func(ctx context.Context) { g.loop(ctx, a.inbox, interval, onTick) })
 	return a
 }
 
-// Tell hands over a command without waiting; it is dropped when the queue is full.
-func (a *Actor) Tell(f func()) error {
+// TryEnqueue enqueues a command without blocking. It returns ErrFull and drops the command if the queue is full.
+func (a *Actor) TryEnqueue(f func()) error {
 	select {
 	case a.inbox <- f:
 		return nil
@@ -153,31 +153,31 @@
 	}
 }
 
-// Nudge hands an actor the same command again and again; many before it begins
-// make one run of it.
-type Nudge struct {
-	actor *Actor
-	f     func()
-	asked atomic.Bool
+// Trigger enqueues a fixed command at an actor. Calls of Fire before the command begins are
+// coalesced into one run.
+type Trigger struct {
+	actor   *Actor
+	f       func()
+	pending atomic.Bool
 }
 
-// NewNudge is for one command of an actor.
-func NewNudge(d *Actor, f func()) *Nudge { return &Nudge{actor: d, f: f} }
+// NewTrigger returns a trigger that enqueues f at actor.
+func NewTrigger(actor *Actor, f func()) *Trigger { return &Trigger{actor: actor, f: f} }
 
-// Now sees to it that the command begins after this call.
-func (n *Nudge) Now() {
-	if n.asked.Swap(true) {
+// Fire enqueues the command unless it is already pending. It is dropped if the queue is full.
+func (t *Trigger) Fire() {
+	if t.pending.Swap(true) {
 		return
 	}
-	if n.actor.Tell(func() { n.asked.Store(false); n.f() }) != nil {
-		n.asked.Store(false)
+	if t.actor.TryEnqueue(func() { t.pending.Store(false); t.f() }) != nil {
+		t.pending.Store(false)
 	}
 }
 
-// Ask hands over a command and waits until it has been worked off. With an
-// error it has not run and never will: one that had begun is waited for, so
-// what it wrote may be read.
-func (a *Actor) Ask(ctx context.Context, f func()) error {
+// Do enqueues a command and waits until it has run. If Do returns an error, the command has not run
+// and never will: a command that has begun is waited for, so that its results
+// may be read.
+func (a *Actor) Do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	var begun atomic.Bool
 	select {
@@ -207,30 +207,30 @@
 	return nil
 }
 
-// AskFor is Ask for commands that may take longer than anyone wants to wait:
-// it goes without the answer when ctx ends, and the command may still run.
-func AskFor[T any](ctx context.Context, d *Actor, f func() T) (T, error) {
-	answer := make(chan T, 1)
+// Call enqueues a command and returns its result. Unlike Do, it returns as soon as ctx ends, for commands that
+// may take long; the command may still run after that.
+func Call[T any](ctx context.Context, actor *Actor, f func() T) (T, error) {
+	result := make(chan T, 1)
 	var zero T
 	select {
-	case d.inbox <- func() { answer <- f() }:
+	case actor.inbox <- func() { result <- f() }:
 	case <-ctx.Done():
 		return zero, ctx.Err()
-	case <-d.group.ctx.Done():
+	case <-actor.group.ctx.Done():
 		return zero, ErrStopped
 	}
 	select {
-	case a := <-answer:
-		return a, nil
+	case r := <-result:
+		return r, nil
 	case <-ctx.Done():
 		return zero, ctx.Err()
-	case <-d.group.ctx.Done():
+	case <-actor.group.ctx.Done():
 		return zero, ErrStopped
 	}
 }
 
-// Wait lets d pass; false when ctx ends first.
-func Wait(ctx context.Context, d time.Duration) bool {
+// Sleep pauses for d and returns true, or returns false as soon as ctx ends.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -241,7 +241,7 @@
 	}
 }
 
-// WaitOn waits until ch closes, d passes or ctx ends; true when ch closed.
+// WaitOn waits until ch is closed, d has passed or ctx ends, and reports whether ch was closed.
 func WaitOn(ctx context.Context, ch <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -255,19 +255,20 @@
 	}
 }
 
-// Repeat calls f again and again, at least gap apart, until the group stops.
+// Repeat calls f until the group stops, with a pause of gap after each call.
 func (g *Group) Repeat(gap time.Duration, f func(ctx context.Context)) {
 	g.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
-			g.Pass()
+			g.WaitWhileFrozen()
 			f(ctx)
-			Wait(ctx, gap)
+			Sleep(ctx, gap)
 		}
 	})
 }
 
-// Fan calls f for 0..n-1 side by side and gives the answers as they come.
-func Fan[T any](g *Group, n int, f func(ctx context.Context, i int) T) <-chan T {
+// FanOut calls f for 0..n-1 concurrently and returns a channel with the n results in order of completion.
+// Calls that a stopped group does not start yield the zero value.
+func FanOut[T any](g *Group, n int, f func(ctx context.Context, i int) T) <-chan T {
 	out := make(chan T, n)
 	for i := range n {
 		if !g.Go(func(ctx context.Context) { out <- f(ctx, i) }) {
--- a/internal/kernel/setup/setup_test.go
+++ b/internal/kernel/setup/setup_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-var rows = []Row{
-	{Name: "name", Check: Word, Doc: "a name"},
+var testSettings = []Setting{
+	{Name: "name", Check: Name, Doc: "a name"},
 	{Name: "addr", Default: "127.0.0.1:80", Check: Address, Doc: "an address"},
 	{Name: "seeds", Default: "127.0.0.1:1", Check: Addresses, Doc: "seeds"},
-	{Name: "n", Default: "3", Check: Between(1, 9), Doc: "a number"},
-	{Name: "for", Default: "1s", Check: Within(0, time.Minute), Doc: "a span"},
+	{Name: "n", Default: "3", Check: IntRange(1, 9), Doc: "a number"},
+	{Name: "for", Default: "1s", Check: DurationRange(0, time.Minute), Doc: "a span"},
 }
 
 func TestSettings(t *testing.T) {
@@ -31,7 +31,7 @@
 		code int
 		says string
 	}{
-		// Every fault is named, wherever it stands.
+		// Every fault is reported, in the file and in the flags.
 		{"--config " + wrong, 2, "nome"}, {"--config " + wrong, 2, "zeeds"}, {"--config " + wrong, 2, `setting n = "99"`},
 		{"--config " + wrong + " --addr q", 2, `setting addr = "q"`}, {"--what 3 --ever --name x --n 0", 2, "no setting --what"}, {"--what 3 --ever --name x --n 0", 2, "no setting --ever"},
 		{"--what 3 --ever --name x --n 0", 2, `setting n = "0"`}, {"--name", 2, "name"},
@@ -41,9 +41,9 @@
 		{"--name - --n z", 2, `setting n = "z"`}, {"--config /nowhere", 2, "nowhere"}, {"--help", 0, "usage: prog"},
 	} {
 		var out, errw bytes.Buffer
-		s, code, done := Read("prog", "does things", rows, strings.Fields(c.args), &out, &errw)
+		s, code, done := Read("prog", "does things", testSettings, strings.Fields(c.args), &out, &errw)
 		if code != c.code || !strings.Contains(out.String()+errw.String(), c.says) {
-			t.Errorf("%q: code %d, said %q%q", c.args, code, out.String(), errw.String())
+			t.Errorf("%q: exit code %d, output %q%q", c.args, code, out.String(), errw.String())
 		}
 		if c.code == 0 && !done && s["name"] == "" {
 			t.Errorf("%q: no name", c.args)
--- a/internal/kernel/sharded/map_test.go
+++ b/internal/kernel/sharded/map_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Each version is what a plain map would be, whatever the versions after it set and drop.
-func TestAVersionNeverChanges(t *testing.T) {
+// Each version equals a plain map with the same changes, regardless of the changes made by later versions.
+func TestVersionIsImmutable(t *testing.T) {
 	type version struct {
 		m    Map[int]
 		want map[string]int
@@ -18,7 +18,7 @@
 		var versions []version
 		now := version{want: map[string]int{}}
 		for step := range 60 {
-			d := NewDraft(now.m)
+			d := NewBuilder(now.m)
 			want := maps.Clone(now.want)
 			changed := false
 			for range rnd.IntN(5) {
@@ -27,14 +27,14 @@
 					_, found := want[key]
 					changed = changed || found
 					delete(want, key)
-					d.Drop(key)
+					d.Delete(key)
 				} else {
 					changed = true
 					want[key] = step
 					d.Set(key, step)
 				}
 				if got, found := d.Get(key); got != want[key] || found != has(want, key) {
-					t.Fatalf("seed %d step %d: the draft has %d, %v of %s", seed, step, got, found, key)
+					t.Fatalf("seed %d step %d: the builder returns %d, %v for %s", seed, step, got, found, key)
 				}
 			}
 			if d.Changed() != changed {
@@ -50,7 +50,7 @@
 			for key := range 200 {
 				name := fmt.Sprint("k", key)
 				if got, found := v.m.Get(name); got != v.want[name] || found != has(v.want, name) {
-					t.Fatalf("seed %d: version %d has %d, %v of %s", seed, i, got, found, name)
+					t.Fatalf("seed %d: version %d returns %d, %v for %s", seed, i, got, found, name)
 				}
 			}
 		}
@@ -62,8 +62,8 @@
 	return found
 }
 
-func TestAllCanBeLeftEarly(t *testing.T) {
-	var d Draft[int]
+func TestIterationCanStopEarly(t *testing.T) {
+	var d Builder[int]
 	for i := range 300 {
 		d.Set(fmt.Sprint(i), i)
 	}
@@ -74,14 +74,14 @@
 		}
 	}
 	if seen != 10 {
-		t.Errorf("%d were given", seen)
+		t.Errorf("the iteration yielded %d pairs, want 10", seen)
 	}
 }
 
-// A change of one key of many costs a small part of what a copy of the whole would.
-func TestAChangeCopiesLittle(t *testing.T) {
+// A change of one key allocates a small fraction of what a copy of the whole map would.
+func TestChangeCopiesOnlyOneShard(t *testing.T) {
 	const keys = 10_000
-	var d Draft[int]
+	var d Builder[int]
 	for i := range keys {
 		d.Set(fmt.Sprint("key-", i), i)
 	}
@@ -96,11 +96,11 @@
 		}).AllocedBytesPerOp()
 	}
 	whole := bytes(func() { maps.Clone(plain)["key-7"] = 1 })
-	part := bytes(func() {
-		next := NewDraft(m)
+	change := bytes(func() {
+		next := NewBuilder(m)
 		next.Set("key-7", 1)
 	})
-	if part*20 > whole {
-		t.Errorf("a change copies %d bytes, the whole is %d", part, whole)
+	if change*20 > whole {
+		t.Errorf("a change allocates %d bytes, a copy of the whole map %d", change, whole)
 	}
 }
--- a/internal/kernel/sharedcache/cache_test.go
+++ b/internal/kernel/sharedcache/cache_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// oracleEntry and oracle say by plain search what the cache must do.
+// oracle is a reference implementation of the cache by linear search.
 type oracleEntry struct {
 	key    int
 	tenant string
 	rank   int
 	cost   int
 	usedAt int
-	again  bool
+	reused bool
 }
 
 type oracle struct {
@@ -41,22 +41,22 @@
 	return used
 }
 
-func (o *oracle) use(key int, by Owner) bool {
+func (o *oracle) get(key int, by Owner) bool {
 	o.now++
 	e := o.entries[key]
 	if e == nil {
 		return false
 	}
-	e.usedAt, e.again = o.now, true
+	e.usedAt, e.reused = o.now, true
 	if e.tenant == by.Tenant {
 		e.rank = min(e.rank, by.Rank)
-	} else if o.isAbove(e.tenant) && o.used(by.Tenant)*o.share(e.tenant) < o.used(e.tenant)*o.share(by.Tenant) {
+	} else if o.isOverShare(e.tenant) && o.used(by.Tenant)*o.share(e.tenant) < o.used(e.tenant)*o.share(by.Tenant) {
 		e.tenant, e.rank = by.Tenant, by.Rank
 	}
 	return true
 }
 
-func (o *oracle) isAbove(tenant string) bool {
+func (o *oracle) isOverShare(tenant string) bool {
 	shares, seen := 0, map[string]bool{}
 	for _, e := range o.entries {
 		if !seen[e.tenant] {
@@ -74,7 +74,7 @@
 	}
 	if e := o.entries[key]; e != nil {
 		e.cost = cost
-		o.use(key, by)
+		o.get(key, by)
 	} else {
 		o.now++
 		o.entries[key] = &oracleEntry{key: key, tenant: by.Tenant, rank: by.Rank, cost: cost, usedAt: o.now}
@@ -100,20 +100,20 @@
 			tenant = name
 		}
 	}
-	// What the letter asks for, whatever the way it is reached: who gives way is above its share.
+	// Independent of the algorithm, entries are only evicted from a tenant above its share.
 	if present[tenant]*shares <= o.capacity*o.share(tenant) {
-		t.Fatalf("%s gives way with %d of %d, and its share is %d of %d", tenant, present[tenant], o.capacity, o.share(tenant), shares)
+		t.Fatalf("eviction from %s, which uses %d of %d and has a share of %d of %d", tenant, present[tenant], o.capacity, o.share(tenant), shares)
 	}
 	byRank, sum := map[bool]map[int]int{false: {}, true: {}}, map[bool]int{}
 	for _, e := range o.entries {
 		if e.tenant == tenant {
-			byRank[e.again][e.rank] += e.cost
-			sum[e.again] += e.cost
+			byRank[e.reused][e.rank] += e.cost
+			sum[e.reused] += e.cost
 		}
 	}
-	again, rank := sum[false]*oncePart <= present[tenant], Ranks-1
+	again, rank := sum[false]*probationaryDivisor <= present[tenant], Ranks-1
 	if again {
-		for rank > 0 && byRank[true][rank]*floorPart <= sum[true] {
+		for rank > 0 && byRank[true][rank]*floorDivisor <= sum[true] {
 			rank--
 		}
 	} else {
@@ -125,15 +125,15 @@
 	}
 	var victim *oracleEntry
 	for _, e := range o.entries {
-		if e.tenant == tenant && e.rank == rank && e.again == again && (victim == nil || e.usedAt < victim.usedAt) {
+		if e.tenant == tenant && e.rank == rank && e.reused == again && (victim == nil || e.usedAt < victim.usedAt) {
 			victim = e
 		}
 	}
 	delete(o.entries, victim.key)
 }
 
-// play lets a cache and the oracle do the same and compares them.
-func play(t *testing.T, seed uint64, steps int) {
+// compareWithOracle applies the same random operations to a cache and the oracle and compares them after each.
+func compareWithOracle(t *testing.T, seed uint64, steps int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	capacity := 1 + rnd.IntN(60)
 	o := &oracle{capacity: capacity, shares: map[string]int{}, entries: map[int]*oracleEntry{}}
@@ -161,9 +161,9 @@
 			delete(o.entries, key)
 			c.Remove(key)
 		case what < 30:
-			want := o.use(key, by)
-			if got, found := c.Use(key, by); found != want || found && got != key {
-				t.Fatalf("seed %d step %d: use of %d: %d %v, want %v", seed, step, key, got, found, want)
+			want := o.get(key, by)
+			if got, found := c.Get(key, by); found != want || found && got != key {
+				t.Fatalf("seed %d step %d: get of %d: %d %v, want %v", seed, step, key, got, found, want)
 			}
 		default:
 			cost := 1 + rnd.IntN(1+capacity/4)
@@ -173,20 +173,20 @@
 			o.put(t, key, by, cost)
 			_, kept := o.entries[key]
 			if got := c.Put(key, by, cost, key); got != kept {
-				t.Fatalf("seed %d step %d: put of %d: kept %v, want %v", seed, step, key, got, kept)
+				t.Fatalf("seed %d step %d: put of %d: in cache %v, want %v", seed, step, key, got, kept)
 			}
 		}
-		compare(t, c, o, fmt.Sprintf("seed %d step %d", seed, step))
+		compareState(t, c, o, fmt.Sprintf("seed %d step %d", seed, step))
 	}
 }
 
-func compare(t *testing.T, c *Cache[int, int], o *oracle, when string) {
+func compareState(t *testing.T, c *Cache[int, int], o *oracle, when string) {
 	if c.Len() != len(o.entries) || c.Used() != o.total() || c.Used() > o.capacity {
 		t.Fatalf("%s: %d entries of %d, want %d of %d, at most %d", when, c.Len(), c.Used(), len(o.entries), o.total(), o.capacity)
 	}
 	for key := range o.entries {
 		if _, found := c.Peek(key); !found {
-			t.Fatalf("%s: %d is gone", when, key)
+			t.Fatalf("%s: %d is not in the cache", when, key)
 		}
 	}
 	for _, u := range c.Usages() {
@@ -203,18 +203,18 @@
 	}
 }
 
-func TestTheCacheDoesWhatASearchWould(t *testing.T) {
+func TestCacheMatchesOracle(t *testing.T) {
 	for seed := range uint64(200) {
-		play(t, seed, 300)
+		compareWithOracle(t, seed, 300)
 	}
 }
 
 func FuzzCache(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(func(t *testing.T, seed uint64) { play(t, seed, 200) })
+	f.Fuzz(func(t *testing.T, seed uint64) { compareWithOracle(t, seed, 200) })
 }
 
-func kept(c *Cache[int, int], tenant string) int {
+func usedBy(c *Cache[int, int], tenant string) int {
 	for _, u := range c.Usages() {
 		if u.Tenant == tenant {
 			return u.Used
@@ -230,94 +230,94 @@
 	}
 }
 
-func TestABulkRunTakesNothingFromATenantWithinItsShare(t *testing.T) {
+func TestBulkTenantDoesNotEvictTenantWithinItsShare(t *testing.T) {
 	c := New[int, int](1000, nil)
 	c.SetShares(map[string]int{"transport": 3, "archive": 1})
 	fill(c, 0, 700, Owner{Tenant: "transport"})
 	fill(c, 10_000, 100_000, Owner{Tenant: "archive"})
-	if ours, theirs := kept(c, "transport"), kept(c, "archive"); ours != 700 || theirs != 300 {
-		t.Errorf("kept %d and %d, want 700 and 300: what is within the share stays, what it leaves idle is lent", ours, theirs)
+	if ours, theirs := usedBy(c, "transport"), usedBy(c, "archive"); ours != 700 || theirs != 300 {
+		t.Errorf("usage %d and %d, want 700 and 300: entries within the share stay, idle capacity is lent", ours, theirs)
 	}
 	fill(c, 1000, 300, Owner{Tenant: "transport"})
-	if ours, theirs := kept(c, "transport"), kept(c, "archive"); ours != 750 || theirs != 250 {
-		t.Errorf("kept %d and %d, want 750 and 250", ours, theirs)
+	if ours, theirs := usedBy(c, "transport"), usedBy(c, "archive"); ours != 750 || theirs != 250 {
+		t.Errorf("usage %d and %d, want 750 and 250", ours, theirs)
 	}
 }
 
-func TestATenantAloneHasAll(t *testing.T) {
+func TestSoleTenantUsesWholeCapacity(t *testing.T) {
 	c := New[int, int](100, nil)
 	c.SetShares(map[string]int{"transport": 99, "archive": 1})
 	fill(c, 0, 500, Owner{Tenant: "archive"})
-	if got := kept(c, "archive"); got != 100 {
-		t.Errorf("kept %d of 100 with nobody else there", got)
+	if got := usedBy(c, "archive"); got != 100 {
+		t.Errorf("usage %d of 100 without other tenants", got)
 	}
 }
 
-func TestUrgentOnesStayAheadWithinATenant(t *testing.T) {
+func TestUrgentEntriesAreKeptLongerWithinTenant(t *testing.T) {
 	c := New[int, int](160, nil)
-	urgent, counter, night := Owner{Tenant: "transport"}, Owner{Tenant: "transport", Rank: 1}, Owner{Tenant: "transport", Rank: 6}
-	use := func(from, n int, by Owner) {
+	urgent, interactive, bulk := Owner{Tenant: "transport"}, Owner{Tenant: "transport", Rank: 1}, Owner{Tenant: "transport", Rank: 6}
+	putTwice := func(from, n int, by Owner) {
 		fill(c, from, n, by)
 		fill(c, from, n, by)
 	}
-	use(0, 50, urgent)
-	use(100, 50, counter)
-	// A bulk run of the night, of which every other entry is used again.
+	putTwice(0, 50, urgent)
+	putTwice(100, 50, interactive)
+	// A bulk run in which every other entry is used again.
 	for i := range 5000 {
-		use(1000+2*i, 1, night)
-		fill(c, 1001+2*i, 1, night)
+		putTwice(1000+2*i, 1, bulk)
+		fill(c, 1001+2*i, 1, bulk)
 	}
 	u := c.Usages()[0]
 	if u.ByRank[0] != 50 || u.ByRank[1] != 50 || u.ByRank[6] != 60 {
-		t.Errorf("kept %v, want 50, 50 and 60 of the night's", u.ByRank)
+		t.Errorf("usage %v, want 50 urgent, 50 interactive and 60 bulk", u.ByRank)
 	}
-	// Ends of urgent prompts that nobody uses again do not push out what the counter uses.
+	// Endings of urgent prompts that are not used again do not evict interactive entries.
 	fill(c, 100_000, 5000, urgent)
 	if u = c.Usages()[0]; u.ByRank[1] != 50 {
-		t.Errorf("kept %v, want 50 of the counter's", u.ByRank)
+		t.Errorf("usage %v, want 50 interactive", u.ByRank)
 	}
-	// Urgent ones that are used may take nearly all.
+	// Urgent entries that are used again may take all but the floors of the other ranks.
 	for i := range 500 {
-		use(200_000+i, 1, urgent)
+		putTwice(200_000+i, 1, urgent)
 	}
 	if u = c.Usages()[0]; u.ByRank[0] < 100 || u.ByRank[1] < 5 || u.ByRank[6] < 5 {
-		t.Errorf("kept %v: the others are not to be left nothing", u.ByRank)
+		t.Errorf("usage %v: the other ranks do not keep their floors", u.ByRank)
 	}
 }
 
-func TestWhatTwoUseIsNotMadeColdByOne(t *testing.T) {
+func TestEntrySharedByTwoTenantsStaysCached(t *testing.T) {
 	c := New[int, int](100, nil)
 	fill(c, 0, 10, Owner{Tenant: "transport"})
 	for i := range 5000 {
-		c.Use(i%10, Owner{Tenant: "archive", Rank: 3})
+		c.Get(i%10, Owner{Tenant: "archive", Rank: 3})
 		c.Put(1000+i, Owner{Tenant: "archive", Rank: 3}, 1, i)
 	}
 	for key := range 10 {
 		if _, found := c.Peek(key); !found {
-			t.Errorf("%d is gone", key)
+			t.Errorf("%d is not in the cache", key)
 		}
 	}
-	if got := kept(c, "transport"); got != 10 {
-		t.Errorf("%d of 10 are counted with the tenant that is within its share", got)
+	if got := usedBy(c, "transport"); got != 10 {
+		t.Errorf("%d of 10 entries are accounted to the tenant that is within its share", got)
 	}
 }
 
-func TestNewSharesShowWhenRoomIsWanted(t *testing.T) {
+func TestNewSharesApplyAtNextEviction(t *testing.T) {
 	c := New[int, int](100, nil)
 	c.SetShares(map[string]int{"a": 1, "b": 1})
 	fill(c, 0, 100, Owner{Tenant: "a"})
 	fill(c, 1000, 100, Owner{Tenant: "b"})
 	c.SetShares(map[string]int{"a": 4, "b": 1})
-	if a, b := kept(c, "a"), kept(c, "b"); a != 50 || b != 50 {
-		t.Errorf("a change of shares alone left %d and %d", a, b)
+	if a, b := usedBy(c, "a"), usedBy(c, "b"); a != 50 || b != 50 {
+		t.Errorf("usage %d and %d after a change of shares alone, want 50 and 50", a, b)
 	}
 	fill(c, 200, 100, Owner{Tenant: "a"})
-	if a, b := kept(c, "a"), kept(c, "b"); a != 80 || b != 20 {
-		t.Errorf("kept %d and %d, want 80 and 20", a, b)
+	if a, b := usedBy(c, "a"), usedBy(c, "b"); a != 80 || b != 20 {
+		t.Errorf("usage %d and %d, want 80 and 20", a, b)
 	}
 }
 
-func TestATenantThatVanishesIsForgotten(t *testing.T) {
+func TestTenantWithoutEntriesIsRemoved(t *testing.T) {
 	c := New[int, int](50, nil)
 	fill(c, 0, 50, Owner{Tenant: "a"})
 	for i := range 50 {
--- a/internal/kernel/sharedcache/list.go
+++ b/internal/kernel/sharedcache/list.go
@@ -1,14 +1,14 @@
 package sharedcache
 
 const (
-	// none is no entry.
-	none int32 = -1
-	// chunk is how many entries are made at a time. Why: one slice that grows would be copied whole in the
+	// noEntry marks the end of a list.
+	noEntry int32 = -1
+	// chunkSize is the number of entries allocated at a time. A single growing slice would be copied whole in the
 	// middle of a request.
-	chunk = 1 << 10
+	chunkSize = 1 << 10
 )
 
-// node is one entry, with its neighbours in the list of its owner.
+// node is an entry of the cache and its links in a list of its owner.
 type node[K comparable, V any] struct {
 	key        K
 	value      V
@@ -16,103 +16,103 @@
 	prev, next int32
 	cost       int32
 	rank       uint8
-	part       uint8
+	segment    uint8
 }
 
-// slab holds the entries; those that are free are chained by next.
+// slab allocates entries in chunks; free entries are linked by next.
 type slab[K comparable, V any] struct {
-	chunks [][]node[K, V]
-	made   int32
-	free   int32 // one more than the first free entry; 0 is none
+	chunks    [][]node[K, V]
+	allocated int32
+	free      int32 // index of the first free entry plus one; 0 means none
 }
 
-func (s *slab[K, V]) at(i int32) *node[K, V] { return &s.chunks[i/chunk][i%chunk] }
+func (s *slab[K, V]) at(i int32) *node[K, V] { return &s.chunks[i/chunkSize][i%chunkSize] }
 
-// take is an entry to be filled.
-func (s *slab[K, V]) take() int32 {
+// alloc returns the index of an unused entry.
+func (s *slab[K, V]) alloc() int32 {
 	if s.free > 0 {
 		i := s.free - 1
 		s.free = s.at(i).next + 1
 		return i
 	}
-	if int(s.made) == len(s.chunks)*chunk {
-		s.chunks = append(s.chunks, make([]node[K, V], chunk))
+	if int(s.allocated) == len(s.chunks)*chunkSize {
+		s.chunks = append(s.chunks, make([]node[K, V], chunkSize))
 	}
-	s.made++
-	return s.made - 1
+	s.allocated++
+	return s.allocated - 1
 }
 
-// give frees an entry.
-func (s *slab[K, V]) give(i int32) {
+// release clears an entry and adds it to the free list.
+func (s *slab[K, V]) release(i int32) {
 	*s.at(i) = node[K, V]{next: s.free - 1}
 	s.free = i + 1
 }
 
-// link puts an entry in front of the list of its owner.
+// link inserts an entry at the front of its list and accounts for its cost.
 func (c *Cache[K, V]) link(at int32) {
 	n := c.nodes.at(at)
-	l := &n.owner.parts[n.part].ranks[n.rank]
-	n.prev, n.next = none, l.first
-	if l.first != none {
+	l := &n.owner.segments[n.segment].ranks[n.rank]
+	n.prev, n.next = noEntry, l.first
+	if l.first != noEntry {
 		c.nodes.at(l.first).prev = at
 	} else {
 		l.last = at
 	}
 	l.first = at
 	if n.owner.entries++; n.owner.entries == 1 {
-		c.present += n.owner.share
+		c.activeShares += n.owner.share
 	}
-	c.charge(n, int64(n.cost))
+	c.addUsage(n, int64(n.cost))
 }
 
-// unlink takes an entry out of the list of its owner.
+// unlink removes an entry from its list and from the accounting.
 func (c *Cache[K, V]) unlink(at int32) {
 	n := c.nodes.at(at)
-	l := &n.owner.parts[n.part].ranks[n.rank]
-	if n.prev != none {
+	l := &n.owner.segments[n.segment].ranks[n.rank]
+	if n.prev != noEntry {
 		c.nodes.at(n.prev).next = n.next
 	} else {
 		l.first = n.next
 	}
-	if n.next != none {
+	if n.next != noEntry {
 		c.nodes.at(n.next).prev = n.prev
 	} else {
 		l.last = n.prev
 	}
 	if n.owner.entries--; n.owner.entries == 0 {
-		c.present -= n.owner.share
+		c.activeShares -= n.owner.share
 	}
-	c.charge(n, -int64(n.cost))
+	c.addUsage(n, -int64(n.cost))
 }
 
-// tenantHeap has the tenant on top that uses most for its share.
+// tenantHeap is a heap of tenants with the highest usage relative to share on top.
 type tenantHeap []*tenant
 
-// Len is how many tenants there are.
+// Len returns the number of tenants.
 func (h tenantHeap) Len() int { return len(h) }
 
-// Less says whether the one tenant gives way before the other; of equals the one
-// whose name comes first.
+// Less reports whether tenant i is evicted from before tenant j: higher usage relative to its share, ties
+// broken by name.
 func (h tenantHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	x, y := a.used*b.share, b.used*a.share
 	return x > y || x == y && a.name < b.name
 }
 
-// Swap is for container/heap.
+// Swap implements heap.Interface.
 func (h tenantHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *tenantHeap) Push(x any) {
 	t := x.(*tenant)
-	t.place = len(*h)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *tenantHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
--- a/internal/kernel/sharedcache/usage.go
+++ b/internal/kernel/sharedcache/usage.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Usage is what one tenant keeps.
+// Usage describes the entries of one tenant.
 type Usage struct {
 	Tenant  string
 	Share   int
 	Entries int
 	Used    int
 	ByRank  [Ranks]int
-	Evicted uint64 // entries that had to give way, so far
+	Evicted uint64 // number of entries evicted so far
 }
 
-// Usages are the tenants that keep something, or that have a share, by name.
+// Usages returns the usage of the tenants known to the cache, sorted by name.
 func (c *Cache[K, V]) Usages() []Usage {
 	out := make([]Usage, 0, len(c.tenants))
 	for _, t := range c.tenants {
 		u := Usage{Tenant: t.name, Share: int(t.share), Entries: t.entries, Used: int(t.used), Evicted: t.evicted}
-		for part := range t.parts {
-			for rank := range t.parts[part].ranks {
-				u.ByRank[rank] += int(t.parts[part].ranks[rank].used)
+		for part := range t.segments {
+			for rank := range t.segments[part].ranks {
+				u.ByRank[rank] += int(t.segments[part].ranks[rank].used)
 			}
 		}
 		out = append(out, u)
--- a/internal/member/fanout/fanout.go
+++ b/internal/member/fanout/fanout.go
@@ -68,7 +68,7 @@
 	key := []byte(agent.Name)
 	best, bestInZone, bestDraw := "", false, uint64(0)
 	for _, core := range cores {
-		inZone, draw := core.Zone == agent.Zone, share.Draw(key, core.Name)
+		inZone, draw := core.Zone == agent.Zone, share.Score(key, core.Name)
 		if best == "" || inZone && !bestInZone || inZone == bestInZone && draw > bestDraw {
 			best, bestInZone, bestDraw = core.Name, inZone, draw
 		}
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -33,7 +33,7 @@
 // merge merges one node record and reports whether it changed the table.
 func (t *Table) merge(n Node) bool {
 	if n.Name == "" || n.Addr == "" || n.State > Left {
-		t.post.Bad()
+		t.post.CountMalformed()
 		return false
 	}
 	if n.Name == t.self.Name {
@@ -82,7 +82,7 @@
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		w, err := wire.Call[empty, Identity](ctx, t.caller, n.Addr, "/member/who", empty{})
-		_ = t.actor.Tell(func() {
+		_ = t.actor.TryEnqueue(func() {
 			if err == nil && w.Name == t.self.Name && w.Boot != t.self.Boot {
 				if !t.nameTaken {
 					t.log.Error("another process has taken this node's name", "addr", n.Addr)
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -63,7 +63,7 @@
 		e.transmitsLeft--
 		n.Nodes = append(n.Nodes, e.node)
 	}
-	t.post.Send(addr, kind, wire.Pack(n))
+	t.post.Send(addr, kind, wire.Marshal(n))
 }
 
 // onPing acknowledges a probe of this node.
--- a/internal/member/start_test.go
+++ b/internal/member/start_test.go
@@ -63,7 +63,7 @@
 		time.Sleep(4 * time.Second)
 		sent := int64(0)
 		for _, n := range nodes[:cores] {
-			sent += n.Mux.Served()[syncPath].Out
+			sent += n.Mux.Stats()[syncPath].Out
 		}
 		t.Logf("%d bytes sent by the seeds, %d per node", sent, sent/(cores+agents))
 		if most := int64(cores+agents) * tables * tableBytes; sent > most {
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -19,7 +19,7 @@
 
 // cachedSync is the last encoded response with the whole table.
 type cachedSync struct {
-	answer wire.Large
+	answer wire.EncodedMessage
 	at     time.Duration // 0 if there is none
 }
 
@@ -48,7 +48,7 @@
 		t.syncing[addr] = true
 		t.group.Go(func(ctx context.Context) {
 			t.syncWith(ctx, addr, checksum)
-			_ = t.actor.Ask(ctx, func() { delete(t.syncing, addr) })
+			_ = t.actor.Do(ctx, func() { delete(t.syncing, addr) })
 		})
 	}
 }
@@ -62,7 +62,7 @@
 		return
 	}
 	var missing SyncMessage
-	if t.actor.Ask(ctx, func() {
+	if t.actor.Do(ctx, func() {
 		missing = SyncMessage{Nodes: t.missingFrom(theirs.Nodes), Checksum: checksum}
 		t.mergeAll(theirs.Nodes)
 	}) != nil || len(missing.Nodes) == 0 {
@@ -88,14 +88,14 @@
 }
 
 // answerSync returns the encoded response to a synchronization request.
-func (t *Table) answerSync(q SyncMessage) wire.Large {
+func (t *Table) answerSync(q SyncMessage) wire.EncodedMessage {
 	now := t.clock.Since()
 	if t.canUseCachedSync(q, now) {
 		t.mergeAll(q.Nodes)
 		return t.cachedSync.answer
 	}
 	answer := t.onSync(q)
-	packed := wire.Prepare(answer)
+	packed := wire.EncodeMessage(answer)
 	if len(answer.Nodes) > maxUncachedNodes {
 		t.cachedSync = cachedSync{answer: packed, at: now}
 	}
@@ -150,6 +150,6 @@
 // hash returns a hash of all fields of a node.
 func (n Node) hash() uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(wire.Pack(n))
+	_, _ = h.Write(wire.Marshal(n))
 	return h.Sum64()
 }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -28,8 +28,8 @@
 	group          *run.Group
 	clock          tick.Clock
 	log            *slog.Logger
-	post           *wire.Post
-	caller         *wire.Caller
+	post           *wire.DatagramSocket
+	caller         *wire.Client
 	seeds          []string
 	previousPeers  []string // addresses known to an earlier process of this node
 	self           Node
@@ -50,27 +50,27 @@
 
 // New starts a table, which discovers other nodes and responds to them on post and mux until g stops.
 // contact supplies the contact age that acknowledgements carry.
-func New(g *run.Group, clock tick.Clock, log *slog.Logger, post *wire.Post, caller *wire.Caller, mux *wire.Mux, self Node, seeds []string, contact *touch.Tracker) *Table {
+func New(g *run.Group, clock tick.Clock, log *slog.Logger, post *wire.DatagramSocket, caller *wire.Client, mux *wire.Mux, self Node, seeds []string, contact *touch.Tracker) *Table {
 	t := &Table{group: g, clock: clock, log: log, post: post, caller: caller, seeds: seeds, self: self,
 		nodes: map[string]*entry{}, syncing: map[string]bool{}, probes: map[uint64]probe{}, seq: rand.Uint64N(1 << 40), contact: contact}
 	t.lastAcked.Store(&map[string]time.Duration{})
 	t.publish()
 	for kind, f := range map[string]func(message){"ping": t.onPing, "ack": t.onAck, "ask": t.onIndirectProbe} {
-		post.On(kind, func(body []byte) {
+		post.Handle(kind, func(body []byte) {
 			var n message
-			if wire.Unpack(body, &n) != nil {
-				post.Bad()
+			if wire.Unmarshal(body, &n) != nil {
+				post.CountMalformed()
 				return
 			}
-			_ = t.actor.Tell(func() {
+			_ = t.actor.TryEnqueue(func() {
 				t.mergeAll(n.Nodes)
 				f(n)
 			})
 		})
 	}
-	wire.HandlePrepared(mux, syncPath, func(ctx context.Context, q SyncMessage) (wire.Large, error) {
-		var answer wire.Large
-		err := t.actor.Ask(ctx, func() { answer = t.answerSync(q) })
+	wire.HandleEncoded(mux, syncPath, func(ctx context.Context, q SyncMessage) (wire.EncodedMessage, error) {
+		var answer wire.EncodedMessage
+		err := t.actor.Do(ctx, func() { answer = t.answerSync(q) })
 		return answer, err
 	})
 	wire.Handle(mux, "/member/who", func(context.Context, empty) (Identity, error) {
@@ -78,13 +78,13 @@
 	})
 	t.actor = run.NewActor(g, 1024, probeInterval, t.onTick)
 	// A starting node knows no others and starts discovery without waiting for the first interval.
-	_ = t.actor.Tell(t.onTick)
+	_ = t.actor.TryEnqueue(t.onTick)
 	return t
 }
 
 // SetSelf changes this node's own entry and raises its incarnation if the entry differs.
 func (t *Table) SetSelf(f func(*Node)) {
-	_ = t.actor.Tell(func() {
+	_ = t.actor.TryEnqueue(func() {
 		before := t.self
 		f(&t.self)
 		if t.self != before {
@@ -95,17 +95,17 @@
 }
 
 // SetSeeds replaces the addresses of the seeds.
-func (t *Table) SetSeeds(seeds []string) { _ = t.actor.Tell(func() { t.seeds = seeds }) }
+func (t *Table) SetSeeds(seeds []string) { _ = t.actor.TryEnqueue(func() { t.seeds = seeds }) }
 
 // SetPreviousPeers sets the addresses that an earlier process of this node knew. A node that starts while
 // all seeds are down finds the other nodes through these.
 func (t *Table) SetPreviousPeers(addrs []string) {
-	_ = t.actor.Tell(func() { t.previousPeers = addrs })
+	_ = t.actor.TryEnqueue(func() { t.previousPeers = addrs })
 }
 
 // Leave announces to the peers that this node is shutting down deliberately.
 func (t *Table) Leave(ctx context.Context) {
-	_ = t.actor.Ask(ctx, func() {
+	_ = t.actor.Do(ctx, func() {
 		t.self.State = Left
 		t.self.Inc++
 		for _, e := range t.nodes {
--- a/internal/place/plan/pacing_test.go
+++ b/internal/place/plan/pacing_test.go
@@ -58,7 +58,7 @@
 			SharePredictions: func(context.Context, SharedPredictions) {}})
 		time.Sleep(time.Second)
 		start := time.Now()
-		answers := run.Fan(g, loads, func(ctx context.Context, i int) bool {
+		answers := run.FanOut(g, loads, func(ctx context.Context, i int) bool {
 			got, err := p.Grant(ctx, GrantRequest{LoadID: fmt.Sprint("load ", i), Penalty: 1})
 			return err == nil && got.Granted
 		})
@@ -73,7 +73,7 @@
 		}
 		rec, found, err := own.Get(t.Context(), PaceKey)
 		var kept GrantRecord
-		if err != nil || !found || wire.Unpack(rec.Value, &kept) != nil || len(kept.AgesMs) != loads {
+		if err != nil || !found || wire.Unmarshal(rec.Value, &kept) != nil || len(kept.AgesMs) != loads {
 			t.Errorf("%d grants are recorded, want %d: %v", len(kept.AgesMs), loads, err)
 		}
 	})
--- a/internal/place/report/inflight_test.go
+++ b/internal/place/report/inflight_test.go
@@ -99,7 +99,7 @@
 	b := newInflightGenerator(1, 156)
 	base := b.next(0, 0)
 	next := b.next(4, 4)
-	full, delta := len(wire.Pack(next.DeltaFrom(base))), len(wire.Pack(next.DeltaWithInflight(base)))
+	full, delta := len(wire.Marshal(next.DeltaFrom(base))), len(wire.Marshal(next.DeltaWithInflight(base)))
 	t.Logf("%d bytes with the full in-flight table, %d with a delta", full, delta)
 	if 5*delta > full {
 		t.Errorf("%d bytes with the full in-flight table, %d with a delta; want at most a fifth", full, delta)
--- a/internal/place/report/relay/messages.go
+++ b/internal/place/report/relay/messages.go
@@ -30,7 +30,7 @@
 	reports, indexes := make([]report.Report, 0, len(b.Reports)), make([]int, 0, len(b.Reports))
 	for i, packed := range b.Reports {
 		var r report.Report
-		if wire.Unpack(packed, &r) != nil {
+		if wire.Unmarshal(packed, &r) != nil {
 			response.Rejected = append(response.Rejected, i)
 			continue
 		}
@@ -50,4 +50,4 @@
 
 // CoreKey returns the key that identifies a core in responses to agents. Agents and cores of different versions
 // compare these keys, so the function must never change.
-func CoreKey(core string) uint32 { return uint32(share.Draw([]byte("relay"), core)) }
+func CoreKey(core string) uint32 { return uint32(share.Score([]byte("relay"), core)) }
--- a/internal/place/report/relay/random_test.go
+++ b/internal/place/report/relay/random_test.go
@@ -98,7 +98,7 @@
 	if len(r.Waiting) == 0 {
 		r.Waiting = nil
 	}
-	return wire.Pack(r)
+	return wire.Marshal(r)
 }
 
 // reportRandomly sends an agent's report to the relay's core, as a delta or in full.
@@ -116,13 +116,13 @@
 // more of them than reports.
 func FuzzApply(f *testing.F) {
 	whole := report.Report{Agent: "e", Boot: "x", Version: 2, Demand: map[string]uint64{"m": 1}}
-	f.Add(wire.Pack(whole), wire.Pack(whole.DeltaFrom(report.Report{Agent: "e", Boot: "x", Version: 1})))
+	f.Add(wire.Marshal(whole), wire.Marshal(whole.DeltaFrom(report.Report{Agent: "e", Boot: "x", Version: 1})))
 	f.Add([]byte{}, []byte{0xff})
-	f.Add([]byte{0xa0}, wire.Pack("no report"))
+	f.Add([]byte{0xa0}, wire.Marshal("no report"))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		table := report.NewTable()
 		b := Batch{}
-		b.Reports = append(b.Reports, first, second, wire.Pack(whole))
+		b.Reports = append(b.Reports, first, second, wire.Marshal(whole))
 		got, err := Apply(t.Context(), b, putInto(table))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/place/report/relay/relay.go
+++ b/internal/place/report/relay/relay.go
@@ -54,7 +54,7 @@
 type Relay struct {
 	deps          Deps
 	actor         *run.Actor
-	earlyRound    *run.Nudge
+	earlyRound    *run.Trigger
 	lastRequested map[string]time.Duration // by agent: time of its last request to relay
 	waiting       map[string]waitCounts    // by relayed agent, from its latest report
 	peers         map[string]*peer         // the other cores, by address
@@ -92,7 +92,7 @@
 func New(d Deps) *Relay {
 	r := &Relay{deps: d, lastRequested: map[string]time.Duration{}, waiting: map[string]waitCounts{}, peers: map[string]*peer{}}
 	r.actor = run.NewActor(d.Group, 256, roundInterval, r.round)
-	r.earlyRound = run.NewNudge(r.actor, r.round)
+	r.earlyRound = run.NewTrigger(r.actor, r.round)
 	return r
 }
 
@@ -108,7 +108,7 @@
 	}
 	var confirmed []uint32
 	hasNewItem := false
-	err := r.actor.Ask(ctx, func() {
+	err := r.actor.Do(ctx, func() {
 		defer func() { r.agentCount.Store(int64(len(r.lastRequested))) }()
 		if !rep.RelayRequested {
 			delete(r.lastRequested, rep.Agent)
@@ -135,7 +135,7 @@
 // for each of them is more work than one batch for all in the next round, so a busy core sends only its regular rounds.
 func (r *Relay) requestEarlyRound() {
 	if r.deps.Busy == nil || !r.deps.Busy() {
-		r.earlyRound.Now()
+		r.earlyRound.Fire()
 	}
 }
 
@@ -251,9 +251,9 @@
 func encode(latest, base report.Report) cbor.RawMessage {
 	latest.RelayRequested = false // the receiver does not relay it again
 	if base.Version == 0 {
-		return wire.Pack(latest)
+		return wire.Marshal(latest)
 	}
-	return wire.Pack(latest.DeltaWithInflight(base))
+	return wire.Marshal(latest.DeltaWithInflight(base))
 }
 
 // send sends a batch to a peer and records the delivery of its reports.
@@ -263,7 +263,7 @@
 		sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 		response, err := r.deps.Send(sendCtx, addr, b)
 		cancel()
-		_ = r.actor.Ask(ctx, func() {
+		_ = r.actor.Do(ctx, func() {
 			p.sending = false
 			if p.skippedRound {
 				p.skippedRound = false
--- a/internal/place/report/relay/relay_test.go
+++ b/internal/place/report/relay/relay_test.go
@@ -375,7 +375,7 @@
 		for a := range agents {
 			p.checkDemand(t, fmt.Sprint("e", a), map[string]uint64{"b": 1, "c": 1})
 		}
-		one := len(wire.Pack(p.own.Get("e1").Report))
+		one := len(wire.Marshal(p.own.Get("e1").Report))
 		if p.largestBatch > batchSizeLimit+one {
 			t.Errorf("the largest batch has %d bytes, above the limit", p.largestBatch)
 		}
@@ -388,9 +388,9 @@
 // The readable reports of a batch are stored when others cannot be decoded or lack their base.
 func TestUnreadableReportsAreRejected(t *testing.T) {
 	table := report.NewTable()
-	good := wire.Pack(report.Report{Agent: "e", Boot: "x", Version: 1})
+	good := wire.Marshal(report.Report{Agent: "e", Boot: "x", Version: 1})
 	b := Batch{}
-	b.Reports = append(b.Reports, []byte{0x01}, good, wire.Pack(report.Report{Agent: "f", Boot: "x", Version: 2, Base: 1}))
+	b.Reports = append(b.Reports, []byte{0x01}, good, wire.Marshal(report.Report{Agent: "f", Boot: "x", Version: 2, Base: 1}))
 	got, err := Apply(t.Context(), b, putInto(table))
 	if err != nil || !slices.Equal(got.Rejected, []int{0, 2}) || table.Get("e").Version != 1 {
 		t.Errorf("%+v, %v", got, err)
--- a/internal/runbook/runbook.go
+++ b/internal/runbook/runbook.go
@@ -94,7 +94,7 @@
 	ctx, cancel := context.WithTimeout(ctx, preconditionTimeout)
 	defer cancel()
 	missing := p.Check(s)
-	for len(missing) > 0 && run.Wait(ctx, pollInterval) {
+	for len(missing) > 0 && run.Sleep(ctx, pollInterval) {
 		if now, err := c.Status(ctx); err == nil {
 			missing = p.Check(now)
 		}
@@ -140,7 +140,7 @@
 				did = true
 			}
 		}
-		if !run.Wait(ctx, pollInterval) {
+		if !run.Sleep(ctx, pollInterval) {
 			return errors.Errorf("gave up: %s", what)
 		}
 	}
--- a/internal/state/coremembers/change.go
+++ b/internal/state/coremembers/change.go
@@ -16,7 +16,7 @@
 		set := k.d.Acceptor.Membership().Set
 		if found {
 			var kept state.CoreSet
-			if err := wire.Unpack(old.Value, &kept); err == nil && kept.Version > set.Version {
+			if err := wire.Unmarshal(old.Value, &kept); err == nil && kept.Version > set.Version {
 				return nil, wire.Refuse("busy", "a change is under way")
 			}
 		}
@@ -24,7 +24,7 @@
 		if next, err = change(set); err != nil {
 			return nil, err
 		}
-		return wire.Pack(next), nil
+		return wire.Marshal(next), nil
 	})
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 		return
 	}
 	var set state.CoreSet
-	if wire.Unpack(rec.Value, &set) == nil && set.Version > st.Set.Version {
+	if wire.Unmarshal(rec.Value, &set) == nil && set.Version > st.Set.Version {
 		k.distribute(ctx, set)
 	}
 }
@@ -57,7 +57,7 @@
 	a := SetUpdate{Set: next, Previous: old}
 	to := append(append([]state.Core{}, old.Cores...), next.Cores...)
 	// The set is sent in parallel, so that an unreachable voter does not delay the others.
-	sent := run.Fan(k.d.Group, len(to), func(ctx context.Context, i int) bool {
+	sent := run.FanOut(k.d.Group, len(to), func(ctx context.Context, i int) bool {
 		if to[i].SameVoter(k.d.Self()) {
 			_, _ = k.adopt(ctx, a)
 		} else {
@@ -95,7 +95,7 @@
 
 // UpdateBehind sends this core's set to a voter with an older one, without waiting for the result.
 func (k *Manager) UpdateBehind(c state.Core) {
-	_ = k.actor.Tell(func() {
+	_ = k.actor.TryEnqueue(func() {
 		ctx, cancel := context.WithTimeout(k.d.Group.Context(), roundTimeout)
 		defer cancel()
 		st := k.d.Acceptor.Membership()
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -43,7 +43,7 @@
 	Replaces      string   // name of the member that this core replaces
 	Group         *run.Group
 	Log           *slog.Logger
-	Caller        *wire.Caller
+	Caller        *wire.Client
 	Acceptor      *acceptor.Acceptor
 	Owner         *owner.Owner
 	// Live returns the cores that are believed to be alive, with the phase that each reports.
@@ -92,7 +92,7 @@
 	})
 	k.actor = run.NewActor(d.Group, 32, tickInterval, k.onTick)
 	// A core that is restarted before its first round must still know that it may form the first set.
-	_ = k.actor.Tell(func() {
+	_ = k.actor.TryEnqueue(func() {
 		ctx, cancel := context.WithTimeout(d.Group.Context(), roundTimeout)
 		defer cancel()
 		k.persistFirstStart(ctx)
--- a/internal/state/owner/owner.go
+++ b/internal/state/owner/owner.go
@@ -42,7 +42,7 @@
 	Group    *run.Group
 	Clock    tick.Clock
 	Log      *slog.Logger
-	Caller   *wire.Caller
+	Caller   *wire.Client
 	Acceptor *acceptor.Acceptor
 	// Addr returns the current address of a voter, or false if the voter is believed to be down.
 	Addr func(state.Core) (string, bool)
@@ -90,7 +90,7 @@
 func (o *Owner) Stop(ctx context.Context) {
 	o.stopped.Store(true)
 	for _, s := range o.slots {
-		_ = s.actor.Ask(ctx, func() { s.giveUp("stopping", true) })
+		_ = s.actor.Do(ctx, func() { s.giveUp("stopping", true) })
 	}
 }
 
