--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -113,9 +113,9 @@
 	checked             atomic.Pointer[checkedConf]
 	confPending         atomic.Bool // a configuration has arrived and is not read yet
 	confNudge           *run.Trigger
-	newestStamp         *flight.Shared[Newest] // coalesces queries to the owner for the newest stamp
-	readBackoff         rest.Rest              // between reads of configurations; owned by the actor of confNudge
-	controllers         map[string]*controlled // owned by the actor of reconcileControllers
+	newestStamp         *flight.Coalescer[Newest] // coalesces queries to the owner for the newest stamp
+	readBackoff         rest.Throttle             // between reads of configurations; owned by the actor of confNudge
+	controllers         map[string]*controlled    // owned by the actor of reconcileControllers
 	controllersSnapshot atomic.Pointer[map[string]*order.Controller]
 	absentSince         map[string]time.Duration
 	preferred           preference
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -172,7 +172,7 @@
 	at := map[string]http.Handler{}
 	if p.settings.CallerAddr != "" {
 		mux := httpapi.NewMuxer()
-		server.New(gen.NewEndpoints(p), mux, httpapi.Decoder, httpapi.Encoder, httpapi.Quiet, httpapi.Formatter).Mount(mux)
+		server.New(gen.NewEndpoints(p), mux, httpapi.Decoder, httpapi.Encoder, httpapi.IgnoreEncodeError, httpapi.Formatter).Mount(mux)
 		at[p.settings.CallerAddr] = p.withResponseHeaders(relay.WithReadLimit(mux, bodyReadTimeout))
 	}
 	for addr, f := range p.settings.Handlers {
--- a/internal/sim/hollow/process.go
+++ b/internal/sim/hollow/process.go
@@ -77,7 +77,7 @@
 
 // env is a machine of the fleet as real code finds it.
 func (p *process) env(ip string) core.Env {
-	return core.Env{Net: p.network.machine(ip), Clock: tick.Machine(), FS: vfs.Default, Log: ring.New(p.logs, logLines)}
+	return core.Env{Net: p.network.machine(ip), Clock: tick.MachineClock(), FS: vfs.Default, Log: ring.New(p.logs, logLines)}
 }
 
 func (p *process) startPlatform() error {
