--- a/internal/kernel/flight/flight.go
+++ b/internal/kernel/flight/flight.go
@@ -1,5 +1,5 @@
-// Package flight lets many callers that ask the same question at the same time share
-// one answer, which is never older than any of their calls.
+// Package flight coalesces concurrent calls of a function: callers share
+// one result, whose fetch began after each of their calls.
 package flight
 
 import (
@@ -9,77 +9,77 @@
 	"drumstall.example/internal/kernel/run"
 )
 
-// Shared asks a question once for all who wait for its answer.
+// Coalescer runs a fetch once for all callers that wait for it.
 type Coalescer[T any] struct {
 	group    *run.Group
 	fetch    func(context.Context) (T, error)
 	mu       sync.Mutex
-	inFlight bool       // a question is under way
-	next     *result[T] // of the question after it; nil when nobody waits for that
+	inFlight bool       // a fetch is running
+	next     *result[T] // result of the next fetch; nil if no caller waits for it
 }
 
-// answer is what one question brings.
+// result is the result of one fetch; value and err are valid once done is closed.
 type result[T any] struct {
 	done  chan struct{}
 	value T
 	err   error
 }
 
-// New shares the answers of ask, which must end by itself; it runs in group.
-func New[T any](group *run.Group, ask func(context.Context) (T, error)) *Coalescer[T] {
-	return &Coalescer[T]{group: group, fetch: ask}
+// New returns a Coalescer for fetch, which runs in group and must return by itself.
+func New[T any](group *run.Group, fetch func(context.Context) (T, error)) *Coalescer[T] {
+	return &Coalescer[T]{group: group, fetch: fetch}
 }
 
-// Ask gives the answer of a question that was put after this call. It gives up when ctx ends; the
-// question goes on for the others.
-func (s *Coalescer[T]) Get(ctx context.Context) (T, error) {
-	a, err := s.join()
+// Get returns the result of a fetch that began after this call. It returns early when ctx ends; the
+// fetch continues for the other callers.
+func (c *Coalescer[T]) Get(ctx context.Context) (T, error) {
+	r, err := c.join()
 	if err != nil {
 		return *new(T), err
 	}
 	select {
-	case <-a.done:
-		return a.value, a.err
+	case <-r.done:
+		return r.value, r.err
 	case <-ctx.Done():
 		return *new(T), ctx.Err()
-	case <-s.group.Context().Done():
+	case <-c.group.Context().Done():
 		return *new(T), run.ErrStopped
 	}
 }
 
-// join is the answer of the next question, which begins at once if none is under way.
-// Why: an answer that is already on its way may be older than this call.
-func (s *Coalescer[T]) join() (*result[T], error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.next == nil {
-		s.next = &result[T]{done: make(chan struct{})}
+// join returns the result of the next fetch, which starts at once if none is running. A running fetch is not joined,
+// since its result may be older than this call.
+func (c *Coalescer[T]) join() (*result[T], error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.next == nil {
+		c.next = &result[T]{done: make(chan struct{})}
 	}
-	joined := s.next
-	if !s.inFlight && !s.startFetch() {
+	joined := c.next
+	if !c.inFlight && !c.startFetch() {
 		return nil, run.ErrStopped
 	}
 	return joined, nil
 }
 
-// begin puts the question for those who have joined; it is called under the lock.
-func (s *Coalescer[T]) startFetch() bool {
-	a := s.next
-	s.next = nil
-	s.inFlight = s.group.Go(func(ctx context.Context) {
-		a.value, a.err = s.fetch(ctx)
-		close(a.done)
-		s.finishFetch()
+// startFetch starts the next fetch. The caller holds the mutex.
+func (c *Coalescer[T]) startFetch() bool {
+	r := c.next
+	c.next = nil
+	c.inFlight = c.group.Go(func(ctx context.Context) {
+		r.value, r.err = c.fetch(ctx)
+		close(r.done)
+		c.finishFetch()
 	})
-	return s.inFlight
+	return c.inFlight
 }
 
-// end lets the next question begin, if anyone waits for it.
-func (s *Coalescer[T]) finishFetch() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.inFlight = false
-	if s.next != nil {
-		s.startFetch()
+// finishFetch starts the next fetch if a caller waits for it.
+func (c *Coalescer[T]) finishFetch() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight = false
+	if c.next != nil {
+		c.startFetch()
 	}
 }
--- a/internal/kernel/flight/flight_test.go
+++ b/internal/kernel/flight/flight_test.go
@@ -11,7 +11,7 @@
 	"drumstall.example/internal/kernel/run"
 )
 
-// newest is a question that takes a while and answers what was true when it was put.
+// slowSource has a slow fetch that returns the value at its start.
 type slowSource struct{ value, fetches atomic.Int64 }
 
 func (n *slowSource) fetch(ctx context.Context) (int64, error) {
@@ -21,59 +21,59 @@
 	return value, nil
 }
 
-// sharing plays a test with a question whose answers are shared.
-func testCoalescer(t *testing.T, play func(t *testing.T, n *slowSource, s *Coalescer[int64])) {
+// testCoalescer runs a test with a Coalescer on a slowSource.
+func testCoalescer(t *testing.T, test func(t *testing.T, n *slowSource, c *Coalescer[int64])) {
 	synctest.Test(t, func(t *testing.T) {
 		group := run.NewGroup(t.Context())
 		defer group.Stop()
 		var n slowSource
-		play(t, &n, New(group, n.fetch))
+		test(t, &n, New(group, n.fetch))
 	})
 }
 
 func TestConcurrentCallersShareTwoFetches(t *testing.T) {
-	testCoalescer(t, func(t *testing.T, n *slowSource, s *Coalescer[int64]) {
+	testCoalescer(t, func(t *testing.T, n *slowSource, c *Coalescer[int64]) {
 		var all sync.WaitGroup
 		for range 100 {
 			all.Go(func() {
-				if _, err := s.Get(t.Context()); err != nil {
+				if _, err := c.Get(t.Context()); err != nil {
 					t.Error(err)
 				}
 			})
 		}
 		all.Wait()
 		if n.fetches.Load() > 2 {
-			t.Errorf("%d questions for 100 callers", n.fetches.Load())
+			t.Errorf("%d fetches for 100 callers, want at most 2", n.fetches.Load())
 		}
 	})
 }
 
 func TestResultIsNotOlderThanCall(t *testing.T) {
-	testCoalescer(t, func(t *testing.T, n *slowSource, s *Coalescer[int64]) {
-		go func() { _, _ = s.Get(t.Context()) }()
+	testCoalescer(t, func(t *testing.T, n *slowSource, c *Coalescer[int64]) {
+		go func() { _, _ = c.Get(t.Context()) }()
 		synctest.Wait()
-		// Why: the question under way was put before this change.
+		// The running fetch began before this change.
 		n.value.Store(1)
-		if got, err := s.Get(t.Context()); err != nil || got != 1 {
-			t.Errorf("%d, %v: older than the call", got, err)
+		if got, err := c.Get(t.Context()); err != nil || got != 1 {
+			t.Errorf("got %d, %v: older than the call", got, err)
 		}
 	})
 }
 
 func TestCancelledCallerDoesNotCancelFetch(t *testing.T) {
-	testCoalescer(t, func(t *testing.T, _ *slowSource, s *Coalescer[int64]) {
-		hasty, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	testCoalescer(t, func(t *testing.T, _ *slowSource, c *Coalescer[int64]) {
+		short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		var patient sync.WaitGroup
-		patient.Go(func() {
-			if _, err := s.Get(t.Context()); err != nil {
+		var other sync.WaitGroup
+		other.Go(func() {
+			if _, err := c.Get(t.Context()); err != nil {
 				t.Error(err)
 			}
 		})
 		synctest.Wait()
-		if _, err := s.Get(hasty); err == nil {
-			t.Error("an answer came before the question was put")
+		if _, err := c.Get(short); err == nil {
+			t.Error("a result was returned before its fetch began")
 		}
-		patient.Wait()
+		other.Wait()
 	})
 }
