--- a/internal/kernel/sample/sample.go
+++ b/internal/kernel/sample/sample.go
@@ -1,5 +1,5 @@
-// Package sample picks some of many by chance, as gossip and probes do with peers.
-// It keeps nothing, and leaves what it picks from as it is.
+// Package sample selects random elements, for instance the peers of gossip and probes.
+// It does not modify the slices that it samples.
 package sample
 
 import (
@@ -7,34 +7,34 @@
 	"slices"
 )
 
-// Of picks up to n of all, in random order, none twice.
+// Of returns up to n elements of all in random order, without repetition.
 func Of[T any](all []T, n int) []T {
 	out := slices.Clone(all)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out[:min(n, len(out))]
 }
 
-// Reservoir picks some of those it is shown, each as likely as any other, and holds no more than that.
+// Reservoir selects a uniform random sample of a stream of elements by reservoir sampling, and holds only the sample.
 type Reservoir[T any] struct {
 	size   int
 	seen   int
 	picked []T
 }
 
-// NewReservoir picks up to most.
-func NewReservoir[T any](most int) Reservoir[T] { return Reservoir[T]{size: most} }
+// NewReservoir returns a reservoir for a sample of up to size elements.
+func NewReservoir[T any](size int) Reservoir[T] { return Reservoir[T]{size: size} }
 
-// Show offers one more.
-func (r *Reservoir[T]) Add(one T) {
+// Add adds an element of the stream.
+func (r *Reservoir[T]) Add(element T) {
 	r.seen++
 	if len(r.picked) < r.size {
-		r.picked = append(r.picked, one)
+		r.picked = append(r.picked, element)
 		return
 	}
-	if at := rand.IntN(r.seen); at < r.size {
-		r.picked[at] = one
+	if i := rand.IntN(r.seen); i < r.size {
+		r.picked[i] = element
 	}
 }
 
-// Picked are those that were picked so far, in no order.
+// Picked returns the current sample in no particular order.
 func (r *Reservoir[T]) Picked() []T { return r.picked }
--- a/internal/kernel/sample/sample_test.go
+++ b/internal/kernel/sample/sample_test.go
@@ -25,12 +25,12 @@
 			}
 		}
 		if !slices.Equal(all, before) {
-			t.Errorf("what was picked from is %v now", all)
+			t.Errorf("the sampled slice was modified: %v", all)
 		}
 	}
 }
 
-// Each is picked about as often as any other.
+// Each element is selected about equally often.
 func TestSampleIsUniform(t *testing.T) {
 	const (
 		rounds = 6000
@@ -56,26 +56,26 @@
 		rounds = 6000
 		size   = 6
 	)
-	for most := range size + 2 {
+	for limit := range size + 2 {
 		counts := map[int]int{}
 		for range rounds {
-			r := NewReservoir[int](most)
+			r := NewReservoir[int](limit)
 			for x := range size {
 				r.Add(x)
 			}
 			got := slices.Clone(r.Picked())
 			slices.Sort(got)
-			if len(got) != min(most, size) || len(slices.Compact(got)) != len(got) {
-				t.Fatalf("%d of %d: got %v", most, size, got)
+			if len(got) != min(limit, size) || len(slices.Compact(got)) != len(got) {
+				t.Fatalf("%d of %d: got %v", limit, size, got)
 			}
 			for _, x := range got {
 				counts[x]++
 			}
 		}
-		want := rounds * min(most, size) / size
+		want := rounds * min(limit, size) / size
 		for x := range size {
 			if n := counts[x]; n < want*8/10 || n > want*12/10 {
-				t.Errorf("%d of %d: %d was picked %d times, want about %d", most, size, x, n, want)
+				t.Errorf("%d of %d: %d was picked %d times, want about %d", limit, size, x, n, want)
 			}
 		}
 	}
