--- a/internal/kernel/bounds/bounds.go
+++ b/internal/kernel/bounds/bounds.go
@@ -1,49 +1,49 @@
-// Package bounds holds what a deployment promises about times and shares, and
-// how often its parts look at one another. Every program gets them with its
-// settings; nothing here is decided at run time.
+// Package bounds defines the guaranteed limits of a deployment, and the intervals and time limits
+// with which its components work together. Every program gets them with its
+// settings; they do not change at run time.
 package bounds
 
 import "time"
 
-// Bounds are the promises that the rules of docs/rules.md are checked against.
+// Bounds are the guarantees that the rules of docs/rules.md are checked against.
 type Bounds struct {
-	// Drain is how long after a replica is known to leave it may still be sent a request.
+	// Drain is how long requests may still be sent to a replica after it is known to leave.
 	Drain time.Duration
-	// Lease is the least time between orders of two controllers to one replica.
+	// Lease is the minimum time between orders of two different controllers to one replica.
 	Lease time.Duration
-	// Grace is how long a planned stop may take before the process is killed; 0 is no limit.
+	// Grace is how long a planned stop may take before the process is killed; 0 means no limit.
 	Grace time.Duration
-	// Retry bounds the repeated attempts of the whole fleet.
+	// Retry limits the repeated attempts of the whole fleet.
 	Retry Retry
-	// Store bounds the loads that begin at the weight store.
+	// Store limits the loads that start at the weight store.
 	Store Store
-	// Tolerated is how many cores may be lost at one time.
+	// ToleratedCores is how many cores may be down at the same time.
 	ToleratedCores int
 }
 
-// Retry bounds attempts beyond the first of each request to a service: in any
-// window, at most Ratio times its requests, and Extra.
+// Retry limits the attempts beyond the first of each request to a service: in any
+// window, at most Ratio times the number of its requests, plus Extra.
 type Retry struct {
 	Ratio float64
-	// Extra is for the whole fleet; 0 leaves it to the configuration's limits.retryAllowance.
+	// Extra applies to the whole fleet; if 0, the configuration's limits.retryAllowance applies.
 	Extra float64
 }
 
-// Store bounds load starts: in any Window, at most the store's rate times
-// Window times Overrun, and Extra.
+// Store limits load starts: in any Window, at most the store's rate times
+// Window times Overrun, plus Extra.
 type Store struct {
 	Window  time.Duration
 	Overrun float64
 	Extra   int
 }
 
-// Default is what holds where a deployment says nothing.
+// Default returns the bounds of a deployment that sets none.
 func Default() Bounds {
 	return Bounds{Drain: 3 * time.Second, Lease: 3 * time.Second, Retry: Retry{Ratio: 0.2},
 		Store: Store{Window: 5 * time.Second, Overrun: 1}, ToleratedCores: 1}
 }
 
-// OrDefault fills what was left out.
+// OrDefault returns b with default values for fields that are zero.
 func (b Bounds) OrDefault() Bounds {
 	d := Default()
 	if b.Drain == 0 {
@@ -67,57 +67,57 @@
 	return b
 }
 
-// Starts is how many loads may begin in any window at a store of some rate a second.
+// MaxStarts returns how many loads may start in any window at a store with the given rate per second.
 func (s Store) MaxStarts(perSecond float64) int {
 	return max(1, int(perSecond*s.Window.Seconds()*s.Overrun)+s.Extra)
 }
 
-// Cadence is how often the parts of the system look at one another.
+// Cadence holds the intervals and time limits with which the components of the system work together.
 type Cadence struct {
-	// ReplicaIdle and ReplicaBusy are how often a controller asks its replica for
-	// a report: while it has nothing to do there, and while it carries something out.
+	// ReplicaIdle and ReplicaBusy are the intervals at which a controller polls its replica for
+	// a report: while it has no order to execute there, and while it executes one.
 	ReplicaIdle time.Duration
 	ReplicaBusy time.Duration
-	// ProxiesAsk says that each proxy asks each replica for its report too;
-	// otherwise proxies go by what controllers tell and by what answers say.
+	// ProxiesPoll makes each proxy poll each replica for its report too;
+	// otherwise proxies use the reports of controllers and the replicas' responses to requests.
 	ProxiesPoll bool
-	// List is how often a core asks the platform which replicas there are.
+	// List is the interval at which a core lists the replicas of the platform.
 	List time.Duration
-	// ListSpare is after how long without word of the list an agent asks by
-	// itself; 0 lets every agent ask as often as a core.
+	// ListFallback is how long an agent has no contact with the list, by itself or through a core, before it
+	// queries the platform itself; if 0, every agent queries as often as a core.
 	ListFallback time.Duration
-	// Plan is how often misses are looked at, and Again the least time between
+	// Plan is the interval at which misses are processed, and DecisionInterval the minimum time between
 	// two decisions about one item.
 	Plan             time.Duration
 	DecisionInterval time.Duration
-	// Share is how often planners tell one another their predictions.
+	// SharePredictions is the interval at which planners exchange their predictions.
 	SharePredictions time.Duration
-	// Report is how often an agent passes its proxy's report to the cores.
+	// Report is the interval at which an agent sends its proxy's report to the cores.
 	Report time.Duration
-	// Keep is how often demand history is written to the control state.
+	// PersistDemand is the interval at which demand history is written to the control state.
 	PersistDemand time.Duration
-	// Ask is how long a planner waits for a controller's answer.
+	// AskTimeout is how long a planner waits for the response of a controller.
 	AskTimeout time.Duration
-	// Tasks is how many loads one controller takes on at a time.
+	// MaxLoads is the maximum number of loads that one controller accepts at a time.
 	MaxLoads int
-	// Handback is how long a core keeps a slot that another is preferred for.
+	// HandbackDelay is how long a core keeps a slot for which another core is preferred.
 	HandbackDelay time.Duration
-	// Hold is how long a request waits for an item that nobody holds without any
-	// word from a controller.
+	// NoHolderTimeout is how long a request waits for an item that no replica holds, without a
+	// message from a controller about it.
 	NoHolderTimeout time.Duration
-	// Start is how long a proxy that has just started keeps requests waiting
-	// until it knows what is in force, rather than turning them away; 0 is not at all.
+	// StartupHold is how long a proxy that has just started queues requests, rather than rejecting them,
+	// until its routing table is current enough to serve from; 0 disables it.
 	StartupHold time.Duration
 }
 
-// DefaultCadence is for a fleet whose replicas may be asked at any time.
+// DefaultCadence returns the cadence of a fleet whose replicas may be polled at any time.
 func DefaultCadence() Cadence {
 	return Cadence{ReplicaIdle: 200 * time.Millisecond, ReplicaBusy: 200 * time.Millisecond, ProxiesPoll: true,
 		List: 500 * time.Millisecond, Plan: 250 * time.Millisecond, DecisionInterval: time.Second, SharePredictions: 2 * time.Second,
 		Report: 500 * time.Millisecond, PersistDemand: 20 * time.Second, NoHolderTimeout: 2500 * time.Millisecond, AskTimeout: 1500 * time.Millisecond, MaxLoads: 8, HandbackDelay: 4 * time.Second}
 }
 
-// OrDefault is the default cadence where none was given.
+// OrDefault returns c, or the default cadence if c is zero.
 func (c Cadence) OrDefault() Cadence {
 	if c == (Cadence{}) {
 		return DefaultCadence()
