--- a/internal/kernel/rest/rest.go
+++ b/internal/kernel/rest/rest.go
@@ -1,27 +1,27 @@
-// Package rest keeps work that is repeated on demand to a part of the time, whatever
-// one piece of it takes on the machine at hand.
+// Package rest limits work that is repeated on demand to a fraction of the time, regardless of how long one run
+// takes on the machine.
 package rest
 
 import "time"
 
-// Rest says when a piece of work may be done again: not before a rest that is so many times as
-// long as the last piece took. The zero value has rested. It is used by one goroutine at a time.
+// Throttle enforces a pause after each run of some work, in proportion to the duration of the run.
+// The zero value allows a run at once. It is not safe for concurrent use.
 type Throttle struct {
-	// Times as long as the work took is the rest after it.
+	// Factor is the length of the pause relative to the duration of the run.
 	Factor int
-	// Most bounds a rest; 0 bounds none.
+	// MaxPause limits the pause; 0 means no limit.
 	MaxPause time.Duration
 	until    time.Duration
 }
 
-// Left is how much of the rest is left at a time on the caller's clock; 0 is none.
-func (r *Throttle) Remaining(now time.Duration) time.Duration { return max(0, r.until-now) }
+// Remaining returns the rest of the pause at the given time on the caller's clock; 0 means that work may run.
+func (t *Throttle) Remaining(now time.Duration) time.Duration { return max(0, t.until-now) }
 
-// Worked notes a piece of work, by the caller's clock.
-func (r *Throttle) Record(began, ended time.Duration) {
-	length := time.Duration(r.Factor) * (ended - began)
-	if r.MaxPause > 0 {
-		length = min(length, r.MaxPause)
+// Record records a run, with its start and end on the caller's clock.
+func (t *Throttle) Record(began, ended time.Duration) {
+	length := time.Duration(t.Factor) * (ended - began)
+	if t.MaxPause > 0 {
+		length = min(length, t.MaxPause)
 	}
-	r.until = ended + length
+	t.until = ended + length
 }
--- a/internal/kernel/rest/rest_test.go
+++ b/internal/kernel/rest/rest_test.go
@@ -7,23 +7,23 @@
 
 func TestPauseFollowsDurationOfWork(t *testing.T) {
 	for name, c := range map[string]struct {
-		rest Throttle
-		took time.Duration
-		want time.Duration
+		throttle Throttle
+		took     time.Duration
+		want     time.Duration
 	}{
-		"so many times the work": {Throttle{Factor: 4}, 10 * time.Millisecond, 40 * time.Millisecond},
-		"bounded":                {Throttle{Factor: 4, MaxPause: 25 * time.Millisecond}, 10 * time.Millisecond, 25 * time.Millisecond},
-		"none":                   {Throttle{}, 10 * time.Millisecond, 0},
+		"multiple of the run": {Throttle{Factor: 4}, 10 * time.Millisecond, 40 * time.Millisecond},
+		"bounded":             {Throttle{Factor: 4, MaxPause: 25 * time.Millisecond}, 10 * time.Millisecond, 25 * time.Millisecond},
+		"none":                {Throttle{}, 10 * time.Millisecond, 0},
 	} {
-		if left := c.rest.Remaining(time.Hour); left != 0 {
-			t.Errorf("%s: %v left before any work", name, left)
+		if remaining := c.throttle.Remaining(time.Hour); remaining != 0 {
+			t.Errorf("%s: %v remaining before any run", name, remaining)
 		}
-		c.rest.Record(time.Second, time.Second+c.took)
-		if left := c.rest.Remaining(time.Second + c.took); left != c.want {
-			t.Errorf("%s: %v left", name, left)
+		c.throttle.Record(time.Second, time.Second+c.took)
+		if remaining := c.throttle.Remaining(time.Second + c.took); remaining != c.want {
+			t.Errorf("%s: %v remaining after a run", name, remaining)
 		}
-		if left := c.rest.Remaining(time.Second + c.took + c.want); left != 0 {
-			t.Errorf("%s: %v left at its end", name, left)
+		if remaining := c.throttle.Remaining(time.Second + c.took + c.want); remaining != 0 {
+			t.Errorf("%s: %v remaining at the end of the pause", name, remaining)
 		}
 	}
 }
