--- a/internal/kernel/httpapi/httpapi.go
+++ b/internal/kernel/httpapi/httpapi.go
@@ -1,5 +1,5 @@
-// Package httpapi holds what every HTTP API made with goa needs: muxer, codecs, and how an
-// unexpected error is told.
+// Package httpapi holds the common parts of all HTTP APIs generated with goa: muxer, codecs, and error
+// formatting, and a client with a response size limit.
 package httpapi
 
 import (
@@ -9,32 +9,32 @@
 	goahttp "goa.design/goa/v3/http"
 )
 
-// NewMuxer is goa's muxer.
+// NewMuxer returns goa's muxer.
 func NewMuxer() goahttp.Muxer { return goahttp.NewMuxer() }
 
-// Decoder and Encoder are goa's, by content type.
+// Decoder and Encoder are goa's codecs, selected by content type.
 var (
 	Decoder = goahttp.RequestDecoder
 	Encoder = goahttp.ResponseEncoder
 )
 
-// Quiet drops what goa could not encode; the connection has gone by then.
+// IgnoreEncodeError ignores errors of encoding a response; the connection is broken by then.
 func IgnoreEncodeError(context.Context, http.ResponseWriter, error) {}
 
-// Formatter leaves the form of errors to the design.
+// Formatter is nil, which leaves the format of errors to the API design.
 var Formatter func(ctx context.Context, err error) goahttp.Statuser
 
-// Bounded is a doer for goa's clients that takes no more of an answer than Max.
+// LimitedClient is an HTTP client for goa (a Doer) that reads at most MaxBytes of a response body.
 type LimitedClient struct {
 	HTTP     *http.Client
 	MaxBytes int64
 }
 
-// Do sends a request.
-func (b LimitedClient) Do(r *http.Request) (*http.Response, error) {
-	res, err := b.HTTP.Do(r)
+// Do sends a request and limits the body of its response.
+func (c LimitedClient) Do(r *http.Request) (*http.Response, error) {
+	res, err := c.HTTP.Do(r)
 	if err == nil {
-		res.Body = http.MaxBytesReader(nil, res.Body, b.MaxBytes)
+		res.Body = http.MaxBytesReader(nil, res.Body, c.MaxBytes)
 	}
 	return res, err
 }
--- a/internal/kernel/source/source.go
+++ b/internal/kernel/source/source.go
@@ -1,4 +1,4 @@
-// Package source reads this project's own source, for tests that hold documents, messages and imports to it.
+// Package source parses this project's own source code, for tests that compare documents, messages and imports with it.
 package source
 
 import (
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Files parses every Go file below a folder that is not a test, and gives each with its path.
+// ParseFiles parses every Go file below a folder except tests, and calls do with the path and syntax tree of each.
 func ParseFiles(folder string, mode parser.Mode, do func(path string, file *ast.File) error) error {
 	return filepath.WalkDir(folder, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
--- a/internal/kernel/tick/tick.go
+++ b/internal/kernel/tick/tick.go
@@ -1,5 +1,5 @@
-// Package tick gives the two clocks of a machine: one that only runs forward
-// and counts suspended time, for holds; and the wall, for the minute of day.
+// Package tick provides the two clocks of a machine: a monotonic clock
+// that includes time in suspension, for leases; and the wall clock, for the time of day.
 package tick
 
 import (
@@ -8,22 +8,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is what a node knows of time.
+// Clock provides a monotonic clock and the wall clock.
 type Clock interface {
-	// Since is the time since some fixed instant; it never jumps.
+	// Since returns the time since a fixed but arbitrary instant; it is monotonic.
 	Since() time.Duration
-	// Wall is the time of day as the machine has it, right or wrong.
+	// Wall returns the wall-clock time of the machine, which may be wrong.
 	Wall() time.Time
 }
 
 type machineClock struct{}
 
-// Machine reads the clocks of this machine.
+// MachineClock returns the clocks of this machine.
 func MachineClock() Clock { return machineClock{} }
 
 func (machineClock) Since() time.Duration {
 	var ts unix.Timespec
-	// Why: Go's monotonic clock stops while a machine is suspended, a lease does not.
+	// Go's monotonic clock stops while a machine is suspended, but leases keep running.
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		panic("tick: no boot-time clock: " + err.Error())
 	}
--- a/internal/kernel/version/version.go
+++ b/internal/kernel/version/version.go
@@ -1,5 +1,5 @@
-// Package version names the build.
+// Package version holds the version of the build.
 package version
 
-// Build is set by the linker: -ldflags "-X drumstall.example/internal/kernel/version.Build=1.2".
+// Build is the version of the build, set by the linker: -ldflags "-X drumstall.example/internal/kernel/version.Build=1.2".
 var Build = "dev"
