--- a/internal/kernel/flight/flight_test.go
+++ b/internal/kernel/flight/flight_test.go
@@ -11,69 +11,69 @@
 	"drumstall.example/internal/kernel/run"
 )
 
-// newest is a question that takes a while and answers what was true when it was put.
-type newest struct{ value, asked atomic.Int64 }
+// slowSource has a slow fetch that returns the value at its start.
+type slowSource struct{ value, fetches atomic.Int64 }
 
-func (n *newest) ask(ctx context.Context) (int64, error) {
-	n.asked.Add(1)
+func (n *slowSource) fetch(ctx context.Context) (int64, error) {
+	n.fetches.Add(1)
 	value := n.value.Load()
 	run.Sleep(ctx, 100*time.Millisecond)
 	return value, nil
 }
 
-// sharing plays a test with a question whose answers are shared.
-func sharing(t *testing.T, play func(t *testing.T, n *newest, s *Shared[int64])) {
+// testCoalescer runs a test with a Coalescer on a slowSource.
+func testCoalescer(t *testing.T, test func(t *testing.T, n *slowSource, c *Coalescer[int64])) {
 	synctest.Test(t, func(t *testing.T) {
 		group := run.NewGroup(t.Context())
 		defer group.Stop()
-		var n newest
-		play(t, &n, New(group, n.ask))
+		var n slowSource
+		test(t, &n, New(group, n.fetch))
 	})
 }
 
-func TestManyWhoAskAtOnceShareTwoQuestions(t *testing.T) {
-	sharing(t, func(t *testing.T, n *newest, s *Shared[int64]) {
+func TestConcurrentCallersShareTwoFetches(t *testing.T) {
+	testCoalescer(t, func(t *testing.T, n *slowSource, c *Coalescer[int64]) {
 		var all sync.WaitGroup
 		for range 100 {
 			all.Go(func() {
-				if _, err := s.Ask(t.Context()); err != nil {
+				if _, err := c.Get(t.Context()); err != nil {
 					t.Error(err)
 				}
 			})
 		}
 		all.Wait()
-		if n.asked.Load() > 2 {
-			t.Errorf("%d questions for 100 callers", n.asked.Load())
+		if n.fetches.Load() > 2 {
+			t.Errorf("%d fetches for 100 callers, want at most 2", n.fetches.Load())
 		}
 	})
 }
 
-func TestNoAnswerIsOlderThanItsCall(t *testing.T) {
-	sharing(t, func(t *testing.T, n *newest, s *Shared[int64]) {
-		go func() { _, _ = s.Ask(t.Context()) }()
+func TestResultIsNotOlderThanCall(t *testing.T) {
+	testCoalescer(t, func(t *testing.T, n *slowSource, c *Coalescer[int64]) {
+		go func() { _, _ = c.Get(t.Context()) }()
 		synctest.Wait()
-		// Why: the question under way was put before this change.
+		// The running fetch began before this change.
 		n.value.Store(1)
-		if got, err := s.Ask(t.Context()); err != nil || got != 1 {
-			t.Errorf("%d, %v: older than the call", got, err)
+		if got, err := c.Get(t.Context()); err != nil || got != 1 {
+			t.Errorf("got %d, %v: older than the call", got, err)
 		}
 	})
 }
 
-func TestWhoGivesUpLeavesTheQuestionToTheOthers(t *testing.T) {
-	sharing(t, func(t *testing.T, _ *newest, s *Shared[int64]) {
-		hasty, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+func TestCancelledCallerDoesNotCancelFetch(t *testing.T) {
+	testCoalescer(t, func(t *testing.T, _ *slowSource, c *Coalescer[int64]) {
+		short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		var patient sync.WaitGroup
-		patient.Go(func() {
-			if _, err := s.Ask(t.Context()); err != nil {
+		var other sync.WaitGroup
+		other.Go(func() {
+			if _, err := c.Get(t.Context()); err != nil {
 				t.Error(err)
 			}
 		})
 		synctest.Wait()
-		if _, err := s.Ask(hasty); err == nil {
-			t.Error("an answer came before the question was put")
+		if _, err := c.Get(short); err == nil {
+			t.Error("a result was returned before its fetch began")
 		}
-		patient.Wait()
+		other.Wait()
 	})
 }
--- a/internal/kernel/sample/sample_test.go
+++ b/internal/kernel/sample/sample_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestASampleHasNoneTwiceAndLeavesTheRestAlone(t *testing.T) {
+func TestSampleHasNoDuplicatesAndKeepsInput(t *testing.T) {
 	for size := range 6 {
 		all := make([]int, size)
 		for i := range all {
@@ -25,13 +25,13 @@
 			}
 		}
 		if !slices.Equal(all, before) {
-			t.Errorf("what was picked from is %v now", all)
+			t.Errorf("the sampled slice was modified: %v", all)
 		}
 	}
 }
 
-// Each is picked about as often as any other.
-func TestASampleIsFair(t *testing.T) {
+// Each element is selected about equally often.
+func TestSampleIsUniform(t *testing.T) {
 	const (
 		rounds = 6000
 		size   = 6
@@ -51,31 +51,31 @@
 	}
 }
 
-func TestAReservoirHoldsNoMoreThanItPicksAndIsFair(t *testing.T) {
+func TestReservoirIsBoundedAndUniform(t *testing.T) {
 	const (
 		rounds = 6000
 		size   = 6
 	)
-	for most := range size + 2 {
+	for limit := range size + 2 {
 		counts := map[int]int{}
 		for range rounds {
-			r := NewReservoir[int](most)
+			r := NewReservoir[int](limit)
 			for x := range size {
-				r.Show(x)
+				r.Add(x)
 			}
 			got := slices.Clone(r.Picked())
 			slices.Sort(got)
-			if len(got) != min(most, size) || len(slices.Compact(got)) != len(got) {
-				t.Fatalf("%d of %d: got %v", most, size, got)
+			if len(got) != min(limit, size) || len(slices.Compact(got)) != len(got) {
+				t.Fatalf("%d of %d: got %v", limit, size, got)
 			}
 			for _, x := range got {
 				counts[x]++
 			}
 		}
-		want := rounds * min(most, size) / size
+		want := rounds * min(limit, size) / size
 		for x := range size {
 			if n := counts[x]; n < want*8/10 || n > want*12/10 {
-				t.Errorf("%d of %d: %d was picked %d times, want about %d", most, size, x, n, want)
+				t.Errorf("%d of %d: %d was picked %d times, want about %d", limit, size, x, n, want)
 			}
 		}
 	}
