--- a/cmd/dsctl/client.go
+++ b/cmd/dsctl/client.go
@@ -14,39 +14,40 @@
 	"drumstall.example/internal/kernel/setup"
 )
 
-// coded is an error with an exit code: 0 done, 1 refused or failed, 2 wrong usage, 3 outcome unknown, 4 stale serial.
+// exitError is an error with the exit code of the process: 1 refused or failed, 2 wrong usage, 3 outcome unknown,
+// 4 stale serial. Success is exit code 0.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error is the error's text, without the code.
+// Error returns the text of the error, without the exit code.
 func (c exitError) Error() string { return c.err.Error() }
 
-// usage says what is wrong with the command line.
+// usageErrorf returns an error with exit code 2 that says what is wrong with the command line.
 func usageErrorf(format string, args ...any) error {
 	return exitError{2, errors.Errorf(format, args...)}
 }
 
-// ctl is what all commands share.
+// client holds the settings and outputs that all commands share.
 type client struct {
 	cores   string
 	timeout time.Duration
 	out     io.Writer
 	errOut  io.Writer
-	// contentType of what is sent: JSON, or YAML for Kubernetes-style objects.
+	// contentType is the media type of a submitted configuration: JSON, or YAML for Kubernetes-style objects.
 	contentType string
 }
 
-// call tries the cores in turn until one answers; a request that may have been
-// taken is not tried elsewhere.
+// call sends a request to the cores in turn until one answers. A change that a core may already have executed is
+// not sent to another core; the error then has exit code 3.
 func (c *client) call(ctx context.Context, method, path string, body []byte, header map[string]string) (*http.Response, []byte, error) {
 	if rule := setup.Addresses(c.cores); rule != "" {
 		return nil, nil, usageErrorf("setting cores = %q %s", c.cores, rule)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for _, addr := range strings.Split(c.cores, ",") {
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+strings.TrimSpace(addr)+path, bytes.NewReader(body))
 		if err != nil {
@@ -57,7 +58,7 @@
 		}
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
-			last = err
+			lastErr = err
 			if method != http.MethodGet && !strings.Contains(err.Error(), "connection refused") {
 				return nil, nil, exitError{3, errors.Wrap(err, "outcome unknown; read it back")}
 			}
@@ -68,17 +69,17 @@
 		if err != nil {
 			return nil, nil, exitError{3, err}
 		}
-		// Why: a core without a quorum may be cut off while the next one is not.
+		// A core without a quorum may be partitioned from the others while the next core is not.
 		if res.StatusCode == http.StatusServiceUnavailable && res.Header.Get("Drumstall-Outcome") == "not-run" {
-			last = errors.New(string(bytes.TrimSpace(b)))
+			lastErr = errors.New(string(bytes.TrimSpace(b)))
 			continue
 		}
 		return res, b, responseError(res, b)
 	}
-	return nil, nil, exitError{1, errors.Wrap(last, "no core could answer")}
+	return nil, nil, exitError{1, errors.Wrap(lastErr, "no core could answer")}
 }
 
-// told makes an error of an answer that is a refusal.
+// responseError returns an error with an exit code if the status of a response is 300 or above, and nil otherwise.
 func responseError(res *http.Response, b []byte) error {
 	if res.StatusCode < 300 {
 		return nil
@@ -104,7 +105,7 @@
 	return exitError{code, errors.New(text)}
 }
 
-// compact takes the blanks out of JSON; what is not JSON stays as it is.
+// compactJSON removes insignificant white space from JSON; other input is returned unchanged.
 func compactJSON(b []byte) []byte {
 	var out bytes.Buffer
 	if json.Compact(&out, b) != nil {
@@ -113,7 +114,7 @@
 	return out.Bytes()
 }
 
-// indented sets JSON in lines; what is not JSON stays as it is. No line end follows.
+// indentJSON indents JSON; other input is kept as it is. Trailing newlines are removed.
 func indentJSON(b []byte) []byte {
 	var pretty bytes.Buffer
 	if json.Indent(&pretty, b, "", "  ") == nil {
--- a/cmd/dsctl/config.go
+++ b/cmd/dsctl/config.go
@@ -19,7 +19,7 @@
 	"drumstall.example/internal/conf"
 )
 
-// config holds the commands about the configuration.
+// configGroup returns the command group for the configuration.
 func (c *client) configGroup() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "config", ShortUsage: "dsctl config COMMAND", ShortHelp: "put, patch, get, diff or remove configuration",
@@ -38,14 +38,14 @@
 	}
 }
 
-// matching makes the flag set of a command that changes the configuration.
+// ifMatchFlags returns the flag set of a command that changes the configuration, with --if-match stored in ifMatch.
 func (c *client) ifMatchFlags(name string, ifMatch *string) *flag.FlagSet {
 	fs := c.flags(name)
 	fs.StringVar(ifMatch, "if-match", "", "only if the serial now is this one")
 	return fs
 }
 
-// sender makes a command that sends a file.
+// submitCommand returns a command that submits a file with the given HTTP method.
 func (c *client) submitCommand(name, method, help string) *ffcli.Command {
 	var ifMatch string
 	fs := c.ifMatchFlags("config "+name, &ifMatch)
@@ -59,16 +59,16 @@
 	})
 }
 
-// remover makes the command that removes objects.
+// removeCommand returns the command that removes objects.
 func (c *client) removeCommand() *ffcli.Command {
 	var ifMatch string
 	fs := c.ifMatchFlags("config rm", &ifMatch)
 	return newCommand("rm", "config rm [--if-match N] KIND/NAME...", "remove objects", fs, func(ctx context.Context, args []string) error {
 		rm := map[string][]string{}
-		for _, at := range args {
-			kind, name, ok := strings.Cut(at, "/")
+		for _, arg := range args {
+			kind, name, ok := strings.Cut(arg, "/")
 			if !ok {
-				return usageErrorf("%q: want KIND/NAME", at)
+				return usageErrorf("%q: want KIND/NAME", arg)
 			}
 			rm[kind] = append(rm[kind], name)
 		}
@@ -83,7 +83,7 @@
 	})
 }
 
-// getter makes the command that reads the configuration back.
+// getCommand returns the command that reads the configuration back.
 func (c *client) getCommand() *ffcli.Command {
 	var what string
 	fs := c.flags("config get")
@@ -99,7 +99,7 @@
 	})
 }
 
-// diffFile compares the file that args name.
+// diffFile compares the file named in args with the effective configuration.
 func (c *client) diffFile(ctx context.Context, args []string) error {
 	b, err := readFile(args)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return c.diff(ctx, b)
 }
 
-// read reads the one file that args name.
+// readFile reads the single file named in args, or standard input for "-".
 func readFile(args []string) ([]byte, error) {
 	if len(args) != 1 {
 		return nil, usageErrorf("want one FILE, or - for standard input")
@@ -120,7 +120,7 @@
 	return os.ReadFile(args[0])
 }
 
-// kindOf tells Kubernetes-style objects from our own JSON by the file's name.
+// contentTypeOf returns the media type by file extension: YAML for Kubernetes-style objects, otherwise JSON.
 func contentTypeOf(args []string) string {
 	if len(args) == 1 && (strings.HasSuffix(args[0], ".yaml") || strings.HasSuffix(args[0], ".yml")) {
 		return "application/yaml"
@@ -128,8 +128,8 @@
 	return "application/json"
 }
 
-// send submits a configuration and prints its version; ifMatch is the one that
-// must be in force, or empty.
+// submit sends a configuration and prints its version. If ifMatch is not empty, the request is conditional on
+// that version being the current one.
 func (c *client) submit(ctx context.Context, method string, body []byte, ifMatch string) error {
 	h := map[string]string{"Content-Type": c.contentType}
 	if ifMatch != "" {
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// diff tells which objects a file would add, change or remove.
+// diff prints which objects a file would add, change or remove.
 func (c *client) diff(ctx context.Context, file []byte) error {
-	k, err := conf.ReadWhole(c.contentType, file)
+	wanted, err := conf.ReadWhole(c.contentType, file)
 	if err != nil {
 		var f conf.ValidationErrors
 		if errors.As(err, &f) {
@@ -157,37 +157,37 @@
 	if err != nil && !strings.Contains(err.Error(), "no configuration was ever kept") {
 		return err
 	}
-	there := map[string][]byte{}
+	current := map[string][]byte{}
 	var doc map[string]map[string]json.RawMessage
 	if err == nil && json.Unmarshal(b, &doc) == nil {
 		for kind, objects := range doc {
 			for name, raw := range objects {
-				there[kind+"/"+name] = compactJSON(raw)
+				current[kind+"/"+name] = compactJSON(raw)
 			}
 		}
 	}
-	for _, l := range diffLines(there, k.Objects) {
+	for _, l := range diffLines(current, wanted.Objects) {
 		fmt.Fprintln(c.out, l)
 	}
 	return nil
 }
 
-// changes lists what is there in other words, or only on one side, in the order
-// of the names.
-func diffLines(there, wanted map[string][]byte) []string {
+// diffLines returns a line for each object that only one side has, and two for each object that differs, sorted by
+// kind and name. Lines that start with "-" show current, lines that start with "+" show wanted.
+func diffLines(current, wanted map[string][]byte) []string {
 	var lines []string
-	for at, raw := range wanted {
-		old, found := there[at]
+	for key, raw := range wanted {
+		old, found := current[key]
 		switch {
 		case !found:
-			lines = append(lines, "+ "+at+" "+string(compactJSON(raw)))
+			lines = append(lines, "+ "+key+" "+string(compactJSON(raw)))
 		case !bytes.Equal(old, compactJSON(raw)):
-			lines = append(lines, "- "+at+" "+string(old), "+ "+at+" "+string(compactJSON(raw)))
+			lines = append(lines, "- "+key+" "+string(old), "+ "+key+" "+string(compactJSON(raw)))
 		}
 	}
-	for at, raw := range there {
-		if _, found := wanted[at]; !found {
-			lines = append(lines, "- "+at+" "+string(raw))
+	for key, raw := range current {
+		if _, found := wanted[key]; !found {
+			lines = append(lines, "- "+key+" "+string(raw))
 		}
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i][2:] < lines[j][2:] })
--- a/cmd/dsctl/main.go
+++ b/cmd/dsctl/main.go
@@ -1,8 +1,9 @@
-// dsctl is the operator's client.
+// dsctl is the operators' command line client.
 //
-// It sends configurations to the cores, reads them back, shows what the cores
-// know and carries out runbooks, all over the cores' operator addresses. It keeps
-// nothing, and never tries a request elsewhere that may have been taken.
+// It submits configurations to the cores, reads them back, shows the status and
+// placement decisions of the cores, and runs runbooks, all over the operator
+// addresses of the cores. It stores nothing. It doesn't send a command's change to
+// another core if the first one may already have executed it.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/pkg/errors"
 )
 
-// unknown is what a command that only holds others does: help, and the word it does not know.
+// groupExec runs a command group without a known subcommand: it asks for help, or rejects the unknown subcommand.
 func groupExec(_ context.Context, args []string) error {
 	if len(args) > 0 {
 		return usageErrorf("no command %q; --help lists them", args[0])
@@ -29,24 +30,24 @@
 	return flag.ErrHelp
 }
 
-// flags makes the empty flag set of a command.
+// flags returns an empty flag set for a command.
 func (c *client) flags(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet("dsctl "+name, flag.ContinueOnError)
 	fs.SetOutput(c.errOut)
 	return fs
 }
 
-// leaf makes a command that does something.
+// newCommand returns a command without subcommands that runs f.
 func newCommand(name, use, help string, fs *flag.FlagSet, f func(context.Context, []string) error) *ffcli.Command {
 	return &ffcli.Command{Name: name, ShortUsage: "dsctl [settings] " + use, ShortHelp: help, FlagSet: fs, Exec: f}
 }
 
-// shower makes a command that shows what the cores answer at a path.
+// showCommand returns a command that prints the response of the cores to a GET of path.
 func (c *client) showCommand(name, help, path string) *ffcli.Command {
 	return newCommand(name, name, help, c.flags(name), func(ctx context.Context, _ []string) error { return c.show(ctx, path) })
 }
 
-// explain is the command that shows placement decisions.
+// explainCommand returns the command that prints placement decisions.
 func (c *client) explainCommand() *ffcli.Command {
 	var model string
 	fs := c.flags("explain")
@@ -56,7 +57,7 @@
 	})
 }
 
-// show prints what the cores answer at a path, as indented JSON where it is JSON.
+// show prints the response of the cores to a GET of path, indented if it is JSON.
 func (c *client) show(ctx context.Context, path string) error {
 	_, b, err := c.call(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return err
 }
 
-// top is the whole tree of commands.
+// rootCommand returns the root command with all its subcommands.
 func (c *client) rootCommand() *ffcli.Command {
 	root := flag.NewFlagSet("dsctl", flag.ContinueOnError)
 	root.SetOutput(c.errOut)
@@ -85,11 +86,11 @@
 	}
 }
 
-// run carries out one command line and gives the exit code.
-func run(ctx context.Context, args []string, out, errw io.Writer) int {
-	c := &client{out: out, errOut: errw, contentType: "application/json"}
+// run executes one command line and returns the exit code.
+func run(ctx context.Context, args []string, out, errOut io.Writer) int {
+	c := &client{out: out, errOut: errOut, contentType: "application/json"}
 	err := c.rootCommand().ParseAndRun(ctx, args)
-	var cd exitError
+	var exitErr exitError
 	switch {
 	case err == nil:
 		return 0
@@ -100,14 +101,14 @@
 			}
 		}
 		return 2
-	case errors.As(err, &cd):
-		fmt.Fprintf(errw, "dsctl: %v\n", cd.err)
-		return cd.code
+	case errors.As(err, &exitErr):
+		fmt.Fprintf(errOut, "dsctl: %v\n", exitErr.err)
+		return exitErr.code
 	case strings.Contains(err.Error(), "error parsing commandline"):
-		fmt.Fprintf(errw, "dsctl: %v\n", err)
+		fmt.Fprintf(errOut, "dsctl: %v\n", err)
 		return 2
 	}
-	fmt.Fprintf(errw, "dsctl: %v\n", err)
+	fmt.Fprintf(errOut, "dsctl: %v\n", err)
 	return 1
 }
 
--- a/cmd/dsctl/main_test.go
+++ b/cmd/dsctl/main_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// core answers like a core's operators' API, with one status.
+// startCore starts a server that answers every request with the given response, records the requests in seen, and
+// returns its address.
 func startCore(t *testing.T, status int, outcome, body string, seen *[]string) string {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -26,6 +27,8 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
+// Checks the exit code, the output and the number of requests of each command line; a change with an unknown outcome
+// must not be sent to the next core.
 func TestExitCodesAndCoresAsked(t *testing.T) {
 	dir := t.TempDir()
 	file, objects, bad := filepath.Join(dir, "c.json"), filepath.Join(dir, "c.yaml"), filepath.Join(dir, "bad.json")
@@ -41,10 +44,10 @@
 	stale := startCore(t, 412, "not-run", `{"detail":"the serial now is 9"}`, &seen)
 	wrong := startCore(t, 400, "not-run", `{"detail":"refused whole","faults":["models/m.sizeMib: must be given"]}`, &seen)
 	for _, c := range []struct {
-		args string
-		code int
-		says string
-		asks int
+		args     string
+		code     int
+		text     string
+		requests int
 	}{
 		{"--cores " + ok + " config put " + file, 0, "serial 7", 1},
 		{"--cores " + none + "," + ok + " config put " + file, 0, "serial 7", 2},
@@ -67,13 +70,13 @@
 		{"frob", 2, `no command "frob"`, 0}, {"config frob", 2, `no command "frob"`, 0}, {"runbook frob", 2, `no command "frob"`, 0}, {"--what", 2, "", 0}, {"", 2, "USAGE", 0}, {"--help", 0, "USAGE", 0}, {"runbook --help", 0, "replace-core", 0},
 	} {
 		seen = nil
-		var out, errw bytes.Buffer
-		code := run(context.Background(), strings.Fields(c.args), &out, &errw)
-		if all := out.String() + errw.String(); code != c.code || !strings.Contains(all, c.says) || len(seen) != c.asks {
-			t.Errorf("%q: code %d, asked %d times, said %q", c.args, code, len(seen), all)
+		var out, errOut bytes.Buffer
+		code := run(context.Background(), strings.Fields(c.args), &out, &errOut)
+		if all := out.String() + errOut.String(); code != c.code || !strings.Contains(all, c.text) || len(seen) != c.requests {
+			t.Errorf("%q: exit code %d, %d requests, output %q", c.args, code, len(seen), all)
 		}
 		if strings.Contains(c.args, ".yaml") && !strings.Contains(seen[0], "application/yaml") {
-			t.Errorf("objects were sent as %s", seen[0])
+			t.Errorf("YAML objects were not sent as application/yaml: %s", seen[0])
 		}
 		if strings.Contains(c.args, "--if-match") && !strings.Contains(seen[0], " 3 ") {
 			t.Errorf("If-Match was not sent: %s", seen[0])
--- a/cmd/dsctl/runbooks.go
+++ b/cmd/dsctl/runbooks.go
@@ -14,10 +14,10 @@
 	"drumstall.example/internal/runbook"
 )
 
-// bookMaker makes a runbook out for the case that the arguments name.
+// procedureBuilder builds the procedure of a runbook from the command line arguments.
 type procedureBuilder func(ctx context.Context, h runbook.HTTP, args []string) (runbook.Procedure, error)
 
-// runbooks are the executable pages for operators.
+// runbookGroup returns the command group with one command for each runbook.
 func (c *client) runbookGroup() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "runbook", ShortUsage: "dsctl [settings] runbook COMMAND", ShortHelp: "carry out a runbook: check, show each step, safe to run again",
@@ -40,28 +40,28 @@
 	}
 }
 
-// book makes the command of one runbook; more adds flags of its own.
-func (c *client) runbookCommand(name, use, help string, build procedureBuilder, more func(*flag.FlagSet)) *ffcli.Command {
+// runbookCommand returns the command of one runbook; addFlags, if not nil, adds its own flags.
+func (c *client) runbookCommand(name, use, help string, build procedureBuilder, addFlags func(*flag.FlagSet)) *ffcli.Command {
 	var limit time.Duration
 	fs := c.flags("runbook " + name)
 	fs.DurationVar(&limit, "wait", 10*time.Minute, "how long one step may take")
-	if more != nil {
-		more(fs)
+	if addFlags != nil {
+		addFlags(fs)
 	}
 	return newCommand(name, "runbook "+name+" "+use, help, fs, func(ctx context.Context, args []string) error {
 		if rule := setup.Addresses(c.cores); rule != "" {
 			return usageErrorf("setting cores = %q %s", c.cores, rule)
 		}
 		h := runbook.HTTP{Client: &http.Client{Timeout: c.timeout}, Cores: (setup.Settings{"c": c.cores}).List("c")}
-		b, err := build(ctx, h, args)
+		procedure, err := build(ctx, h, args)
 		if err != nil {
 			return err
 		}
-		return runbook.Run(ctx, h, b, limit, c.out)
+		return runbook.Run(ctx, h, procedure, limit, c.out)
 	})
 }
 
-// one refuses anything but one plain word.
+// checkOneName returns a usage error unless args is a single valid name.
 func checkOneName(args []string, what string) error {
 	if len(args) != 1 || setup.Name(args[0]) != "" {
 		return usageErrorf("want one %s", what)
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// ofOne makes a runbook out for one word.
-func fromOneName(what string, build func(h runbook.HTTP, word string) runbook.Procedure) procedureBuilder {
+// fromOneName returns a procedureBuilder for a runbook that takes a single name.
+func fromOneName(what string, build func(h runbook.HTTP, name string) runbook.Procedure) procedureBuilder {
 	return func(_ context.Context, h runbook.HTTP, args []string) (runbook.Procedure, error) {
 		if err := checkOneName(args, what); err != nil {
 			return runbook.Procedure{}, err
@@ -79,7 +79,7 @@
 	}
 }
 
-// roll makes the runbook out for the processes that run now.
+// buildRoll builds the roll-out procedure for the processes that currently run.
 func buildRoll(ctx context.Context, h runbook.HTTP, args []string) (runbook.Procedure, error) {
 	if err := checkOneName(args, "BUILD"); err != nil {
 		return runbook.Procedure{}, err
@@ -88,6 +88,7 @@
 	return runbook.Roll(s, args[0]), err
 }
 
+// takeOverCommand returns the command that follows labelled replicas until they are in use.
 func (c *client) takeOverCommand() *ffcli.Command {
 	var selector string
 	var count int
@@ -104,6 +105,7 @@
 	})
 }
 
+// rescueCommand returns the command that makes a surviving core the only voter.
 func (c *client) rescueCommand() *ffcli.Command {
 	var lost, survivor string
 	build := func(_ context.Context, h runbook.HTTP, args []string) (runbook.Procedure, error) {
@@ -118,6 +120,7 @@
 	})
 }
 
+// dayEndCommand returns the command that reads the newest configuration back from every core.
 func (c *client) dayEndCommand() *ffcli.Command {
 	var sent string
 	build := func(_ context.Context, h runbook.HTTP, _ []string) (runbook.Procedure, error) {
