--- a/cmd/dsagent/main.go
+++ b/cmd/dsagent/main.go
@@ -1,4 +1,4 @@
-// dsagent runs beside each proxy and keeps its link to the control plane.
+// dsagent runs beside each proxy and maintains its link to the control plane.
 package main
 
 import (
@@ -13,6 +13,7 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
+// settings declares the settings of the program, with their defaults, checks and help texts.
 var settings = []setup.Setting{
 	{Name: "name", Check: setup.Name, Doc: "name of this machine"},
 	{Name: "zone", Check: setup.Name, Doc: "zone of this machine"},
