--- a/cmd/dscore/main.go
+++ b/cmd/dscore/main.go
@@ -1,4 +1,4 @@
-// dscore runs on core machines: control state, operator API, placement.
+// dscore runs on core machines and provides the control state, the operator API and placement.
 package main
 
 import (
@@ -14,6 +14,7 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
+// settings declares the settings of the program, with their defaults, checks and help texts.
 var settings = []setup.Setting{
 	{Name: "fleet", Default: "drumstall", Check: setup.Name, Doc: "name of the fleet, to which the data folder belongs from then on"},
 	{Name: "name", Check: setup.Name, Doc: "name of this machine; it keeps its place in the core set under this name"},
