--- a/cmd/dsproxy/main.go
+++ b/cmd/dsproxy/main.go
@@ -1,4 +1,4 @@
-// dsproxy takes callers' requests: admission, queueing, routing, streaming.
+// dsproxy serves the requests of callers: admission, queueing, routing and streaming of responses.
 package main
 
 import (
@@ -13,6 +13,7 @@
 	"drumstall.example/internal/proxy"
 )
 
+// settings declares the settings of the program, with their defaults, checks and help texts.
 var settings = []setup.Setting{
 	{Name: "name", Check: setup.Name, Doc: "name of this machine"},
 	{Name: "zone", Check: setup.Name, Doc: "zone of this machine"},
