--- a/cmd/dsreplay/main.go
+++ b/cmd/dsreplay/main.go
@@ -12,6 +12,7 @@
 	"drumstall.example/internal/stand"
 )
 
+// settings declares the settings of the program, with their defaults, checks and help texts.
 var settings = []setup.Setting{
 	{Name: "deployment", Default: "cascadia", Check: setup.OneOf("cascadia", "fotofamilia"), Doc: "cascadia or fotofamilia"},
 	{Name: "days", Default: "10", Check: setup.IntRange(8, 60), Doc: "days; the first seven only make history"},
@@ -26,11 +27,11 @@
 	if done {
 		os.Exit(code)
 	}
-	d := stand.Deployments()[s["deployment"]]()
-	d.Replica.CapacityMib = d.Replica.CapacityMib * s.Int("memory") / 100
-	w := replay.NewWorld(d, s.Int("days"), uint64(s.Int("seed")), float64(s.Int("scale"))/100)
+	deployment := stand.Deployments()[s["deployment"]]()
+	deployment.Replica.CapacityMib = deployment.Replica.CapacityMib * s.Int("memory") / 100
+	w := replay.NewWorld(deployment, s.Int("days"), uint64(s.Int("seed")), float64(s.Int("scale"))/100)
 	fmt.Printf("| %s, %d days, seed %s, memory %s %% | hit rate | loads | GiB from the store | turned away |", s["deployment"], s.Int("days"), s["seed"], s["memory"])
-	for _, f := range d.Flows {
+	for _, f := range deployment.Flows {
 		if len(f.Items) > 0 {
 			fmt.Printf(" %s p50/p99 ms |", f.Class)
 		}
