--- a/cmd/dsstand/main.go
+++ b/cmd/dsstand/main.go
@@ -1,5 +1,5 @@
-// dsstand is one stand-in for the outside: a model replica, an application
-// service, or the platform. It is for proofs only.
+// dsstand simulates one external system: a model replica, an application
+// service, or the platform. It is for tests only.
 package main
 
 import (
@@ -15,6 +15,7 @@
 	"drumstall.example/internal/stand"
 )
 
+// settings declares the settings of the program, with their defaults, checks and help texts.
 var settings = []setup.Setting{
 	{Name: "role", Check: setup.OneOf("model", "service", "platform"), Doc: "model, service or platform"},
 	{Name: "id", Default: "stand-in", Check: setup.Name, Doc: "name of the replica"},
@@ -33,6 +34,7 @@
 	{Name: "rate", Default: "2500", Check: setup.IntRange(1, 1<<20), Doc: "MiB a second read from the weight store"},
 }
 
+// checkHolds returns the rule that the value of the setting holds violates, or an empty string.
 func checkHolds(v string) string {
 	for _, h := range (setup.Settings{"holds": v}).List("holds") {
 		name, size, _ := strings.Cut(h, ":")
