--- a/cmd/dsagent/main.go
+++ b/cmd/dsagent/main.go
@@ -26,7 +26,7 @@
 func main() {
 	os.Exit(setup.RunProgram("dsagent", "link between a proxy and the control plane of drumstall", settings, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		a, err := agent.Start(agent.Settings{Name: s["name"], Zone: s["zone"], Addr: s["addr"], Feed: s["feed"], Seeds: s.List("seeds"), Platform: s["platform"]},
-			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
+			core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/cmd/dscore/main.go
+++ b/cmd/dscore/main.go
@@ -32,7 +32,7 @@
 	os.Exit(setup.RunProgram("dscore", "control state, operator API and placement of drumstall", settings, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		c, err := core.Start(core.Settings{Fleet: s["fleet"], Name: s["name"], Zone: s["zone"], Addr: s["addr"], Operator: s["operator"], Seeds: s.List("seeds"),
 			Folder: s["folder"], Cores: s.Int("cores"), Replaces: s["replaces"], Platform: s["platform"]},
-			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), FS: vfs.Default, Log: ring.New(os.Stderr, 2000)})
+			core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), FS: vfs.Default, Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/cmd/dsproxy/main.go
+++ b/cmd/dsproxy/main.go
@@ -25,7 +25,7 @@
 func main() {
 	os.Exit(setup.RunProgram("dsproxy", "traffic of drumstall", settings, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		p, err := proxy.Start(proxy.Settings{Name: s["name"], Zone: s["zone"], CallerAddr: s["callers"], Agent: s["agent"], Platform: s["platform"]},
-			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
+			core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
 			return nil, nil, err
 		}
