--- a/cmd/dsctl/client.go
+++ b/cmd/dsctl/client.go
@@ -14,37 +14,40 @@
 	"drumstall.example/internal/kernel/setup"
 )
 
-// coded is an error with an exit code: 0 done, 1 refused or failed, 2 wrong usage, 3 outcome unknown, 4 stale serial.
-type coded struct {
+// exitError is an error with the exit code of the process: 1 refused or failed, 2 wrong usage, 3 outcome unknown,
+// 4 stale serial. Success is exit code 0.
+type exitError struct {
 	code int
 	err  error
 }
 
-// Error is the error's text, without the code.
-func (c coded) Error() string { return c.err.Error() }
+// Error returns the text of the error, without the exit code.
+func (c exitError) Error() string { return c.err.Error() }
 
-// usage says what is wrong with the command line.
-func usage(format string, args ...any) error { return coded{2, errors.Errorf(format, args...)} }
+// usageErrorf returns an error with exit code 2 that says what is wrong with the command line.
+func usageErrorf(format string, args ...any) error {
+	return exitError{2, errors.Errorf(format, args...)}
+}
 
-// ctl is what all commands share.
-type ctl struct {
+// client holds the settings and outputs that all commands share.
+type client struct {
 	cores   string
 	timeout time.Duration
 	out     io.Writer
-	errw    io.Writer
-	// contentType of what is sent: JSON, or YAML for Kubernetes-style objects.
+	errOut  io.Writer
+	// contentType is the media type of a submitted configuration: JSON, or YAML for Kubernetes-style objects.
 	contentType string
 }
 
-// call tries the cores in turn until one answers; a request that may have been
-// taken is not tried elsewhere.
-func (c *ctl) call(ctx context.Context, method, path string, body []byte, header map[string]string) (*http.Response, []byte, error) {
+// call sends a request to the cores in turn until one answers. A change that a core may already have executed is
+// not sent to another core; the error then has exit code 3.
+func (c *client) call(ctx context.Context, method, path string, body []byte, header map[string]string) (*http.Response, []byte, error) {
 	if rule := setup.Addresses(c.cores); rule != "" {
-		return nil, nil, usage("setting cores = %q %s", c.cores, rule)
+		return nil, nil, usageErrorf("setting cores = %q %s", c.cores, rule)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for _, addr := range strings.Split(c.cores, ",") {
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+strings.TrimSpace(addr)+path, bytes.NewReader(body))
 		if err != nil {
@@ -55,29 +58,29 @@
 		}
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
-			last = err
+			lastErr = err
 			if method != http.MethodGet && !strings.Contains(err.Error(), "connection refused") {
-				return nil, nil, coded{3, errors.Wrap(err, "outcome unknown; read it back")}
+				return nil, nil, exitError{3, errors.Wrap(err, "outcome unknown; read it back")}
 			}
 			continue
 		}
 		b, err := io.ReadAll(res.Body)
 		_ = res.Body.Close()
 		if err != nil {
-			return nil, nil, coded{3, err}
+			return nil, nil, exitError{3, err}
 		}
-		// Why: a core without a quorum may be cut off while the next one is not.
+		// A core without a quorum may be partitioned from the others while the next core is not.
 		if res.StatusCode == http.StatusServiceUnavailable && res.Header.Get("Drumstall-Outcome") == "not-run" {
-			last = errors.New(string(bytes.TrimSpace(b)))
+			lastErr = errors.New(string(bytes.TrimSpace(b)))
 			continue
 		}
-		return res, b, told(res, b)
+		return res, b, responseError(res, b)
 	}
-	return nil, nil, coded{1, errors.Wrap(last, "no core could answer")}
+	return nil, nil, exitError{1, errors.Wrap(lastErr, "no core could answer")}
 }
 
-// told makes an error of an answer that is a refusal.
-func told(res *http.Response, b []byte) error {
+// responseError returns an error with an exit code if the status of a response is 300 or above, and nil otherwise.
+func responseError(res *http.Response, b []byte) error {
 	if res.StatusCode < 300 {
 		return nil
 	}
@@ -86,7 +89,7 @@
 		Faults                []string
 	}
 	if json.Unmarshal(b, &d) != nil {
-		return coded{1, errors.Errorf("status %d: %s", res.StatusCode, b)}
+		return exitError{1, errors.Errorf("status %d: %s", res.StatusCode, b)}
 	}
 	text := d.Detail
 	for _, f := range d.Faults {
@@ -99,11 +102,11 @@
 	case res.Header.Get("Drumstall-Outcome") == "unknown":
 		code = 3
 	}
-	return coded{code, errors.New(text)}
+	return exitError{code, errors.New(text)}
 }
 
-// compact takes the blanks out of JSON; what is not JSON stays as it is.
-func compact(b []byte) []byte {
+// compactJSON removes insignificant white space from JSON; other input is returned unchanged.
+func compactJSON(b []byte) []byte {
 	var out bytes.Buffer
 	if json.Compact(&out, b) != nil {
 		return b
@@ -111,8 +114,8 @@
 	return out.Bytes()
 }
 
-// indented sets JSON in lines; what is not JSON stays as it is. No line end follows.
-func indented(b []byte) []byte {
+// indentJSON indents JSON; other input is kept as it is. Trailing newlines are removed.
+func indentJSON(b []byte) []byte {
 	var pretty bytes.Buffer
 	if json.Indent(&pretty, b, "", "  ") == nil {
 		b = pretty.Bytes()
--- a/cmd/dsreplay/main.go
+++ b/cmd/dsreplay/main.go
@@ -12,7 +12,8 @@
 	"drumstall.example/internal/stand"
 )
 
-var rows = []setup.Setting{
+// settings declares the settings of the program, with their defaults, checks and help texts.
+var settings = []setup.Setting{
 	{Name: "deployment", Default: "cascadia", Check: setup.OneOf("cascadia", "fotofamilia"), Doc: "cascadia or fotofamilia"},
 	{Name: "days", Default: "10", Check: setup.IntRange(8, 60), Doc: "days; the first seven only make history"},
 	{Name: "scale", Default: "100", Check: setup.IntRange(1, 2000), Doc: "traffic in percent of the deployment's"},
@@ -22,15 +23,15 @@
 }
 
 func main() {
-	s, code, done := setup.Read("dsreplay", "simulated days through the placement code, policies compared", rows, os.Args[1:], os.Stdout, os.Stderr)
+	s, code, done := setup.Read("dsreplay", "simulated days through the placement code, policies compared", settings, os.Args[1:], os.Stdout, os.Stderr)
 	if done {
 		os.Exit(code)
 	}
-	d := stand.Deployments()[s["deployment"]]()
-	d.Replica.CapacityMib = d.Replica.CapacityMib * s.Int("memory") / 100
-	w := replay.NewWorld(d, s.Int("days"), uint64(s.Int("seed")), float64(s.Int("scale"))/100)
+	deployment := stand.Deployments()[s["deployment"]]()
+	deployment.Replica.CapacityMib = deployment.Replica.CapacityMib * s.Int("memory") / 100
+	w := replay.NewWorld(deployment, s.Int("days"), uint64(s.Int("seed")), float64(s.Int("scale"))/100)
 	fmt.Printf("| %s, %d days, seed %s, memory %s %% | hit rate | loads | GiB from the store | turned away |", s["deployment"], s.Int("days"), s["seed"], s["memory"])
-	for _, f := range d.Flows {
+	for _, f := range deployment.Flows {
 		if len(f.Items) > 0 {
 			fmt.Printf(" %s p50/p99 ms |", f.Class)
 		}
