--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -43,9 +43,8 @@
 	Recent  []recentChange `cbor:"9,keyasint,omitempty"` // recently accepted changes, to detect repeated ones
 }
 
-// Manners of a submission.
+// Modes of a submission.
 const (
-	// Modes of a submission.
 	Whole   = "whole"
 	Partial = "partial"
 )
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -39,7 +39,7 @@
 	Confirmed      bool           `cbor:"4,keyasint"` // the agent's configuration is known to be no older than any previously in force
 	Conf           state.Stamp    `cbor:"5,keyasint"`
 	SinceContactMs int64          `cbor:"6,keyasint"` // time since the last contact with the platform, a core or a peer
-	Edges          int            `cbor:"7,keyasint"` // number of edges believed alive
+	Edges          int            `cbor:"7,keyasint"` // number of edges considered alive
 	SendAll        bool           `cbor:"8,keyasint"` // the agent is new: the proxy must send everything
 	Agent          string         `cbor:"9,keyasint"`
 	Zone           string         `cbor:"10,keyasint"`
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -31,7 +31,7 @@
 	Total []byte   `cbor:"2,keyasint,omitempty"`
 }
 
-// DigestReply tells how two tables differ; Buckets and Sums are empty if they are equal. To a Digest with a total it holds the
+// DigestReply states how two tables differ; Buckets and Sums are empty if they are equal. To a Digest with a total it holds the
 // sums of the responder's buckets; to one with bucket sums, the buckets that differ.
 type DigestReply struct {
 	Buckets []int     `cbor:"1,keyasint"`
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -63,5 +63,5 @@
 )
 
 // keepsTombstone reports whether the tombstone of a removed key is kept for good. The stamp of a leave
-// mark counts up from the last one, so after a purge the next mark would look old.
+// mark counts up from the last one, so after a purge the next mark would be taken for an older one.
 func keepsTombstone(key string) bool { return strings.HasPrefix(key, "mark/") }
--- a/internal/gossip/push_test.go
+++ b/internal/gossip/push_test.go
@@ -16,9 +16,8 @@
 	"drumstall.example/internal/sim/simnet"
 )
 
-// The links of a large site: what a core and an edge send in a second.
+// The links of a large site: bytes per second that a core and an edge can send.
 const (
-	// The links of a large site: bytes per second that a core and an edge can send.
 	coreLink = 210_000_000 / 8
 	edgeLink = 10_000_000 / 8
 )
--- a/internal/gossip/tree.go
+++ b/internal/gossip/tree.go
@@ -27,7 +27,7 @@
 	return &treeAgentRounds
 }
 
-// refreshTree returns the tree of this round and remembers it.
+// refreshTree returns the tree of this round and stores it as the last one.
 func (s *Disseminator) refreshTree() Tree {
 	var tree Tree
 	if s.tree != nil {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -131,7 +131,7 @@
 	return -1
 }
 
-// eventID returns the ID of an event, if it is a id.
+// eventID returns the ID of an event, if it has one that is a decimal number.
 func eventID(event []byte) (uint64, bool) {
 	for line := range bytes.Lines(event) {
 		rest, found := bytes.CutPrefix(line, []byte("id:"))
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -41,7 +41,7 @@
 	Body        *relay.Stream
 }
 
-// Reason is why a request reply no response body a replica.
+// Reason says why a request got no response from a replica.
 type Reason string
 
 // Reasons of refusals.
@@ -202,7 +202,7 @@
 	return float64(p.routes.Current().Conf.Limits.RetryAllowance) / float64(p.edgeCount.Load())
 }
 
-// admissionRefusal is the refusal of a request that reply no replica.
+// admissionRefusal is the refusal of a request that admission assigned to no replica.
 func admissionRefusal(a queue.Answer, outcome attempt.Outcome) *Refusal {
 	reason := Unavailable
 	if a.Late {
--- a/internal/route/prompt.go
+++ b/internal/route/prompt.go
@@ -74,8 +74,8 @@
 func (p Prompt) uncachedTokens(warm float64) int { return int(float64(p.size) * (1 - warm)) }
 
 // homeDigest is the digest that selects the replica for a prompt that is warm nowhere: that of the longest
-// prefix of at most three quarters of the prompt, or of the first part if that is longer. The end of a prompt is specific to its caller and the beginning is
-// common to all; prompts that share most of their text should go to the same replica, and prompts that
+// prefix of at most three quarters of the prompt, or of the first part if that is longer. The end of a prompt is
+// specific to its caller and the beginning is common to all; prompts that share most of their text should go to the same replica, and prompts that
 // share only the beginning should not.
 func (p Prompt) homeDigest() uint64 {
 	if len(p.sizes) == 0 {
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -252,7 +252,7 @@
 	d.predictions.Set(item, prediction)
 }
 
-// expire drops expired predictions, because a refusal is only valid for a while.
+// expire drops expired predictions, because a refusal is valid for a limited time only.
 func (p *predictionExpiry) expire(d *draft) {
 	for p.ordered.Len() > 0 && d.now-p.ordered.Front().at >= predictionTTL {
 		old := p.ordered.PopFront()
--- a/internal/route/renew_fixture_test.go
+++ b/internal/route/renew_fixture_test.go
@@ -26,7 +26,7 @@
 func (c *manualClock) Since() time.Duration { return c.now }
 func (c *manualClock) Wall() time.Time      { return time.Unix(0, 0).Add(c.now) }
 
-// fixture is a router that is renewed by hand, with a source of random gossip entries.
+// fixture is a router that is renewed only by explicit calls, with a source of random gossip entries.
 type fixture struct {
 	t         *testing.T
 	rng       *rand.Rand
--- a/internal/route/steer.go
+++ b/internal/route/steer.go
@@ -75,7 +75,7 @@
 }
 
 // steerBulk determines on which replicas a prompt may evict the warm prefixes of others. It restricts
-// nothing while nobody sends bulk, or if fewer than two replicas have a cache of known size that
+// nothing while no party sends bulk, or if fewer than two replicas have a cache of known size that
 // evicts in LRU order only.
 func (rt *Router) steerBulk(t Target, s *Snapshot, holders []string, owner party, now time.Duration) steering {
 	b := rt.bulk
--- a/internal/route/steer_test.go
+++ b/internal/route/steer_test.go
@@ -16,7 +16,7 @@
 	"drumstall.example/internal/state"
 )
 
-// tenantFixture is a router with replicas of one model and a manual clock, renewed by hand.
+// tenantFixture is a router with replicas of one model and a manual clock, renewed only by explicit calls.
 type tenantFixture struct {
 	*Router
 	clock   *manualClock
