--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -266,7 +266,7 @@
 	c.coreSet.Stop()
 	c.owner.Stop(ctx)
 	c.members.Leave(ctx)
-	// Calls in flight are short; without this limit, draining would also wait for connections that carry no call.
+	// Calls in flight are short; without this limit, draining would also wait for connections without a call in flight.
 	drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	for _, s := range c.servers {
--- a/internal/core/serve.go
+++ b/internal/core/serve.go
@@ -56,7 +56,7 @@
 
 // handleReport applies a report that an agent sent directly.
 func (c *Core) handleReport(ctx context.Context, r report.Report) (report.Response, error) {
-	// The contact word predates this report; what changes from here on goes into the next answer.
+	// The contact age is read before the report is applied; what applying it changes goes into the next answer.
 	taken := report.Response{ContactAge: c.touch.Age(), SupportsDeltas: true, SupportsInflightDeltas: true, ConfigStamp: c.gossip.StampOf(conf.Key), Busy: c.lag.Busy()}
 	outcome, err := c.planner.ApplyReport(ctx, r)
 	if err != nil {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -18,12 +18,12 @@
 	suspectTimeout      = 1500 * time.Millisecond // time in which a suspect can refute the suspicion
 	retention           = 10 * time.Minute        // how long a dead or departed node stays in the table
 	indirectProbers     = 3                       // nodes asked for an indirect probe
-	updateTransmissions = 8                       // datagrams that carry each change
+	updateTransmissions = 8                       // datagrams that include each change
 	syncIntervalTicks   = 10                      // probe intervals between two table synchronizations
 	syncTimeout         = time.Second             // time limit of a table synchronization
 	syncPath            = "/member/sync"
 	maxNodes            = 4096 // maximum size of the table
-	updatesPerDatagram  = 5    // changes carried by one datagram
+	updatesPerDatagram  = 5    // changes in one datagram
 )
 
 // State is the state of a node as observed by others. Under one incarnation, a higher state overrides a lower one.
--- a/internal/member/messages.go
+++ b/internal/member/messages.go
@@ -45,7 +45,7 @@
 	Boot string `cbor:"2,keyasint"`
 }
 
-// send sends a message that also carries this node's own entry and the most recent changes.
+// send sends a message that also contains this node's own entry and the most recent changes.
 func (t *Table) send(addr, kind string, n message) {
 	n.From = t.self.Addr
 	if !t.nameTaken {
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -17,7 +17,7 @@
 type entry struct {
 	node          Node
 	since         time.Duration // time of the last state change
-	transmitsLeft int           // datagrams that are still to carry the entry
+	transmitsLeft int           // datagrams that are still to include the entry
 	hash          hashCache
 }
 
@@ -49,7 +49,7 @@
 }
 
 // New starts a table, which discovers other nodes and responds to them on post and mux until g stops.
-// contact supplies the contact age that acknowledgements carry.
+// contact supplies the contact age that acknowledgements contain.
 func New(g *run.Group, clock tick.Clock, log *slog.Logger, post *wire.DatagramSocket, caller *wire.Client, mux *wire.Mux, self Node, seeds []string, contact *touch.Tracker) *Table {
 	t := &Table{group: g, clock: clock, log: log, post: post, caller: caller, seeds: seeds, self: self,
 		nodes: map[string]*entry{}, syncing: map[string]bool{}, probes: map[uint64]probe{}, seq: rand.Uint64N(1 << 40), contact: contact}
--- a/internal/place/report/delta.go
+++ b/internal/place/report/delta.go
@@ -60,7 +60,6 @@
 	return out, true
 }
 
-// changedEntries returns the entries of now that are missing from before or differ there.
 // changedEntries returns the entries of now that are missing from before or differ there.
 func changedEntries[V comparable](now, before map[string]V) map[string]V {
 	out := map[string]V{}
--- a/internal/place/report/report.go
+++ b/internal/place/report/report.go
@@ -90,7 +90,7 @@
 const (
 	// pruneInterval is the time between two scans for expired agents.
 	pruneInterval = time.Minute
-	// extendedFreshFor is how long the in-flight requests of a silent edge still count.
+	// extendedFreshFor is how long the in-flight requests of an edge that no longer reports still count.
 	extendedFreshFor = 5 * FreshFor
 	// retention is how long the last report of an agent is kept.
 	retention = time.Hour
@@ -180,7 +180,7 @@
 }
 
 // Inflight returns the number of in-flight requests for an item on a replica over all edges. The last
-// report of a silent edge counts until its next report arrives or extendedFreshFor has passed.
+// report of an edge counts until its next report arrives or extendedFreshFor has passed.
 func (t *Table) Inflight(replica, item string, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/place/report/totals.go
+++ b/internal/place/report/totals.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// accumulateExtended adds or subtracts requests that may still run although their edge is silent.
+// accumulateExtended adds or subtracts requests that may still run although their edge no longer reports.
 func (s *totals) accumulateExtended(d *Received, sign int) {
 	for replica, items := range d.Inflight {
 		for item, n := range items {
--- a/internal/state/acceptor/disk.go
+++ b/internal/state/acceptor/disk.go
@@ -76,8 +76,8 @@
 	return true, wire.Unmarshal(raw, v)
 }
 
-// commit writes one batch and waits until it is synced. After state.ErrDiskFailed it may
-// not be stored. A failed sync ends this core's voting until it is restarted.
+// commit writes one batch and waits until it is synced. It returns
+// state.ErrDiskFailed if the batch may not have been stored. A failed sync ends this core's voting until it is restarted.
 func (a *Acceptor) commit(fill func(*pebble.Batch) error) error {
 	if a.diskFailed.Load() {
 		return state.ErrDiskFailed
--- a/internal/state/acceptor/membership.go
+++ b/internal/state/acceptor/membership.go
@@ -35,8 +35,8 @@
 func (a *Acceptor) Membership() Membership { return *a.membership.Load() }
 
 // UpdateMembership changes the phase and the core set through f. Changes are serialized
-// and synced to disk before it returns. After state.ErrDiskFailed the change may not be
-// stored; after an error of ctx it may still be stored later.
+// and synced to disk before it returns. After state.ErrDiskFailed it is unknown whether
+// the change is stored; after an error of ctx it may still be stored later.
 func (a *Acceptor) UpdateMembership(ctx context.Context, f func(Membership) (Membership, bool)) (Membership, error) {
 	type answer struct {
 		st  Membership
--- a/internal/state/coremembers/admission.go
+++ b/internal/state/coremembers/admission.go
@@ -107,7 +107,7 @@
 	return next, nil
 }
 
-// suspectsVoter reports whether a voter has been silent and may be lost. A set that grows while
+// suspectsVoter reports whether a voter has not answered for some time and may be lost. A set that grows while
 // one member is lost needs more of the others for a majority, until the lost one is removed.
 func (k *Manager) suspectsVoter(set state.CoreSet) bool {
 	for _, c := range set.Cores {
--- a/internal/state/coremembers/coremembers.go
+++ b/internal/state/coremembers/coremembers.go
@@ -69,7 +69,7 @@
 const (
 	// lostAfter is how long a voter must have been absent before it may be removed or replaced without an operator.
 	lostAfter = 2500 * time.Millisecond
-	// suspectAfter is how long a voter must have been silent for additional cores to be refused.
+	// suspectAfter is how long a voter must not have answered for additional cores to be refused.
 	suspectAfter = 700 * time.Millisecond
 	// tickInterval is the time between two rounds of the manager.
 	tickInterval = 500 * time.Millisecond
