--- a/cmd/dsagent/main.go
+++ b/cmd/dsagent/main.go
@@ -13,7 +13,7 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-var rows = []setup.Setting{
+var settings = []setup.Setting{
 	{Name: "name", Check: setup.Name, Doc: "name of this machine"},
 	{Name: "zone", Check: setup.Name, Doc: "zone of this machine"},
 	{Name: "addr", Check: setup.Address, Doc: "IP:PORT for peers, TCP and UDP"},
@@ -23,9 +23,9 @@
 }
 
 func main() {
-	os.Exit(setup.RunProgram("dsagent", "link between a proxy and the control plane of drumstall", rows, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
+	os.Exit(setup.RunProgram("dsagent", "link between a proxy and the control plane of drumstall", settings, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		a, err := agent.Start(agent.Settings{Name: s["name"], Zone: s["zone"], Addr: s["addr"], Feed: s["feed"], Seeds: s.List("seeds"), Platform: s["platform"]},
-			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
+			core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/cmd/dscore/main.go
+++ b/cmd/dscore/main.go
@@ -14,7 +14,7 @@
 	"drumstall.example/internal/kernel/wire"
 )
 
-var rows = []setup.Setting{
+var settings = []setup.Setting{
 	{Name: "fleet", Default: "drumstall", Check: setup.Name, Doc: "name of the fleet, to which the data folder belongs from then on"},
 	{Name: "name", Check: setup.Name, Doc: "name of this machine; it keeps its place in the core set under this name"},
 	{Name: "zone", Check: setup.Name, Doc: "zone of this machine"},
@@ -28,10 +28,10 @@
 }
 
 func main() {
-	os.Exit(setup.RunProgram("dscore", "control state, operator API and placement of drumstall", rows, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
+	os.Exit(setup.RunProgram("dscore", "control state, operator API and placement of drumstall", settings, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		c, err := core.Start(core.Settings{Fleet: s["fleet"], Name: s["name"], Zone: s["zone"], Addr: s["addr"], Operator: s["operator"], Seeds: s.List("seeds"),
 			Folder: s["folder"], Cores: s.Int("cores"), Replaces: s["replaces"], Platform: s["platform"]},
-			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), FS: vfs.Default, Log: ring.New(os.Stderr, 2000)})
+			core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), FS: vfs.Default, Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/cmd/dscore/main_test.go
+++ b/cmd/dscore/main_test.go
@@ -6,4 +6,4 @@
 	"drumstall.example/internal/kernel/setup/settest"
 )
 
-func TestExampleSettings(t *testing.T) { settest.CheckExamples(t, "dscore", rows) }
+func TestExampleSettings(t *testing.T) { settest.CheckExamples(t, "dscore", settings) }
--- a/cmd/dsctl/client.go
+++ b/cmd/dsctl/client.go
@@ -15,32 +15,34 @@
 )
 
 // coded is an error with an exit code: 0 done, 1 refused or failed, 2 wrong usage, 3 outcome unknown, 4 stale serial.
-type coded struct {
+type exitError struct {
 	code int
 	err  error
 }
 
 // Error is the error's text, without the code.
-func (c coded) Error() string { return c.err.Error() }
+func (c exitError) Error() string { return c.err.Error() }
 
 // usage says what is wrong with the command line.
-func usage(format string, args ...any) error { return coded{2, errors.Errorf(format, args...)} }
+func usageErrorf(format string, args ...any) error {
+	return exitError{2, errors.Errorf(format, args...)}
+}
 
 // ctl is what all commands share.
-type ctl struct {
+type client struct {
 	cores   string
 	timeout time.Duration
 	out     io.Writer
-	errw    io.Writer
+	errOut  io.Writer
 	// contentType of what is sent: JSON, or YAML for Kubernetes-style objects.
 	contentType string
 }
 
 // call tries the cores in turn until one answers; a request that may have been
 // taken is not tried elsewhere.
-func (c *ctl) call(ctx context.Context, method, path string, body []byte, header map[string]string) (*http.Response, []byte, error) {
+func (c *client) call(ctx context.Context, method, path string, body []byte, header map[string]string) (*http.Response, []byte, error) {
 	if rule := setup.Addresses(c.cores); rule != "" {
-		return nil, nil, usage("setting cores = %q %s", c.cores, rule)
+		return nil, nil, usageErrorf("setting cores = %q %s", c.cores, rule)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -57,27 +59,27 @@
 		if err != nil {
 			last = err
 			if method != http.MethodGet && !strings.Contains(err.Error(), "connection refused") {
-				return nil, nil, coded{3, errors.Wrap(err, "outcome unknown; read it back")}
+				return nil, nil, exitError{3, errors.Wrap(err, "outcome unknown; read it back")}
 			}
 			continue
 		}
 		b, err := io.ReadAll(res.Body)
 		_ = res.Body.Close()
 		if err != nil {
-			return nil, nil, coded{3, err}
+			return nil, nil, exitError{3, err}
 		}
 		// Why: a core without a quorum may be cut off while the next one is not.
 		if res.StatusCode == http.StatusServiceUnavailable && res.Header.Get("Drumstall-Outcome") == "not-run" {
 			last = errors.New(string(bytes.TrimSpace(b)))
 			continue
 		}
-		return res, b, told(res, b)
+		return res, b, responseError(res, b)
 	}
-	return nil, nil, coded{1, errors.Wrap(last, "no core could answer")}
+	return nil, nil, exitError{1, errors.Wrap(last, "no core could answer")}
 }
 
 // told makes an error of an answer that is a refusal.
-func told(res *http.Response, b []byte) error {
+func responseError(res *http.Response, b []byte) error {
 	if res.StatusCode < 300 {
 		return nil
 	}
@@ -86,7 +88,7 @@
 		Faults                []string
 	}
 	if json.Unmarshal(b, &d) != nil {
-		return coded{1, errors.Errorf("status %d: %s", res.StatusCode, b)}
+		return exitError{1, errors.Errorf("status %d: %s", res.StatusCode, b)}
 	}
 	text := d.Detail
 	for _, f := range d.Faults {
@@ -99,11 +101,11 @@
 	case res.Header.Get("Drumstall-Outcome") == "unknown":
 		code = 3
 	}
-	return coded{code, errors.New(text)}
+	return exitError{code, errors.New(text)}
 }
 
 // compact takes the blanks out of JSON; what is not JSON stays as it is.
-func compact(b []byte) []byte {
+func compactJSON(b []byte) []byte {
 	var out bytes.Buffer
 	if json.Compact(&out, b) != nil {
 		return b
@@ -112,7 +114,7 @@
 }
 
 // indented sets JSON in lines; what is not JSON stays as it is. No line end follows.
-func indented(b []byte) []byte {
+func indentJSON(b []byte) []byte {
 	var pretty bytes.Buffer
 	if json.Indent(&pretty, b, "", "  ") == nil {
 		b = pretty.Bytes()
--- a/cmd/dsctl/main.go
+++ b/cmd/dsctl/main.go
@@ -22,74 +22,74 @@
 )
 
 // unknown is what a command that only holds others does: help, and the word it does not know.
-func unknown(_ context.Context, args []string) error {
+func groupExec(_ context.Context, args []string) error {
 	if len(args) > 0 {
-		return usage("no command %q; --help lists them", args[0])
+		return usageErrorf("no command %q; --help lists them", args[0])
 	}
 	return flag.ErrHelp
 }
 
 // flags makes the empty flag set of a command.
-func (c *ctl) flags(name string) *flag.FlagSet {
+func (c *client) flags(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet("dsctl "+name, flag.ContinueOnError)
-	fs.SetOutput(c.errw)
+	fs.SetOutput(c.errOut)
 	return fs
 }
 
 // leaf makes a command that does something.
-func leaf(name, use, help string, fs *flag.FlagSet, f func(context.Context, []string) error) *ffcli.Command {
+func newCommand(name, use, help string, fs *flag.FlagSet, f func(context.Context, []string) error) *ffcli.Command {
 	return &ffcli.Command{Name: name, ShortUsage: "dsctl [settings] " + use, ShortHelp: help, FlagSet: fs, Exec: f}
 }
 
 // shower makes a command that shows what the cores answer at a path.
-func (c *ctl) shower(name, help, path string) *ffcli.Command {
-	return leaf(name, name, help, c.flags(name), func(ctx context.Context, _ []string) error { return c.show(ctx, path) })
+func (c *client) showCommand(name, help, path string) *ffcli.Command {
+	return newCommand(name, name, help, c.flags(name), func(ctx context.Context, _ []string) error { return c.show(ctx, path) })
 }
 
 // explain is the command that shows placement decisions.
-func (c *ctl) explain() *ffcli.Command {
+func (c *client) explainCommand() *ffcli.Command {
 	var model string
 	fs := c.flags("explain")
 	fs.StringVar(&model, "model", "", "only decisions about this model or MODEL/ADAPTER")
-	return leaf("explain", "explain [--model M]", "placement decisions, verdict by verdict", fs, func(ctx context.Context, _ []string) error {
+	return newCommand("explain", "explain [--model M]", "placement decisions, verdict by verdict", fs, func(ctx context.Context, _ []string) error {
 		return c.show(ctx, "/v1/explain?model="+url.QueryEscape(model))
 	})
 }
 
 // show prints what the cores answer at a path, as indented JSON where it is JSON.
-func (c *ctl) show(ctx context.Context, path string) error {
+func (c *client) show(ctx context.Context, path string) error {
 	_, b, err := c.call(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
 		return err
 	}
-	_, err = c.out.Write(append(indented(b), '\n'))
+	_, err = c.out.Write(append(indentJSON(b), '\n'))
 	return err
 }
 
 // top is the whole tree of commands.
-func (c *ctl) top() *ffcli.Command {
+func (c *client) rootCommand() *ffcli.Command {
 	root := flag.NewFlagSet("dsctl", flag.ContinueOnError)
-	root.SetOutput(c.errw)
+	root.SetOutput(c.errOut)
 	root.StringVar(&c.cores, "cores", os.Getenv("DSCTL_CORES"), "up to three IP:PORT of cores' operator addresses, tried in turn (or DSCTL_CORES)")
 	root.DurationVar(&c.timeout, "timeout", 10*time.Second, "how long to wait for an answer")
 	return &ffcli.Command{
-		Name: "dsctl", ShortUsage: "dsctl [settings] COMMAND", FlagSet: root, Exec: unknown,
+		Name: "dsctl", ShortUsage: "dsctl [settings] COMMAND", FlagSet: root, Exec: groupExec,
 		LongHelp: "Exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 outcome unknown, 4 the serial is not the current one.",
 		Subcommands: []*ffcli.Command{
-			c.config(),
-			c.shower("status", "members, slots, replicas, configuration in force and laggards", "/v1/status"),
-			c.explain(),
-			c.runbooks(),
-			c.shower("logs", "the log lines a core keeps in memory", "/v1/logs"),
+			c.configGroup(),
+			c.showCommand("status", "members, slots, replicas, configuration in force and laggards", "/v1/status"),
+			c.explainCommand(),
+			c.runbookGroup(),
+			c.showCommand("logs", "the log lines a core keeps in memory", "/v1/logs"),
 		},
 	}
 }
 
 // run carries out one command line and gives the exit code.
 func run(ctx context.Context, args []string, out, errw io.Writer) int {
-	c := &ctl{out: out, errw: errw, contentType: "application/json"}
-	err := c.top().ParseAndRun(ctx, args)
-	var cd coded
+	c := &client{out: out, errOut: errw, contentType: "application/json"}
+	err := c.rootCommand().ParseAndRun(ctx, args)
+	var cd exitError
 	switch {
 	case err == nil:
 		return 0
--- a/cmd/dsctl/main_test.go
+++ b/cmd/dsctl/main_test.go
@@ -13,7 +13,7 @@
 )
 
 // core answers like a core's operators' API, with one status.
-func core(t *testing.T, status int, outcome, body string, seen *[]string) string {
+func startCore(t *testing.T, status int, outcome, body string, seen *[]string) string {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		*seen = append(*seen, r.Method+" "+r.URL.String()+" "+r.Header.Get("If-Match")+" "+r.Header.Get("Content-Type")+" "+string(b))
@@ -26,7 +26,7 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-func TestExitCodesAndWhoIsAsked(t *testing.T) {
+func TestExitCodesAndCoresAsked(t *testing.T) {
 	dir := t.TempDir()
 	file, objects, bad := filepath.Join(dir, "c.json"), filepath.Join(dir, "c.yaml"), filepath.Join(dir, "bad.json")
 	for p, b := range map[string]string{file: `{"models":{"m":{"sizeMib":2}}}`, objects: "kind: Model\n", bad: `{"models":{"m":{}}}`} {
@@ -35,11 +35,11 @@
 		}
 	}
 	var seen []string
-	ok := core(t, 200, "ran", `{"models":{"m":{"sizeMib":1},"n":{"sizeMib":3}}}`, &seen)
-	none := core(t, 503, "not-run", `{"detail":"no quorum; nothing was kept"}`, &seen)
-	lost := core(t, 503, "unknown", `{"detail":"it is not known"}`, &seen)
-	stale := core(t, 412, "not-run", `{"detail":"the serial now is 9"}`, &seen)
-	wrong := core(t, 400, "not-run", `{"detail":"refused whole","faults":["models/m.sizeMib: must be given"]}`, &seen)
+	ok := startCore(t, 200, "ran", `{"models":{"m":{"sizeMib":1},"n":{"sizeMib":3}}}`, &seen)
+	none := startCore(t, 503, "not-run", `{"detail":"no quorum; nothing was kept"}`, &seen)
+	lost := startCore(t, 503, "unknown", `{"detail":"it is not known"}`, &seen)
+	stale := startCore(t, 412, "not-run", `{"detail":"the serial now is 9"}`, &seen)
+	wrong := startCore(t, 400, "not-run", `{"detail":"refused whole","faults":["models/m.sizeMib: must be given"]}`, &seen)
 	for _, c := range []struct {
 		args string
 		code int
--- a/cmd/dsproxy/main.go
+++ b/cmd/dsproxy/main.go
@@ -13,7 +13,7 @@
 	"drumstall.example/internal/proxy"
 )
 
-var rows = []setup.Setting{
+var settings = []setup.Setting{
 	{Name: "name", Check: setup.Name, Doc: "name of this machine"},
 	{Name: "zone", Check: setup.Name, Doc: "zone of this machine"},
 	{Name: "callers", Check: setup.Address, Doc: "IP:PORT for callers, HTTP"},
@@ -22,9 +22,9 @@
 }
 
 func main() {
-	os.Exit(setup.RunProgram("dsproxy", "traffic of drumstall", rows, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
+	os.Exit(setup.RunProgram("dsproxy", "traffic of drumstall", settings, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		p, err := proxy.Start(proxy.Settings{Name: s["name"], Zone: s["zone"], CallerAddr: s["callers"], Agent: s["agent"], Platform: s["platform"]},
-			core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(os.Stderr, 2000)})
+			core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), Log: ring.New(os.Stderr, 2000)})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/cmd/dsreplay/main.go
+++ b/cmd/dsreplay/main.go
@@ -12,7 +12,7 @@
 	"drumstall.example/internal/stand"
 )
 
-var rows = []setup.Setting{
+var settings = []setup.Setting{
 	{Name: "deployment", Default: "cascadia", Check: setup.OneOf("cascadia", "fotofamilia"), Doc: "cascadia or fotofamilia"},
 	{Name: "days", Default: "10", Check: setup.IntRange(8, 60), Doc: "days; the first seven only make history"},
 	{Name: "scale", Default: "100", Check: setup.IntRange(1, 2000), Doc: "traffic in percent of the deployment's"},
@@ -22,7 +22,7 @@
 }
 
 func main() {
-	s, code, done := setup.Read("dsreplay", "simulated days through the placement code, policies compared", rows, os.Args[1:], os.Stdout, os.Stderr)
+	s, code, done := setup.Read("dsreplay", "simulated days through the placement code, policies compared", settings, os.Args[1:], os.Stdout, os.Stderr)
 	if done {
 		os.Exit(code)
 	}
--- a/cmd/dsstand/main.go
+++ b/cmd/dsstand/main.go
@@ -15,7 +15,7 @@
 	"drumstall.example/internal/stand"
 )
 
-var rows = []setup.Setting{
+var settings = []setup.Setting{
 	{Name: "role", Check: setup.OneOf("model", "service", "platform"), Doc: "model, service or platform"},
 	{Name: "id", Default: "stand-in", Check: setup.Name, Doc: "name of the replica"},
 	{Name: "addr", Check: setup.Address, Doc: "IP:PORT to answer at"},
@@ -29,11 +29,11 @@
 	{Name: "piece", Default: "40ms", Check: setup.DurationRange(0, time.Minute), Doc: "time for one piece"},
 	{Name: "cold", Default: "100ms", Check: setup.DurationRange(0, time.Minute), Doc: "more time for each KiB of a prompt that is not warm"},
 	{Name: "prefixes", Default: "2000", Check: setup.IntRange(0, 1<<20), Doc: "blocks of 128 bytes of prompts it keeps warm"},
-	{Name: "holds", Check: holds, Doc: "models it brings along, as NAME:MIB, separated by commas"},
+	{Name: "holds", Check: checkHolds, Doc: "models it brings along, as NAME:MIB, separated by commas"},
 	{Name: "rate", Default: "2500", Check: setup.IntRange(1, 1<<20), Doc: "MiB a second read from the weight store"},
 }
 
-func holds(v string) string {
+func checkHolds(v string) string {
 	for _, h := range (setup.Settings{"holds": v}).List("holds") {
 		name, size, _ := strings.Cut(h, ":")
 		if n, err := strconv.Atoi(size); err != nil || n < 1 || setup.Name(name) != "" {
@@ -44,7 +44,7 @@
 }
 
 func main() {
-	os.Exit(setup.RunProgram("dsstand", "stand-in for what drumstall meets outside", rows, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
+	os.Exit(setup.RunProgram("dsstand", "stand-in for what drumstall meets outside", settings, func(s setup.Settings) (func(context.Context) error, func() bool, error) {
 		zero, err := time.Parse(time.RFC3339Nano, s["zero"])
 		if err != nil {
 			return nil, nil, err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -131,7 +131,7 @@
 
 // pollsPlatform reports whether this agent queries the platform's list itself.
 func (a *Agent) pollsPlatform() bool {
-	return a.s.Cadence.ListSpare == 0 || a.touch.SinceContact() > a.s.Cadence.ListSpare
+	return a.s.Cadence.ListFallback == 0 || a.touch.SinceContact() > a.s.Cadence.ListFallback
 }
 
 // gossipTree returns the tree along which this agent gossips in a large fleet.
--- a/internal/agent/feed_report_test.go
+++ b/internal/agent/feed_report_test.go
@@ -17,7 +17,7 @@
 func TestFeedReportDiffsRebuildFullReport(t *testing.T) {
 	for seed := range uint64(100) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		a := &Agent{s: Settings{Name: "e", Zone: "z"}, env: core.Env{Clock: tick.Machine()}}
+		a := &Agent{s: Settings{Name: "e", Zone: "z"}, env: core.Env{Clock: tick.MachineClock()}}
 		now := report.Report{Agent: "e", Zone: "z", Boot: "b", Demand: map[string]uint64{}}
 		var base report.Report
 		for range 60 {
@@ -52,7 +52,7 @@
 }
 
 func TestDiffFromAnotherProxyBootIsRejected(t *testing.T) {
-	a := &Agent{s: Settings{Name: "e"}, env: core.Env{Clock: tick.Machine()}}
+	a := &Agent{s: Settings{Name: "e"}, env: core.Env{Clock: tick.MachineClock()}}
 	first := report.Report{Boot: "b", Version: 1, Demand: map[string]uint64{"m": 7}}
 	a.mergeFeedReport(first)
 	other := report.Report{Boot: "c", Version: 2}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -154,7 +154,7 @@
 func (c *Native) Close() { c.http.CloseIdleConnections() }
 
 func (c *Native) clientFor(addr string) *client.Client {
-	return client.NewClient("http", addr, httpapi.Bounded{HTTP: c.http, Max: 4 << 20}, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	return client.NewClient("http", addr, httpapi.LimitedClient{HTTP: c.http, MaxBytes: 4 << 20}, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 }
 
 // Report requests the report of a replica; a report with an ID other than the target's is invalid.
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -79,7 +79,9 @@
 )
 
 // ReadBackoff returns the wait that a follower of the newest configuration keeps between two reads.
-func ReadBackoff() rest.Rest { return rest.Rest{Times: readBackoffFactor, Most: maxReadBackoff} }
+func ReadBackoff() rest.Throttle {
+	return rest.Throttle{Factor: readBackoffFactor, MaxPause: maxReadBackoff}
+}
 
 // RenderJSON returns the stored objects as one JSON document.
 func RenderJSON(k Stored) []byte {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -33,7 +33,7 @@
 // back-off after reading one, only the newest is read.
 func (c *Core) applyConf() {
 	began := c.env.Clock.Since()
-	if c.readBackoff.Left(began) > 0 || !c.confPending.Swap(false) {
+	if c.readBackoff.Remaining(began) > 0 || !c.confPending.Swap(false) {
 		return
 	}
 	e, found := c.gossip.Get(conf.Key)
@@ -46,7 +46,7 @@
 		return
 	}
 	ended := c.env.Clock.Since()
-	c.readBackoff.Worked(began, ended)
+	c.readBackoff.Record(began, ended)
 	c.conf.Store(&read.effective)
 	c.serial.Store(read.serial)
 	c.log.Info("configuration in force", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "serial", read.serial, "tookMs", (ended - began).Milliseconds())
@@ -131,7 +131,7 @@
 // all agents ask at once, and the owner's link cannot send the document to each of them.
 func (c *Core) confirm(ctx context.Context, q NewestQuery) (Newest, error) {
 	if q.StampOnly {
-		return c.newestStamp.Ask(ctx)
+		return c.newestStamp.Get(ctx)
 	}
 	return c.queryNewest(ctx, q)
 }
@@ -154,7 +154,7 @@
 func (c *Core) Newest(ctx context.Context) (conf.Stored, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	n, err := c.newestStamp.Ask(ctx)
+	n, err := c.newestStamp.Get(ctx)
 	if err == nil && n.Found && n.Entry.ValueOmitted {
 		n, err = c.document(ctx, n)
 	}
--- a/internal/core/consider.go
+++ b/internal/core/consider.go
@@ -28,7 +28,7 @@
 // considerAllLocal asks the local controllers of several replicas concurrently, as a dry run. It
 // takes at most 3/4 of the caller's timeout, so that one slow controller does not delay the other answers past it.
 func (c *Core) considerAllLocal(ctx context.Context, q order.ConsiderBatchRequest) []order.ConsiderResponse {
-	ctx, cancel := context.WithTimeout(ctx, c.s.Cadence.Ask*3/4)
+	ctx, cancel := context.WithTimeout(ctx, c.s.Cadence.AskTimeout*3/4)
 	defer cancel()
 	return c.considerEach(q, func(one order.ConsiderRequest) (order.ConsiderResponse, error) { return c.considerLocal(ctx, one) })
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -113,9 +113,9 @@
 	checked             atomic.Pointer[checkedConf]
 	confPending         atomic.Bool // a configuration has arrived and is not read yet
 	confNudge           *run.Trigger
-	newestStamp         *flight.Shared[Newest] // coalesces queries to the owner for the newest stamp
-	readBackoff         rest.Rest              // between reads of configurations; owned by the actor of confNudge
-	controllers         map[string]*controlled // owned by the actor of reconcileControllers
+	newestStamp         *flight.Coalescer[Newest] // coalesces queries to the owner for the newest stamp
+	readBackoff         rest.Throttle             // between reads of configurations; owned by the actor of confNudge
+	controllers         map[string]*controlled    // owned by the actor of reconcileControllers
 	controllersSnapshot atomic.Pointer[map[string]*order.Controller]
 	absentSince         map[string]time.Duration
 	preferred           preference
@@ -199,7 +199,7 @@
 		ownQuarantine = 0
 	}
 	c.owner = owner.New(owner.Deps{Self: c.self, Group: c.group, Clock: env.Clock, Log: c.log, Caller: c.caller, Acceptor: c.acceptor,
-		Addr: c.addrOf, Rank: c.voters, OnVoterBehind: func(v state.Core) { c.coreSet.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, RestartQuarantine: ownQuarantine, HandbackDelay: s.Cadence.Handback, OnAcquire: c.onSlotAcquired})
+		Addr: c.addrOf, Rank: c.voters, OnVoterBehind: func(v state.Core) { c.coreSet.UpdateBehind(v) }, Quarantine: s.Bounds.Lease, RestartQuarantine: ownQuarantine, HandbackDelay: s.Cadence.HandbackDelay, OnAcquire: c.onSlotAcquired})
 	c.lag = load.NewLagMonitor(c.group, env.Clock)
 	c.planner = plan.New(plan.Deps{Group: c.group, Clock: env.Clock, Log: c.log, Self: s.Name, Cadence: s.Cadence, Store: s.Bounds.Store, Owner: c.owner, Gossip: c.gossip,
 		Reports: c.reports, Conf: c.effective, Statuses: c.views.Statuses, Consider: c.consider, ConsiderAll: c.considerAll, SharePredictions: c.sharePredictions, Busy: c.lag.Busy})
@@ -207,7 +207,7 @@
 		Send: func(ctx context.Context, addr string, b relay.Batch) (relay.Response, error) {
 			return wire.CallEncoded[relay.Response](ctx, c.caller, addr, relay.Path, wire.EncodeMessage(b))
 		}, Busy: c.lag.Busy})
-	c.coreSet = coremembers.New(coremembers.Deps{Self: c.self, FormationSize: s.Cores, InitialAddrs: s.InitialAddrs, MayBootstrap: s.MayBootstrap, TargetSize: 2*s.Bounds.Tolerated + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
+	c.coreSet = coremembers.New(coremembers.Deps{Self: c.self, FormationSize: s.Cores, InitialAddrs: s.InitialAddrs, MayBootstrap: s.MayBootstrap, TargetSize: 2*s.Bounds.ToleratedCores + 1, Replaces: s.Replaces, Group: c.group, Log: c.log, Caller: c.caller,
 		Acceptor: c.acceptor, Owner: c.owner, Live: c.liveCores, Addr: c.addrOf, Absence: c.absence, SinceContact: c.sinceContact}, c.mux)
 	c.watch.Start(c.group, s.Cadence.List, func() bool { return true })
 	c.newestStamp = flight.New(c.group, func(ctx context.Context) (Newest, error) {
--- a/internal/gossip/push_test.go
+++ b/internal/gossip/push_test.go
@@ -83,7 +83,7 @@
 	srv := wire.NewServer(ln, mux)
 	n.group.Go(srv.Run)
 	n.group.Go(post.Run)
-	s := NewDisseminator(n.group, table, slog.New(slog.DiscardHandler), post, caller, mux, func() string { return n.addrs[i] }, func() []string { return peers }, n.treeOf(i), touch.New(tick.Machine()))
+	s := NewDisseminator(n.group, table, slog.New(slog.DiscardHandler), post, caller, mux, func() string { return n.addrs[i] }, func() []string { return peers }, n.treeOf(i), touch.New(tick.MachineClock()))
 	n.tables, n.disseminators, n.callers = append(n.tables, table), append(n.disseminators, s), append(n.callers, caller)
 	return func() {
 		srv.Close()
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -71,7 +71,7 @@
 
 // List queries the platform once and drops invalid entries.
 func (l *nativeLister) List(ctx context.Context) ([]Listed, error) {
-	c := client.NewClient("http", l.addr, httpapi.Bounded{HTTP: l.http, Max: 16 << 20}, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	c := client.NewClient("http", l.addr, httpapi.LimitedClient{HTTP: l.http, MaxBytes: 16 << 20}, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := c.List()(ctx, nil)
 	if err != nil {
 		return nil, err
--- a/internal/kernel/bounds/bounds.go
+++ b/internal/kernel/bounds/bounds.go
@@ -18,7 +18,7 @@
 	// Store bounds the loads that begin at the weight store.
 	Store Store
 	// Tolerated is how many cores may be lost at one time.
-	Tolerated int
+	ToleratedCores int
 }
 
 // Retry bounds attempts beyond the first of each request to a service: in any
@@ -40,7 +40,7 @@
 // Default is what holds where a deployment says nothing.
 func Default() Bounds {
 	return Bounds{Drain: 3 * time.Second, Lease: 3 * time.Second, Retry: Retry{Ratio: 0.2},
-		Store: Store{Window: 5 * time.Second, Overrun: 1}, Tolerated: 1}
+		Store: Store{Window: 5 * time.Second, Overrun: 1}, ToleratedCores: 1}
 }
 
 // OrDefault fills what was left out.
@@ -61,14 +61,14 @@
 	if b.Store.Overrun == 0 {
 		b.Store.Overrun = d.Store.Overrun
 	}
-	if b.Tolerated == 0 {
-		b.Tolerated = d.Tolerated
+	if b.ToleratedCores == 0 {
+		b.ToleratedCores = d.ToleratedCores
 	}
 	return b
 }
 
 // Starts is how many loads may begin in any window at a store of some rate a second.
-func (s Store) Starts(perSecond float64) int {
+func (s Store) MaxStarts(perSecond float64) int {
 	return max(1, int(perSecond*s.Window.Seconds()*s.Overrun)+s.Extra)
 }
 
@@ -80,41 +80,41 @@
 	ReplicaBusy time.Duration
 	// ProxiesAsk says that each proxy asks each replica for its report too;
 	// otherwise proxies go by what controllers tell and by what answers say.
-	ProxiesAsk bool
+	ProxiesPoll bool
 	// List is how often a core asks the platform which replicas there are.
 	List time.Duration
 	// ListSpare is after how long without word of the list an agent asks by
 	// itself; 0 lets every agent ask as often as a core.
-	ListSpare time.Duration
+	ListFallback time.Duration
 	// Plan is how often misses are looked at, and Again the least time between
 	// two decisions about one item.
-	Plan  time.Duration
-	Again time.Duration
+	Plan             time.Duration
+	DecisionInterval time.Duration
 	// Share is how often planners tell one another their predictions.
-	Share time.Duration
+	SharePredictions time.Duration
 	// Report is how often an agent passes its proxy's report to the cores.
 	Report time.Duration
 	// Keep is how often demand history is written to the control state.
-	Keep time.Duration
+	PersistDemand time.Duration
 	// Ask is how long a planner waits for a controller's answer.
-	Ask time.Duration
+	AskTimeout time.Duration
 	// Tasks is how many loads one controller takes on at a time.
-	Tasks int
+	MaxLoads int
 	// Handback is how long a core keeps a slot that another is preferred for.
-	Handback time.Duration
+	HandbackDelay time.Duration
 	// Hold is how long a request waits for an item that nobody holds without any
 	// word from a controller.
-	Hold time.Duration
+	NoHolderTimeout time.Duration
 	// Start is how long a proxy that has just started keeps requests waiting
 	// until it knows what is in force, rather than turning them away; 0 is not at all.
-	Start time.Duration
+	StartupHold time.Duration
 }
 
 // DefaultCadence is for a fleet whose replicas may be asked at any time.
 func DefaultCadence() Cadence {
-	return Cadence{ReplicaIdle: 200 * time.Millisecond, ReplicaBusy: 200 * time.Millisecond, ProxiesAsk: true,
-		List: 500 * time.Millisecond, Plan: 250 * time.Millisecond, Again: time.Second, Share: 2 * time.Second,
-		Report: 500 * time.Millisecond, Keep: 20 * time.Second, Hold: 2500 * time.Millisecond, Ask: 1500 * time.Millisecond, Tasks: 8, Handback: 4 * time.Second}
+	return Cadence{ReplicaIdle: 200 * time.Millisecond, ReplicaBusy: 200 * time.Millisecond, ProxiesPoll: true,
+		List: 500 * time.Millisecond, Plan: 250 * time.Millisecond, DecisionInterval: time.Second, SharePredictions: 2 * time.Second,
+		Report: 500 * time.Millisecond, PersistDemand: 20 * time.Second, NoHolderTimeout: 2500 * time.Millisecond, AskTimeout: 1500 * time.Millisecond, MaxLoads: 8, HandbackDelay: 4 * time.Second}
 }
 
 // OrDefault is the default cadence where none was given.
--- a/internal/kernel/httpapi/httpapi.go
+++ b/internal/kernel/httpapi/httpapi.go
@@ -19,22 +19,22 @@
 )
 
 // Quiet drops what goa could not encode; the connection has gone by then.
-func Quiet(context.Context, http.ResponseWriter, error) {}
+func IgnoreEncodeError(context.Context, http.ResponseWriter, error) {}
 
 // Formatter leaves the form of errors to the design.
 var Formatter func(ctx context.Context, err error) goahttp.Statuser
 
 // Bounded is a doer for goa's clients that takes no more of an answer than Max.
-type Bounded struct {
-	HTTP *http.Client
-	Max  int64
+type LimitedClient struct {
+	HTTP     *http.Client
+	MaxBytes int64
 }
 
 // Do sends a request.
-func (b Bounded) Do(r *http.Request) (*http.Response, error) {
+func (b LimitedClient) Do(r *http.Request) (*http.Response, error) {
 	res, err := b.HTTP.Do(r)
 	if err == nil {
-		res.Body = http.MaxBytesReader(nil, res.Body, b.Max)
+		res.Body = http.MaxBytesReader(nil, res.Body, b.MaxBytes)
 	}
 	return res, err
 }
--- a/internal/kernel/ring/lines_test.go
+++ b/internal/kernel/ring/lines_test.go
@@ -63,7 +63,7 @@
 func logLines(t *testing.T, folders ...string) []string {
 	var out []string
 	for _, folder := range folders {
-		err := source.Files(folder, 0, func(_ string, file *ast.File) error {
+		err := source.ParseFiles(folder, 0, func(_ string, file *ast.File) error {
 			ast.Inspect(file, func(n ast.Node) bool {
 				if call, isCall := n.(*ast.CallExpr); isCall {
 					if row, ok := logCall(call); ok {
--- a/internal/kernel/sample/sample.go
+++ b/internal/kernel/sample/sample.go
@@ -16,22 +16,22 @@
 
 // Reservoir picks some of those it is shown, each as likely as any other, and holds no more than that.
 type Reservoir[T any] struct {
-	most   int
+	size   int
 	seen   int
 	picked []T
 }
 
 // NewReservoir picks up to most.
-func NewReservoir[T any](most int) Reservoir[T] { return Reservoir[T]{most: most} }
+func NewReservoir[T any](most int) Reservoir[T] { return Reservoir[T]{size: most} }
 
 // Show offers one more.
-func (r *Reservoir[T]) Show(one T) {
+func (r *Reservoir[T]) Add(one T) {
 	r.seen++
-	if len(r.picked) < r.most {
+	if len(r.picked) < r.size {
 		r.picked = append(r.picked, one)
 		return
 	}
-	if at := rand.IntN(r.seen); at < r.most {
+	if at := rand.IntN(r.seen); at < r.size {
 		r.picked[at] = one
 	}
 }
--- a/internal/kernel/sample/sample_test.go
+++ b/internal/kernel/sample/sample_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestASampleHasNoneTwiceAndLeavesTheRestAlone(t *testing.T) {
+func TestSampleHasNoDuplicatesAndKeepsInput(t *testing.T) {
 	for size := range 6 {
 		all := make([]int, size)
 		for i := range all {
@@ -31,7 +31,7 @@
 }
 
 // Each is picked about as often as any other.
-func TestASampleIsFair(t *testing.T) {
+func TestSampleIsUniform(t *testing.T) {
 	const (
 		rounds = 6000
 		size   = 6
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestAReservoirHoldsNoMoreThanItPicksAndIsFair(t *testing.T) {
+func TestReservoirIsBoundedAndUniform(t *testing.T) {
 	const (
 		rounds = 6000
 		size   = 6
@@ -61,7 +61,7 @@
 		for range rounds {
 			r := NewReservoir[int](most)
 			for x := range size {
-				r.Show(x)
+				r.Add(x)
 			}
 			got := slices.Clone(r.Picked())
 			slices.Sort(got)
--- a/internal/kernel/setup/build_test.go
+++ b/internal/kernel/setup/build_test.go
@@ -22,7 +22,7 @@
 		`"drumstall.example/internal/sim/process"`: {filepath.Join("cmd", "dsfleet"), filepath.Join("cmd", "dsscale")},
 	}
 	seen := 0
-	err := source.Files(root, parser.ImportsOnly, func(path string, f *ast.File) error {
+	err := source.ParseFiles(root, parser.ImportsOnly, func(path string, f *ast.File) error {
 		folder, err := filepath.Rel(root, filepath.Dir(path))
 		if err != nil {
 			return err
--- a/internal/kernel/source/source.go
+++ b/internal/kernel/source/source.go
@@ -11,7 +11,7 @@
 )
 
 // Files parses every Go file below a folder that is not a test, and gives each with its path.
-func Files(folder string, mode parser.Mode, do func(path string, file *ast.File) error) error {
+func ParseFiles(folder string, mode parser.Mode, do func(path string, file *ast.File) error) error {
 	return filepath.WalkDir(folder, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
--- a/internal/kernel/tick/tick.go
+++ b/internal/kernel/tick/tick.go
@@ -16,12 +16,12 @@
 	Wall() time.Time
 }
 
-type machine struct{}
+type machineClock struct{}
 
 // Machine reads the clocks of this machine.
-func Machine() Clock { return machine{} }
+func MachineClock() Clock { return machineClock{} }
 
-func (machine) Since() time.Duration {
+func (machineClock) Since() time.Duration {
 	var ts unix.Timespec
 	// Why: Go's monotonic clock stops while a machine is suspended, a lease does not.
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -30,4 +30,4 @@
 	return time.Duration(ts.Nano())
 }
 
-func (machine) Wall() time.Time { return time.Now() }
+func (machineClock) Wall() time.Time { return time.Now() }
--- a/internal/kernel/wire/compat_test.go
+++ b/internal/kernel/wire/compat_test.go
@@ -18,7 +18,7 @@
 // 'package.Type number Field type'.
 func messageFields(t *testing.T, root string) []string {
 	var out []string
-	err := source.Files(root, 0, func(path string, file *ast.File) error {
+	err := source.ParseFiles(root, 0, func(path string, file *ast.File) error {
 		ast.Inspect(file, func(n ast.Node) bool {
 			spec, ok := n.(*ast.TypeSpec)
 			if !ok {
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -76,7 +76,7 @@
 	picked := sample.NewReservoir[Node](n)
 	for _, e := range t.nodes {
 		if e.node.State == Alive && e.node.Name != exclude {
-			picked.Show(e.node)
+			picked.Add(e.node)
 		}
 	}
 	return picked.Picked()
@@ -87,7 +87,7 @@
 	picked := sample.NewReservoir[Node](1)
 	for _, e := range t.nodes {
 		if e.node.State == Alive && e.node.Role == role {
-			picked.Show(e.node)
+			picked.Add(e.node)
 		}
 	}
 	for _, n := range picked.Picked() {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -58,7 +58,7 @@
 // NewHandler returns a handler that serves the API on goa's muxer.
 func NewHandler(c Control, logs *ring.Ring) http.Handler {
 	mux := httpapi.NewMuxer()
-	s := server.New(gen.NewEndpoints(&service{c, logs}), mux, httpapi.Decoder, httpapi.Encoder, httpapi.Quiet, httpapi.Formatter)
+	s := server.New(gen.NewEndpoints(&service{c, logs}), mux, httpapi.Decoder, httpapi.Encoder, httpapi.IgnoreEncodeError, httpapi.Formatter)
 	s.Mount(mux)
 	return mux
 }
--- a/internal/place/order/adapter_test.go
+++ b/internal/place/order/adapter_test.go
@@ -13,7 +13,7 @@
 func adapterController(c *fakeClock) *Controller {
 	cfg := conf.Empty()
 	cfg.Models = map[string]conf.Model{"m": {ExpectedLoadTime: 2 * time.Second, SizeMib: 100}, "n": {ExpectedLoadTime: 2 * time.Second, SizeMib: 100}}
-	ctl := &Controller{d: Deps{Clock: c, Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Cadence: bounds.Cadence{Tasks: 2}},
+	ctl := &Controller{d: Deps{Clock: c, Conf: func() conf.Effective { return cfg }, PredictedRequests: func(string) float64 { return 0 }, Cadence: bounds.Cadence{MaxLoads: 2}},
 		entries: map[conf.Item]*entry{}, traits: backend.Traits{AdapterLoadsUnlimited: true}}
 	ctl.report = backend.Report{CapacityMib: 1000, AdapterPlaces: 8}
 	ctl.entries[conf.Item{Model: "m"}] = &entry{Entry: Entry{State: backend.Loaded, SizeMib: 100}}
--- a/internal/place/order/estimate.go
+++ b/internal/place/order/estimate.go
@@ -64,7 +64,7 @@
 	if c.adapterOnly(item) {
 		return maxAdapterTasks
 	}
-	return c.d.Cadence.Tasks
+	return c.d.Cadence.MaxLoads
 }
 
 // taskMs returns the expected time of the loads of an item, including that of its model unless it is loaded.
--- a/internal/place/order/lease_test.go
+++ b/internal/place/order/lease_test.go
@@ -102,7 +102,7 @@
 						time.Sleep(200 * time.Millisecond) // the rate limiter is distant
 						return 0, true
 					}}, inventory.Listed{ID: "r", Addr: "10.0.0.2:9000", Model: true})
-				for accepted := 0; accepted < bounds.DefaultCadence().Tasks; {
+				for accepted := 0; accepted < bounds.DefaultCadence().MaxLoads; {
 					time.Sleep(50 * time.Millisecond)
 					for i := range 12 {
 						if a, err := ctl.Consider(t.Context(), ConsiderRequest{Replica: "r", Item: fmt.Sprint("m", i), SkipTest: true}); err == nil && a.Accepted {
--- a/internal/place/plan/ask.go
+++ b/internal/place/plan/ask.go
@@ -17,7 +17,7 @@
 // may have accepted the load although no answer arrived. Several calls run
 // concurrently, so it must not modify shared state.
 func (p *Planner) askController(ctx context.Context, d Decision, controller, replica string, dry bool) (a order.ConsiderResponse, unsure bool) {
-	askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
+	askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.AskTimeout)
 	defer cancel()
 	a, err := p.d.Consider(askCtx, controller, d.considerRequest(replica, dry))
 	if err != nil {
@@ -78,7 +78,7 @@
 // askBatch asks one controller about several replicas, without ordering a load.
 func (p *Planner) askBatch(ctx context.Context, d Decision, controller string, replicas []string) []order.ConsiderResponse {
 	if p.d.ConsiderAll != nil && len(replicas) > 1 {
-		askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.Ask)
+		askCtx, cancel := context.WithTimeout(ctx, p.d.Cadence.AskTimeout)
 		defer cancel()
 		return p.d.ConsiderAll(askCtx, controller, order.ConsiderBatchRequest{Request: d.considerRequest("", true), Replicas: replicas})
 	}
--- a/internal/place/plan/ask_test.go
+++ b/internal/place/plan/ask_test.go
@@ -27,7 +27,7 @@
 	answer := func(replica string) order.ConsiderResponse {
 		return order.ConsiderResponse{Why: replica, Accepted: replica == "d" || replica == "e", Starts: 1, VictimPenalty: map[string]float64{"d": 2, "e": 1}[replica]}
 	}
-	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	p := &Planner{d: Deps{Group: g, Clock: tick.MachineClock(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Consider: func(_ context.Context, controller string, q order.ConsiderRequest) (order.ConsiderResponse, error) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -118,7 +118,7 @@
 	t.Helper()
 	g := run.NewGroup(context.Background())
 	t.Cleanup(g.Stop)
-	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Busy: busy,
+	p := &Planner{d: Deps{Group: g, Clock: tick.MachineClock(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Busy: busy,
 		Consider: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) { return answer() }}, items: map[conf.Item]*itemState{}}
 	p.actor = run.NewActor(g, 8, 0, nil)
 	d := Decision{Item: "m"}
--- a/internal/place/plan/explain_test.go
+++ b/internal/place/plan/explain_test.go
@@ -20,7 +20,7 @@
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
 	weights := map[string]float64{"room": 1, "demand": 1}
-	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	p := &Planner{d: Deps{Group: g, Clock: tick.MachineClock(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Consider: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
 			return order.ConsiderResponse{Why: "no room", IdleModels: []judge.IdleItem{{Name: "dear", SizeMib: 1, Penalty: 2}, {Name: "cheap", SizeMib: 1}}, IdleAdapters: []judge.IdleItem{{Name: "m/a", IdleFor: time.Hour}}}, nil
 		}}, items: map[conf.Item]*itemState{}}
--- a/internal/place/plan/miss.go
+++ b/internal/place/plan/miss.go
@@ -22,7 +22,7 @@
 		return Decision{}, false
 	}
 	entry := p.stateOf(it)
-	if entry == nil || now-entry.lastDecided < p.d.Cadence.Again {
+	if entry == nil || now-entry.lastDecided < p.d.Cadence.DecisionInterval {
 		return Decision{}, false
 	}
 	copies, loading := countCopies(it, statuses)
@@ -39,7 +39,7 @@
 	noHolder := cheapest == 0
 	// Where proxies follow the status published by controllers, requests for an item that is loaded no longer wait; a
 	// report that still counts them is stale.
-	if !noHolder && !delayed && copies >= copiesWanted && !p.d.Cadence.ProxiesAsk {
+	if !noHolder && !delayed && copies >= copiesWanted && !p.d.Cadence.ProxiesPoll {
 		return Decision{}, false
 	}
 	// Only the first copy may be loaded without the eviction test; a copy that is still loading counts as the first.
--- a/internal/place/plan/pacing.go
+++ b/internal/place/plan/pacing.go
@@ -192,7 +192,7 @@
 func (p *Planner) startsPerWindow() int {
 	cfg := p.d.Conf()
 	if rate := cfg.LoadsPerSecond(); rate > 0 {
-		return p.d.Store.Starts(rate)
+		return p.d.Store.MaxStarts(rate)
 	}
 	return cfg.Limits.PaceLoads
 }
--- a/internal/place/plan/plan.go
+++ b/internal/place/plan/plan.go
@@ -96,8 +96,8 @@
 	p.grantWriter = run.NewActor(d.Group, 64, 0, nil)
 	p.actor = run.NewActor(d.Group, 1024, d.Cadence.Plan, p.onTick)
 	p.replan = run.NewTrigger(p.actor, p.onTick)
-	d.Group.Every(d.Cadence.Share, p.sharePredictions)
-	d.Group.Every(d.Cadence.Keep, p.persistDemand)
+	d.Group.Every(d.Cadence.SharePredictions, p.sharePredictions)
+	d.Group.Every(d.Cadence.PersistDemand, p.persistDemand)
 	d.Group.Every(grantRefreshInterval, p.refreshGrants)
 	d.Group.Every(progressInterval, p.logProgress)
 	return p
--- a/internal/place/plan/plan_test.go
+++ b/internal/place/plan/plan_test.go
@@ -26,7 +26,7 @@
 func TestNoRefusalWhenNoCandidateAnswers(t *testing.T) {
 	g := run.NewGroup(context.Background())
 	defer g.Stop()
-	p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	p := &Planner{d: Deps{Group: g, Clock: tick.MachineClock(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Consider: func(context.Context, string, order.ConsiderRequest) (order.ConsiderResponse, error) {
 			return order.ConsiderResponse{}, errors.New("no answer")
 		}}, items: map[conf.Item]*itemState{}}
@@ -53,7 +53,7 @@
 		"only non-model replicas": {{Listed: inventory.Listed{ID: "b"}}},
 	} {
 		g := run.NewGroup(context.Background())
-		p := &Planner{d: Deps{Group: g, Clock: tick.Machine(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, items: map[conf.Item]*itemState{}}
+		p := &Planner{d: Deps{Group: g, Clock: tick.MachineClock(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, items: map[conf.Item]*itemState{}}
 		p.actor = run.NewActor(g, 8, 0, nil)
 		p.executeDecision(t.Context(), conf.Effective{}, Decision{Item: "m", NoHolder: true}, order.NewStatuses(statuses))
 		if got := p.Explain(t.Context(), "m"); len(got) != 1 || got[0].AcceptedBy != "" {
--- a/internal/place/plan/schedule.go
+++ b/internal/place/plan/schedule.go
@@ -106,7 +106,7 @@
 	if entry == nil {
 		return
 	}
-	if now-entry.lastDecided > 3*p.d.Cadence.Again {
+	if now-entry.lastDecided > 3*p.d.Cadence.DecisionInterval {
 		entry.blockedSince = 0
 	}
 	entry.lastDecided = now
--- a/internal/place/plan/schedule_test.go
+++ b/internal/place/plan/schedule_test.go
@@ -74,7 +74,7 @@
 		reports := report.NewTable()
 		loads := &acceptedLoads{items: map[string]bool{}, replicas: map[string]int{}}
 		cadence := bounds.DefaultCadence()
-		cadence.Plan, cadence.Again = 50*time.Millisecond, 10*time.Second
+		cadence.Plan, cadence.DecisionInterval = 50*time.Millisecond, 10*time.Second
 		p := New(Deps{Group: g, Clock: simhost.NewClock(), Log: ring.New(io.Discard, 10).Logger(), Self: "core-1", Cadence: cadence, Owner: own,
 			Gossip: gossip.NewTable(), Reports: reports, Conf: func() conf.Effective { return cfg }, Statuses: func() order.Statuses { return statuses },
 			SharePredictions: func(context.Context, SharedPredictions) {},
--- a/internal/proxy/dispatch_test.go
+++ b/internal/proxy/dispatch_test.go
@@ -25,7 +25,7 @@
 		g := run.NewGroup(t.Context())
 		defer g.Stop()
 		table := gossip.NewTable()
-		routes := route.NewRouter(route.Deps{Group: g, Gossip: table, Clock: tick.Machine(), Zone: func() string { return "a" },
+		routes := route.NewRouter(route.Deps{Group: g, Gossip: table, Clock: tick.MachineClock(), Zone: func() string { return "a" },
 			SinceContact: func() time.Duration { return 0 }, Edges: func() int { return 64 }})
 		version := uint64(0)
 		announce := func(id string, dark bool) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -149,11 +149,11 @@
 	p.agentFirstSeenAt.Store(-1 << 62)
 	p.peers.Store(&[]string{})
 	p.routes = route.NewRouter(route.Deps{Group: p.group, Gossip: p.gossip, Clock: env.Clock, Replicas: p.replicas, Zone: func() string { return s.Zone },
-		SinceContact: p.contact.SinceContact, Edges: func() int { return int(p.edgeCount.Load()) }, PollReplicas: s.Cadence.ProxiesAsk, Log: p.log, IsolationLimit: s.Bounds.Drain - isolationMargin})
+		SinceContact: p.contact.SinceContact, Edges: func() int { return int(p.edgeCount.Load()) }, PollReplicas: s.Cadence.ProxiesPoll, Log: p.log, IsolationLimit: s.Bounds.Drain - isolationMargin})
 	p.watch.Start(p.group, s.Cadence.List, func() bool { return p.sinceAgentSeen() > agentTimeout })
 	misses := run.NewActor(p.group, 4, 0, nil)
 	p.urgentReport = run.NewTrigger(misses, p.sendUrgentReport)
-	p.admission = admission.New(p.group, p.routes, s.Cadence.Hold, p.urgentReport.Fire)
+	p.admission = admission.New(p.group, p.routes, s.Cadence.NoHolderTimeout, p.urgentReport.Fire)
 	if err := p.listen(); err != nil {
 		p.group.Stop()
 		p.rootGroup.Stop()
@@ -172,7 +172,7 @@
 	at := map[string]http.Handler{}
 	if p.settings.CallerAddr != "" {
 		mux := httpapi.NewMuxer()
-		server.New(gen.NewEndpoints(p), mux, httpapi.Decoder, httpapi.Encoder, httpapi.Quiet, httpapi.Formatter).Mount(mux)
+		server.New(gen.NewEndpoints(p), mux, httpapi.Decoder, httpapi.Encoder, httpapi.IgnoreEncodeError, httpapi.Formatter).Mount(mux)
 		at[p.settings.CallerAddr] = p.withResponseHeaders(relay.WithReadLimit(mux, bodyReadTimeout))
 	}
 	for addr, f := range p.settings.Handlers {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -70,7 +70,7 @@
 	if p.readyWaiters.Add(1) > maxReadyWaiters {
 		return
 	}
-	for !p.confirmed.Load() && p.env.Clock.Since()-p.startedAt < p.settings.Cadence.Start && run.Sleep(ctx, pollInterval) {
+	for !p.confirmed.Load() && p.env.Clock.Since()-p.startedAt < p.settings.Cadence.StartupHold && run.Sleep(ctx, pollInterval) {
 	}
 }
 
--- a/internal/route/conf_rest_test.go
+++ b/internal/route/conf_rest_test.go
@@ -40,7 +40,7 @@
 	checkVersion("while the router rests", 1)
 	apply(3)
 	checkVersion("while the router rests", 1)
-	clock.now += time.Duration(conf.ReadBackoff().Times) * clockStep
+	clock.now += time.Duration(conf.ReadBackoff().Factor) * clockStep
 	router.renew()
 	checkVersion("after the rest", 3)
 	clock.now += time.Second
@@ -51,8 +51,8 @@
 // On a machine so slow that reading a configuration takes a second, the next one must not wait for several seconds.
 func TestConfigurationRestIsBoundedOnSlowMachine(t *testing.T) {
 	r := NewRouter(Deps{Group: stoppedGroup(), Gossip: gossip.NewTable(), Clock: &manualClock{}, Zone: func() string { return "z" }}).confRest
-	r.Worked(0, time.Second)
-	if left := r.Left(time.Second); left != conf.ReadBackoff().Most {
+	r.Record(0, time.Second)
+	if left := r.Remaining(time.Second); left != conf.ReadBackoff().MaxPause {
 		t.Errorf("the rest is %v after reading for a second", left)
 	}
 }
--- a/internal/route/renew.go
+++ b/internal/route/renew.go
@@ -92,7 +92,7 @@
 	for _, e := range newEntries {
 		rt.confPending = rt.confPending || e.Key == conf.Key
 	}
-	if !rt.confPending || rt.confRest.Left(d.now) > 0 {
+	if !rt.confPending || rt.confRest.Remaining(d.now) > 0 {
 		return false
 	}
 	rt.confPending = false
@@ -106,7 +106,7 @@
 		return false
 	}
 	ended := rt.clock.Since()
-	rt.confRest.Worked(began, ended)
+	rt.confRest.Record(began, ended)
 	if rt.deps.Log != nil {
 		rt.deps.Log.Info("configuration in force", "epoch", e.Stamp.Epoch, "version", e.Stamp.Version, "serial", kept.Serial, "tookMs", (ended - began).Milliseconds())
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -85,7 +85,7 @@
 	loadingEntries   map[string]*entry // those of entries whose replica is loading an item
 	cursor           uint64            // position up to which the gossip has been read
 	confPending      bool              // a configuration has arrived and has not been read yet
-	confRest         rest.Rest         // limits the time spent on reading configurations
+	confRest         rest.Throttle     // limits the time spent on reading configurations
 	predictionExpiry predictionExpiry
 	renewedAt        atomic.Int64           // when the table was last brought up to date, on this proxy's clock
 	departed         map[string]struct{}    // replicas that have left the table and still have live state
--- a/internal/sim/capacity/agents_test.go
+++ b/internal/sim/capacity/agents_test.go
@@ -30,7 +30,7 @@
 func fleet(cores, agents, replicas, items int) {
 	cn := NewMeter(wire.HostNetwork())
 	env := func() core.Env {
-		return core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), FS: vfs.NewMem(), Log: ring.New(io.Discard, 10)}
+		return core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), FS: vfs.NewMem(), Log: ring.New(io.Discard, 10)}
 	}
 	var addrs []string
 	for range cores {
--- a/internal/sim/capacity/onecore_test.go
+++ b/internal/sim/capacity/onecore_test.go
@@ -31,7 +31,7 @@
 }
 
 func one(replicas, agents, items int) {
-	env := core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), FS: vfs.NewMem(), Log: ring.New(io.Discard, 10)}
+	env := core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), FS: vfs.NewMem(), Log: ring.New(io.Discard, 10)}
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	addr := ln.Addr().String()
 	_ = ln.Close()
--- a/internal/sim/capacity/processor_test.go
+++ b/internal/sim/capacity/processor_test.go
@@ -121,7 +121,7 @@
 		}
 	})
 	g := run.NewGroup(context.Background())
-	env := core.Env{Net: wire.HostNetwork(), Clock: tick.Machine(), Log: ring.New(io.Discard, 10)}
+	env := core.Env{Net: wire.HostNetwork(), Clock: tick.MachineClock(), Log: ring.New(io.Discard, 10)}
 	costs("news: digest answered", "key in table", []int{100, 1000, 5000}, func(x int) func() {
 		pc, _ := net.ListenPacket("udp", "127.0.0.1:0")
 		mux := wire.NewMux()
--- a/internal/sim/fleet/spread_test.go
+++ b/internal/sim/fleet/spread_test.go
@@ -15,7 +15,7 @@
 	d := Small(3).Sized(7, 3, 4, 2, 10, 6)
 	d.Unattended = true
 	d.Cadence = bounds.DefaultCadence()
-	d.Cadence.Handback = time.Minute
+	d.Cadence.HandbackDelay = time.Minute
 	return d
 }
 
--- a/internal/sim/hollow/process.go
+++ b/internal/sim/hollow/process.go
@@ -77,7 +77,7 @@
 
 // env is a machine of the fleet as real code finds it.
 func (p *process) env(ip string) core.Env {
-	return core.Env{Net: p.network.machine(ip), Clock: tick.Machine(), FS: vfs.Default, Log: ring.New(p.logs, logLines)}
+	return core.Env{Net: p.network.machine(ip), Clock: tick.MachineClock(), FS: vfs.Default, Log: ring.New(p.logs, logLines)}
 }
 
 func (p *process) startPlatform() error {
@@ -118,7 +118,7 @@
 	ip := l.CoreIP(i)
 	c, err := core.Start(core.Settings{Fleet: "scale", Name: fmt.Sprintf("core-%d", i), Zone: l.ZoneName(i), Addr: l.CoreAddr(i), Operator: at(ip, operatorPort),
 		Seeds: l.Seeds(), Folder: p.spec.Folder, Cores: l.Cores, Platform: l.PlatformAddr(), Cadence: p.cadence(),
-		Bounds: bounds.Bounds{Tolerated: (l.Cores - 1) / 2}}, p.env(ip))
+		Bounds: bounds.Bounds{ToleratedCores: (l.Cores - 1) / 2}}, p.env(ip))
 	if err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 func (p *process) cadence() bounds.Cadence {
 	c := capacity.Cadence()
 	times := time.Duration(max(1, p.spec.Slower))
-	c.Report, c.ReplicaIdle, c.List, c.Share = times*c.Report, times*c.ReplicaIdle, times*c.List, times*c.Share
+	c.Report, c.ReplicaIdle, c.List, c.SharePredictions = times*c.Report, times*c.ReplicaIdle, times*c.List, times*c.SharePredictions
 	return c
 }
 
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	mux := httpapi.NewMuxer()
-	server.New(gen.NewEndpoints(p), mux, httpapi.Decoder, httpapi.Encoder, httpapi.Quiet, httpapi.Formatter).Mount(mux)
+	server.New(gen.NewEndpoints(p), mux, httpapi.Decoder, httpapi.Encoder, httpapi.IgnoreEncodeError, httpapi.Formatter).Mount(mux)
 	mux.Handle(http.MethodPost, "/control", func(w http.ResponseWriter, q *http.Request) {
 		var l gen.Listed
 		if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, 1<<20)).Decode(&l); err != nil || l.ID == "" {
--- a/internal/stand/replica.go
+++ b/internal/stand/replica.go
@@ -90,7 +90,7 @@
 	rec.Put(check.Event{Kind: check.UnloadDone, Replica: s.ID})
 	rec.Put(check.Event{Kind: check.Unlearned, Replica: s.ID, Why: s.ID})
 	mux := httpapi.NewMuxer()
-	server.New(gen.NewEndpoints(r), mux, httpapi.Decoder, httpapi.Encoder, httpapi.Quiet, httpapi.Formatter).Mount(mux)
+	server.New(gen.NewEndpoints(r), mux, httpapi.Decoder, httpapi.Encoder, httpapi.IgnoreEncodeError, httpapi.Formatter).Mount(mux)
 	mux.Handle(http.MethodPost, backend.RunPath, r.run)
 	r.server = wire.NewServer(ln, mux)
 	r.group.Go(r.server.Run)
